--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
@@ -20,7 +20,7 @@
 import org.hornbeamspread.core.consensus.ConsensusEffect;
 import org.hornbeamspread.core.consensus.ConsensusEvent;
 import org.hornbeamspread.core.consensus.ConsensusNode;
-import org.hornbeamspread.core.consensus.ConsensusTimes;
+import org.hornbeamspread.core.consensus.ConsensusParameters;
 import org.hornbeamspread.core.consensus.LogRecord;
 import org.hornbeamspread.core.consensus.Membership;
 import org.hornbeamspread.core.consensus.Message;
@@ -88,7 +88,7 @@
                 settings.members().stream().map(ControlMember::getMemberId).toList(),
                 settings.mayForm(),
                 stored,
-                ConsensusTimes.of(
+                ConsensusParameters.of(
                         settings.electionTimeout().toMillis(),
                         settings.heartbeatInterval().toMillis()),
                 clock,
@@ -203,7 +203,7 @@
             restore(restore.snapshot());
         } else if (effect instanceof ConsensusEffect.LeadershipChanged changed) {
             onLeadershipChanged(changed);
-        } else if (effect instanceof ConsensusEffect.MembershipNeeded needed) {
+        } else if (effect instanceof ConsensusEffect.MembershipChangeNeeded needed) {
             proposeMembers(needed.membership());
         } else {
             carryOutcome(effect);
--- a/control/src/main/java/org/hornbeamspread/control/consensus/MessageCodec.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/MessageCodec.java
@@ -192,7 +192,7 @@
                 .setIncarnation(response.incarnation())
                 .setBlank(response.blank())
                 .setAskedBy(response.askedBy())
-                .addAllFormed(RecordCodec.wire(response.formed()))
+                .addAllFormed(RecordCodec.wire(response.initialMembership()))
                 .build();
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/storage/DiskLog.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/DiskLog.java
@@ -101,8 +101,8 @@
             }
             List<LogRecord> records = new ArrayList<>();
             for (ConsensusEffect.Persist persist : persists) {
-                if (persist.formed().isPresent()) {
-                    writeFormed(persist.formed().get());
+                if (persist.initialMembership().isPresent()) {
+                    writeFormed(persist.initialMembership().get());
                 }
                 if (persist.rewrite().isPresent()) {
                     records.clear();
@@ -188,7 +188,7 @@
     private static StoredState withoutRecords(StoredState whole) {
         return new StoredState(
                 whole.incarnation(),
-                whole.formed(),
+                whole.initialMembership(),
                 whole.term(),
                 whole.votedFor(),
                 whole.snapshot(),
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Formation.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Bootstrap.java
@@ -19,35 +19,35 @@
  * needed because two members that formed the log each by itself, with stale answers, could count two incarnations of a
  * third one.
  */
-final class Formation {
+final class Bootstrap {
     private final NodeState state;
     private final List<String> initialMemberIds;
 
     /** False for a member that joins a log which others form or have formed. */
-    private final boolean mayForm;
+    private final boolean mayBootstrap;
 
     private final Map<String, Long> blankIncarnations = new TreeMap<>();
 
     /** The members that the log was formed with, once known and naming this incarnation. */
-    private Optional<Membership> formed;
+    private Optional<Membership> initialMembership;
 
-    private long nextAskMs;
+    private long nextIntroduceMs;
 
-    Formation(NodeState state, List<String> initialMemberIds, boolean mayForm, Optional<Membership> formed) {
+    Bootstrap(NodeState state, List<String> initialMemberIds, boolean mayForm, Optional<Membership> formed) {
         this.state = state;
         this.initialMemberIds = initialMemberIds.stream().sorted().toList();
-        this.mayForm = mayForm;
-        this.formed = formed;
+        this.mayBootstrap = mayForm;
+        this.initialMembership = formed;
     }
 
     /** Whether this member has neither voted nor kept anything. */
     boolean isBlank() {
-        return formed.isEmpty() && state.term() == 0 && state.log.lastIndex() == 0;
+        return initialMembership.isEmpty() && state.term() == 0 && state.log.lastIndex() == 0;
     }
 
     /** Whether this member knows that it has forgotten no vote that could still count. */
     boolean mayVote() {
-        if (formed.isPresent() || !state.has(ConsensusRule.COUNT_INCARNATION)) {
+        if (initialMembership.isPresent() || !state.isEnabled(ConsensusRule.COUNT_INCARNATION)) {
             return true;
         }
         return state.log
@@ -58,59 +58,64 @@
     }
 
     void tick() {
-        if (knowsMembers()) {
+        if (hasMembership()) {
             return;
         }
-        if (!state.has(ConsensusRule.COUNT_INCARNATION)) {
-            form();
-        } else if (state.nowMs() >= nextAskMs) {
-            nextAskMs = state.nowMs() + state.times.heartbeatMs();
+        if (!state.isEnabled(ConsensusRule.COUNT_INCARNATION)) {
+            bootstrap();
+        } else if (state.nowMs() >= nextIntroduceMs) {
+            nextIntroduceMs = state.nowMs() + state.parameters.heartbeatMs();
             Message request = new Message.IntroduceRequest(state.selfId, state.incarnation);
             initialMemberIds.stream()
                     .filter(id -> !id.equals(state.selfId))
                     .forEach(id -> state.outbox.emit(new ConsensusEffect.Send(id, request)));
-            found();
+            bootstrapIfAllBlank();
         }
     }
 
     Message onRequest(Message.IntroduceRequest request) {
         return new Message.IntroduceResponse(
-                state.selfId, state.incarnation, isBlank(), request.incarnation(), formed.orElse(Membership.NONE));
+                state.selfId,
+                state.incarnation,
+                isBlank(),
+                request.incarnation(),
+                initialMembership.orElse(Membership.NONE));
     }
 
     void onResponse(Message.IntroduceResponse response) {
-        if (response.askedBy() != state.incarnation || knowsMembers()) {
+        if (response.askedBy() != state.incarnation || hasMembership()) {
             return;
         }
-        if (response.formed().isVoter(state.selfId, state.incarnation)) {
-            adopt(response.formed());
+        if (response.initialMembership().isVoter(state.selfId, state.incarnation)) {
+            setInitialMembership(response.initialMembership());
         } else if (response.blank()) {
             blankIncarnations.put(response.memberId(), response.incarnation());
-            found();
+            bootstrapIfAllBlank();
         }
     }
 
-    private boolean knowsMembers() {
-        return formed.isPresent() || !state.log.membership().members().isEmpty();
+    private boolean hasMembership() {
+        return initialMembership.isPresent()
+                || !state.log.membership().members().isEmpty();
     }
 
-    private void found() {
-        boolean founder = mayForm && initialMemberIds.get(0).equals(state.selfId);
+    private void bootstrapIfAllBlank() {
+        boolean founder = mayBootstrap && initialMemberIds.get(0).equals(state.selfId);
         blankIncarnations.put(state.selfId, state.incarnation);
         if (founder && isBlank() && blankIncarnations.keySet().containsAll(initialMemberIds)) {
-            form();
+            bootstrap();
         }
     }
 
-    private void form() {
-        adopt(new Membership(initialMemberIds.stream()
+    private void bootstrap() {
+        setInitialMembership(new Membership(initialMemberIds.stream()
                 .map(id -> new Member(id, blankIncarnations.getOrDefault(id, 0L), true))
                 .toList()));
     }
 
-    private void adopt(Membership members) {
-        formed = Optional.of(members);
-        state.log.form(members);
-        state.outbox.stageFormed(members);
+    private void setInitialMembership(Membership members) {
+        initialMembership = Optional.of(members);
+        state.log.setInitialMembership(members);
+        state.outbox.stageInitialMembership(members);
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/ConsensusEffect.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/ConsensusEffect.java
@@ -23,7 +23,7 @@
      */
     record Persist(
             long persistId,
-            Optional<Membership> formed,
+            Optional<Membership> initialMembership,
             Optional<StoredVote> vote,
             Optional<Rewrite> rewrite,
             List<LogRecord> records)
@@ -90,5 +90,5 @@
     record ReadRefused(long readId, FailureType reason) implements ConsensusEffect {}
 
     /** This leader wants the members recorded in the log; the owner answers with a proposal. */
-    record MembershipNeeded(Membership membership) implements ConsensusEffect {}
+    record MembershipChangeNeeded(Membership membership) implements ConsensusEffect {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/ConsensusNode.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/ConsensusNode.java
@@ -25,20 +25,20 @@
  */
 public final class ConsensusNode {
     private final NodeState state;
-    private final Formation formation;
+    private final Bootstrap bootstrap;
     private final Election election;
     private Optional<String> leaderId = Optional.empty();
 
     /** Present while this member leads. */
-    private Optional<LeaderRole> leading = Optional.empty();
+    private Optional<LeaderRole> leaderRole = Optional.empty();
 
     /** When a leader was heard last. A restarted member may just have heard one, which reaches it again before long. */
-    private long leaderHeardMs;
+    private long lastLeaderContactMs;
 
     /** Present while the disk takes nothing. */
-    private Optional<FailureType> stalled = Optional.empty();
+    private Optional<FailureType> stallReason = Optional.empty();
 
-    private ConsensusEffect.LeadershipChanged published;
+    private ConsensusEffect.LeadershipChanged lastPublishedLeadership;
 
     /**
      * A member with all rules in force.
@@ -50,7 +50,7 @@
             List<String> initialMemberIds,
             boolean mayForm,
             StoredState stored,
-            ConsensusTimes times,
+            ConsensusParameters times,
             Clock clock,
             RandomGenerator random) {
         this(memberId, initialMemberIds, mayForm, stored, times, clock, random, EnumSet.allOf(ConsensusRule.class));
@@ -61,17 +61,17 @@
             List<String> initialMemberIds,
             boolean mayForm,
             StoredState stored,
-            ConsensusTimes times,
+            ConsensusParameters times,
             Clock clock,
             RandomGenerator random,
             Set<ConsensusRule> rules) {
         this.state = new NodeState(memberId, stored, times, rules, clock);
-        this.formation = new Formation(state, initialMemberIds, mayForm, stored.formed());
+        this.bootstrap = new Bootstrap(state, initialMemberIds, mayForm, stored.initialMembership());
         this.election = new Election(state, random);
-        this.leaderHeardMs = stored.term() > 0
-                ? state.nowMs() + times.firstElectionMs() - times.electionTimeoutMs()
+        this.lastLeaderContactMs = stored.term() > 0
+                ? state.nowMs() + times.firstElectionDelayMs() - times.electionTimeoutMs()
                 : Long.MIN_VALUE / 2;
-        this.published = new ConsensusEffect.LeadershipChanged(stored.term(), Optional.empty(), false);
+        this.lastPublishedLeadership = new ConsensusEffect.LeadershipChanged(stored.term(), Optional.empty(), false);
     }
 
     /** Takes one event. */
@@ -95,9 +95,9 @@
 
     /** The effects of the steps since the last drain, to be carried out in order. */
     public List<ConsensusEffect> drain() {
-        leading.ifPresent(LeaderRole::flush);
-        if (leading.isPresent() && !state.isSelfVoter() && isMembershipCommitted()) {
-            follow(state.term(), Optional.empty());
+        leaderRole.ifPresent(LeaderRole::flush);
+        if (leaderRole.isPresent() && !state.isSelfVoter() && isMembershipCommitted()) {
+            becomeFollower(state.term(), Optional.empty());
         }
         publishLeadership();
         return state.outbox.drain();
@@ -125,17 +125,17 @@
 
     /** The last record that a member is known to have synced; 0 unless this member leads. */
     public long matchIndex(String memberId) {
-        return leading.map(leader -> leader.matchIndex(memberId)).orElse(0L);
+        return leaderRole.map(leader -> leader.matchIndex(memberId)).orElse(0L);
     }
 
     /** How long a member has not answered this leader; 0 unless this member leads. */
     public long silentMs(String memberId) {
-        return leading.map(leader -> leader.silentMs(memberId)).orElse(0L);
+        return leaderRole.map(leader -> leader.silentMs(memberId)).orElse(0L);
     }
 
     /** Whether this member has neither voted nor kept anything, nor taken part in forming the log. */
     public boolean isBlank() {
-        return formation.isBlank();
+        return bootstrap.isBlank();
     }
 
     private void onMessage(Message message, long replyId) {
@@ -146,56 +146,56 @@
         } else if (message instanceof Message.AppendRequest request) {
             onAppendRequest(request, replyId);
         } else if (message instanceof Message.AppendResponse response) {
-            followLaterTerm(response.term());
+            adoptHigherTerm(response.term());
             if (response.term() == state.term()) {
-                leading.ifPresent(leader -> leader.onAppendResponse(response));
+                leaderRole.ifPresent(leader -> leader.onAppendResponse(response));
             }
         } else if (message instanceof Message.SnapshotRequest request) {
             onSnapshotRequest(request, replyId);
         } else if (message instanceof Message.SnapshotResponse response) {
-            followLaterTerm(response.term());
+            adoptHigherTerm(response.term());
             if (response.term() == state.term()) {
-                leading.ifPresent(leader -> leader.onSnapshotResponse(response));
+                leaderRole.ifPresent(leader -> leader.onSnapshotResponse(response));
             }
         } else if (message instanceof Message.IntroduceRequest request) {
-            state.outbox.emit(new ConsensusEffect.Reply(replyId, formation.onRequest(request)));
+            state.outbox.emit(new ConsensusEffect.Reply(replyId, bootstrap.onRequest(request)));
         } else if (message instanceof Message.IntroduceResponse response) {
-            formation.onResponse(response);
+            bootstrap.onResponse(response);
         }
     }
 
     private void tick() {
-        formation.tick();
-        if (leading.isPresent()) {
-            if (!leading.get().tick()) {
-                follow(state.term(), Optional.empty());
+        bootstrap.tick();
+        if (leaderRole.isPresent()) {
+            if (!leaderRole.get().tick()) {
+                becomeFollower(state.term(), Optional.empty());
             }
         } else if (election.isDue()) {
-            election.retrySoon();
-            if (state.isSelfVoter() && stalled.isEmpty()) {
+            election.scheduleRetry();
+            if (state.isSelfVoter() && stallReason.isEmpty()) {
                 leaderId = Optional.empty();
-                leadIf(election.campaign());
+                becomeLeaderIf(election.campaign());
             }
         }
     }
 
-    private void leadIf(boolean won) {
+    private void becomeLeaderIf(boolean won) {
         if (!won) {
             return;
         }
-        election.abandon();
+        election.cancel();
         leaderId = Optional.of(state.selfId);
-        leading = Optional.of(new LeaderRole(state));
+        leaderRole = Optional.of(new LeaderRole(state));
     }
 
     private void onVoteRequest(Message.VoteRequest request, long replyId) {
-        if (!formation.mayVote()) {
+        if (!bootstrap.mayVote()) {
             replyToVote(replyId, state.term(), false, request.preVote());
             return;
         }
-        boolean undisturbed = state.has(ConsensusRule.PRE_VOTE) && hearsLeader();
+        boolean undisturbed = state.isEnabled(ConsensusRule.PRE_VOTE) && hasLeaderContact();
         if (request.preVote()) {
-            boolean wouldGrant = !undisturbed && request.term() > state.term() && isComplete(request);
+            boolean wouldGrant = !undisturbed && request.term() > state.term() && isLogUpToDate(request);
             replyToVote(replyId, wouldGrant ? request.term() : state.term(), wouldGrant, true);
             return;
         }
@@ -203,14 +203,14 @@
             replyToVote(replyId, state.term(), false, false);
             return;
         }
-        followLaterTerm(request.term());
+        adoptHigherTerm(request.term());
         boolean free = state.votedFor().isEmpty() || state.votedFor().get().equals(request.candidateId());
-        boolean granted = request.term() == state.term() && free && isComplete(request);
+        boolean granted = request.term() == state.term() && free && isLogUpToDate(request);
         if (granted) {
             if (state.votedFor().isEmpty()) {
-                state.vote(state.term(), Optional.of(request.candidateId()));
+                state.setTermAndVote(state.term(), Optional.of(request.candidateId()));
             }
-            election.postpone();
+            election.resetTimeout();
         }
         replyToVote(replyId, state.term(), granted, false);
     }
@@ -220,12 +220,12 @@
                 replyId, new Message.VoteResponse(term, granted, preVote, state.selfId, state.incarnation)));
     }
 
-    private boolean hearsLeader() {
-        return leading.isPresent() || state.nowMs() - leaderHeardMs < state.times.electionTimeoutMs();
+    private boolean hasLeaderContact() {
+        return leaderRole.isPresent() || state.nowMs() - lastLeaderContactMs < state.parameters.electionTimeoutMs();
     }
 
-    private boolean isComplete(Message.VoteRequest request) {
-        if (!state.has(ConsensusRule.VOTE_FOR_COMPLETE_LOG)) {
+    private boolean isLogUpToDate(Message.VoteRequest request) {
+        if (!state.isEnabled(ConsensusRule.VOTE_FOR_COMPLETE_LOG)) {
             return true;
         }
         return request.lastTerm() > state.log.lastTerm()
@@ -234,10 +234,10 @@
 
     private void onVoteResponse(Message.VoteResponse response) {
         if (!response.granted()) {
-            followLaterTerm(response.term());
+            adoptHigherTerm(response.term());
             return;
         }
-        leadIf(election.onGranted(response));
+        becomeLeaderIf(election.onGranted(response));
     }
 
     private void onAppendRequest(Message.AppendRequest request, long replyId) {
@@ -248,21 +248,21 @@
         long previous = request.previousIndex();
         boolean matches = previous < state.log.baseIndex() || state.log.matches(previous, request.previousTerm());
         if (!matches) {
-            replyToAppend(replyId, request, false, hintBefore(previous));
+            replyToAppend(replyId, request, false, conflictHint(previous));
             return;
         }
         long match = previous + request.records().size();
-        request.records().forEach(this::takeRecord);
+        request.records().forEach(this::appendFromLeader);
         state.commitTo(Math.min(request.commitIndex(), match));
         if (request.records().isEmpty() && state.outbox.isVoteSynced()) {
             long synced = Math.min(match, state.outbox.syncedIndex());
-            state.outbox.emit(new ConsensusEffect.Reply(replyId, response(request, true, synced)));
+            state.outbox.emit(new ConsensusEffect.Reply(replyId, appendResponse(request, true, synced)));
         } else {
             replyToAppend(replyId, request, true, match);
         }
     }
 
-    private void takeRecord(LogRecord record) {
+    private void appendFromLeader(LogRecord record) {
         if (record.index() <= state.log.baseIndex() || state.log.matches(record.index(), record.term())) {
             return;
         }
@@ -272,25 +272,25 @@
         }
         if (record.index() <= state.log.lastIndex()) {
             state.log.truncateFrom(record.index());
-            state.outbox.truncatedFrom(record.index());
+            state.outbox.onTruncated(record.index());
         }
         state.log.append(record);
         state.outbox.stageRecord(record);
     }
 
     /** Where a leader whose record at {@code previous} differs should try next. */
-    private long hintBefore(long previous) {
+    private long conflictHint(long previous) {
         if (previous > state.log.lastIndex()) {
             return state.log.lastIndex();
         }
-        return Math.max(state.commitIndex(), state.log.firstOfTermAt(previous) - 1);
+        return Math.max(state.commitIndex(), state.log.firstIndexOfTermAt(previous) - 1);
     }
 
     private void replyToAppend(long replyId, Message.AppendRequest request, boolean success, long matchIndex) {
-        state.outbox.emitWhenSynced(new ConsensusEffect.Reply(replyId, response(request, success, matchIndex)));
+        state.outbox.emitWhenSynced(new ConsensusEffect.Reply(replyId, appendResponse(request, success, matchIndex)));
     }
 
-    private Message response(Message.AppendRequest request, boolean success, long matchIndex) {
+    private Message appendResponse(Message.AppendRequest request, boolean success, long matchIndex) {
         return new Message.AppendResponse(
                 state.term(), success, matchIndex, request.round(), state.selfId, state.incarnation);
     }
@@ -312,55 +312,55 @@
         if (term < state.term()) {
             return false;
         }
-        follow(term, Optional.of(sender));
-        leaderHeardMs = state.nowMs();
-        election.postpone();
+        becomeFollower(term, Optional.of(sender));
+        lastLeaderContactMs = state.nowMs();
+        election.resetTimeout();
         return true;
     }
 
-    private void followLaterTerm(long term) {
+    private void adoptHigherTerm(long term) {
         if (term > state.term()) {
-            follow(term, Optional.empty());
+            becomeFollower(term, Optional.empty());
         }
     }
 
-    private void follow(long term, Optional<String> leader) {
+    private void becomeFollower(long term, Optional<String> leader) {
         if (term > state.term()) {
-            state.vote(term, Optional.empty());
+            state.setTermAndVote(term, Optional.empty());
         }
-        leading.ifPresent(LeaderRole::refuseReads);
-        leading = Optional.empty();
-        election.abandon();
+        leaderRole.ifPresent(LeaderRole::refuseReads);
+        leaderRole = Optional.empty();
+        election.cancel();
         leaderId = leader;
     }
 
     private void propose(ConsensusEvent.Proposal proposal) {
-        if (leading.isPresent() && stalled.isEmpty()) {
-            leading.get().propose(proposal);
+        if (leaderRole.isPresent() && stallReason.isEmpty()) {
+            leaderRole.get().propose(proposal);
         } else {
-            state.outbox.emit(
-                    new ConsensusEffect.ProposalRefused(proposal.proposalId(), stalled.orElse(FailureType.NOT_LEADER)));
+            state.outbox.emit(new ConsensusEffect.ProposalRefused(
+                    proposal.proposalId(), stallReason.orElse(FailureType.NOT_LEADER)));
         }
     }
 
     private void read(long readId) {
-        if (leading.isPresent()) {
-            leading.get().read(readId);
+        if (leaderRole.isPresent()) {
+            leaderRole.get().read(readId);
         } else {
             state.outbox.emit(new ConsensusEffect.ReadRefused(readId, FailureType.NOT_LEADER));
         }
     }
 
     private void onSynced(long persistId) {
-        stalled = Optional.empty();
+        stallReason = Optional.empty();
         state.outbox.onSynced(persistId);
-        leadIf(election.countOwnVote());
+        becomeLeaderIf(election.countOwnVote());
     }
 
     private void onStalled(FailureType reason) {
-        stalled = Optional.of(reason);
-        if (leading.isPresent() || election.isRunning()) {
-            follow(state.term(), Optional.empty());
+        stallReason = Optional.of(reason);
+        if (leaderRole.isPresent() || election.isRunning()) {
+            becomeFollower(state.term(), Optional.empty());
         }
     }
 
@@ -369,7 +369,7 @@
         if (index > state.log.snapshot().lastIndex() && index <= state.commitIndex()) {
             Snapshot snapshot =
                     new Snapshot(index, state.log.termAt(index), state.log.membershipAt(index), taken.state());
-            state.log.compact(snapshot, state.times.retainedRecords());
+            state.log.compact(snapshot, state.parameters.retainedRecords());
             state.outbox.stageRewrite(state.log);
         }
     }
@@ -379,11 +379,11 @@
     }
 
     private void publishLeadership() {
-        boolean ready = leading.map(LeaderRole::isReady).orElse(false);
+        boolean ready = leaderRole.map(LeaderRole::isReady).orElse(false);
         ConsensusEffect.LeadershipChanged present =
                 new ConsensusEffect.LeadershipChanged(state.term(), leaderId, ready);
-        if (!present.equals(published)) {
-            published = present;
+        if (!present.equals(lastPublishedLeadership)) {
+            lastPublishedLeadership = present;
             state.outbox.emit(present);
         }
     }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/ConsensusTimes.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/ConsensusParameters.java
@@ -9,23 +9,23 @@
  * @param uncommittedRecords how many records a leader holds uncommitted before it refuses more
  * @param retainedRecords how many records are kept behind a snapshot for followers that lag a little
  */
-public record ConsensusTimes(
-        long electionTimeoutMs, long heartbeatMs, int batchBytes, int uncommittedRecords, int retainedRecords) {
+public record ConsensusParameters(
+        long electionTimeoutMs, long heartbeatMs, int batchBytes, int maxUncommittedRecords, int retainedRecords) {
     /**
      * For how long a member that has just started takes a leader for alive that it has not heard: a living one sends to it in this
      * time. Then it stands for election itself.
      */
-    public long firstElectionMs() {
+    public long firstElectionDelayMs() {
         return Math.min(electionTimeoutMs, heartbeatMs);
     }
 
     /** Over which the first elections of members that start at once are spread, so that few votes are split. */
-    public long firstElectionSpreadMs() {
+    public long firstElectionJitterMs() {
         return Math.min(electionTimeoutMs, 2 * heartbeatMs);
     }
 
     /** With the usual limits. */
-    public static ConsensusTimes of(long electionTimeoutMs, long heartbeatMs) {
-        return new ConsensusTimes(electionTimeoutMs, heartbeatMs, 256 << 10, 8_192, 256);
+    public static ConsensusParameters of(long electionTimeoutMs, long heartbeatMs) {
+        return new ConsensusParameters(electionTimeoutMs, heartbeatMs, 256 << 10, 8_192, 256);
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Election.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Election.java
@@ -26,7 +26,7 @@
     Election(NodeState state, RandomGenerator random) {
         this.state = state;
         this.random = random;
-        schedule(state.times.firstElectionMs(), state.times.firstElectionSpreadMs());
+        schedule(state.parameters.firstElectionDelayMs(), state.parameters.firstElectionJitterMs());
     }
 
     /** Whether no leader was heard, and no vote given, for long enough. */
@@ -39,29 +39,29 @@
     }
 
     /** Waits a whole election timeout again. */
-    void postpone() {
-        schedule(state.times.electionTimeoutMs(), state.times.electionTimeoutMs());
+    void resetTimeout() {
+        schedule(state.parameters.electionTimeoutMs(), state.parameters.electionTimeoutMs());
     }
 
     /** Waits less: a vote that was split or refused is tried again sooner than a leader is given up. */
-    void retrySoon() {
-        schedule(state.times.electionTimeoutMs() / 2, state.times.electionTimeoutMs() / 2);
+    void scheduleRetry() {
+        schedule(state.parameters.electionTimeoutMs() / 2, state.parameters.electionTimeoutMs() / 2);
     }
 
-    void abandon() {
+    void cancel() {
         phase = Phase.NONE;
         grants.clear();
     }
 
     /** Stands for election. True when that wins it at once, as the only voter does. */
     boolean campaign() {
-        if (!state.has(ConsensusRule.PRE_VOTE)) {
+        if (!state.isEnabled(ConsensusRule.PRE_VOTE)) {
             return startVote();
         }
         phase = Phase.PRE_VOTE;
         grants.clear();
         grants.put(state.selfId, state.incarnation);
-        ask(state.term() + 1, true);
+        requestVotes(state.term() + 1, true);
         return countGrants();
     }
 
@@ -89,14 +89,14 @@
     private boolean startVote() {
         phase = Phase.VOTE;
         grants.clear();
-        state.vote(state.term() + 1, Optional.of(state.selfId));
-        ownVotePersistId = state.outbox.neededPersistId();
-        retrySoon();
-        ask(state.term(), false);
+        state.setTermAndVote(state.term() + 1, Optional.of(state.selfId));
+        ownVotePersistId = state.outbox.requiredPersistId();
+        scheduleRetry();
+        requestVotes(state.term(), false);
         return countOwnVote();
     }
 
-    private void ask(long term, boolean preVote) {
+    private void requestVotes(long term, boolean preVote) {
         Message request =
                 new Message.VoteRequest(term, state.selfId, state.log.lastIndex(), state.log.lastTerm(), preVote);
         state.log.membership().voters().stream()
--- a/core/src/main/java/org/hornbeamspread/core/consensus/LeaderRole.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/LeaderRole.java
@@ -26,40 +26,40 @@
 final class LeaderRole {
     private final NodeState state;
     private final Map<String, Progress> progress = new TreeMap<>();
-    private final Deque<PendingRead> reads = new ArrayDeque<>();
+    private final Deque<PendingRead> pendingReads = new ArrayDeque<>();
 
     /** The leader's first record of its term. */
-    private final long firstIndex;
+    private final long termStartIndex;
 
     private long round;
     private long nextHeartbeatMs;
-    private long nextRepairMs;
+    private long nextMembershipChangeMs;
 
     LeaderRole(NodeState state) {
         this.state = state;
-        followMembership();
-        this.firstIndex = append(Payload.EMPTY, Optional.empty());
+        updatePeers();
+        this.termStartIndex = append(Payload.EMPTY, Optional.empty());
     }
 
     /** Whether a record of this term is committed. */
     boolean isReady() {
-        return state.commitIndex() >= firstIndex;
+        return state.commitIndex() >= termStartIndex;
     }
 
     /** False when this leader must step down. */
     boolean tick() {
         long nowMs = state.nowMs();
-        if (state.has(ConsensusRule.CHECK_QUORUM) && !hearsMajority(nowMs)) {
+        if (state.isEnabled(ConsensusRule.CHECK_QUORUM) && !hasMajorityContact(nowMs)) {
             return false;
         }
         if (nowMs >= nextHeartbeatMs) {
-            nextHeartbeatMs = nowMs + state.times.heartbeatMs();
-            progress.values().forEach(peer -> send(peer, true));
+            nextHeartbeatMs = nowMs + state.parameters.heartbeatMs();
+            progress.values().forEach(peer -> replicateTo(peer, true));
         }
-        if (nowMs >= nextRepairMs) {
-            neededMembership(nowMs).ifPresent(members -> {
-                nextRepairMs = nowMs + state.times.electionTimeoutMs();
-                state.outbox.emit(new ConsensusEffect.MembershipNeeded(members));
+        if (nowMs >= nextMembershipChangeMs) {
+            nextMembershipChange(nowMs).ifPresent(members -> {
+                nextMembershipChangeMs = nowMs + state.parameters.electionTimeoutMs();
+                state.outbox.emit(new ConsensusEffect.MembershipChangeNeeded(members));
             });
         }
         return true;
@@ -74,26 +74,26 @@
         long index = append(proposal.payload(), proposal.membership());
         state.outbox.emit(new ConsensusEffect.ProposalAppended(proposal.proposalId(), index, state.term()));
         if (proposal.membership().isPresent()) {
-            followMembership();
+            updatePeers();
         }
     }
 
     void read(long readId) {
-        if (!state.has(ConsensusRule.CONFIRM_READS)) {
+        if (!state.isEnabled(ConsensusRule.CONFIRM_READS)) {
             state.outbox.emit(new ConsensusEffect.ReadConfirmed(readId));
             return;
         }
-        reads.add(new PendingRead(readId, Math.max(firstIndex, state.commitIndex()), round + 1));
+        pendingReads.add(new PendingRead(readId, Math.max(termStartIndex, state.commitIndex()), round + 1));
     }
 
     void refuseReads() {
-        reads.forEach(
+        pendingReads.forEach(
                 read -> state.outbox.emit(new ConsensusEffect.ReadRefused(read.readId(), FailureType.NOT_LEADER)));
-        reads.clear();
+        pendingReads.clear();
     }
 
     void onAppendResponse(Message.AppendResponse response) {
-        Progress peer = heard(response.memberId(), response.incarnation());
+        Progress peer = recordContact(response.memberId(), response.incarnation());
         if (peer == null) {
             return;
         }
@@ -106,7 +106,7 @@
     }
 
     void onSnapshotResponse(Message.SnapshotResponse response) {
-        Progress peer = heard(response.memberId(), response.incarnation());
+        Progress peer = recordContact(response.memberId(), response.incarnation());
         if (peer != null) {
             peer.snapshotInFlight = false;
             peer.onMatch(response.matchIndex());
@@ -116,12 +116,12 @@
     /** Commits what a majority has, confirms reads, and sends what there is to send. */
     void flush() {
         commit();
-        boolean newRound = !reads.isEmpty() && reads.peekLast().round() > round;
+        boolean newRound = !pendingReads.isEmpty() && pendingReads.peekLast().round() > round;
         if (newRound) {
             round++;
         }
         confirmReads();
-        progress.values().forEach(peer -> send(peer, newRound));
+        progress.values().forEach(peer -> replicateTo(peer, newRound));
     }
 
     /** The last record that a member is known to have synced. */
@@ -136,18 +136,18 @@
     /** How long a member has not answered. */
     long silentMs(String memberId) {
         Progress peer = progress.get(memberId);
-        return peer == null ? 0 : state.nowMs() - peer.lastHeardMs;
+        return peer == null ? 0 : state.nowMs() - peer.lastContactMs;
     }
 
-    private Progress heard(String memberId, long incarnation) {
+    private Progress recordContact(String memberId, long incarnation) {
         Progress peer = progress.get(memberId);
         if (peer == null) {
             return null;
         }
-        if (peer.incarnation != incarnation && state.has(ConsensusRule.COUNT_INCARNATION)) {
-            peer.restart(incarnation, state.log.lastIndex() + 1);
+        if (peer.incarnation != incarnation && state.isEnabled(ConsensusRule.COUNT_INCARNATION)) {
+            peer.reset(incarnation, state.log.lastIndex() + 1);
         }
-        peer.lastHeardMs = state.nowMs();
+        peer.lastContactMs = state.nowMs();
         return peer;
     }
 
@@ -158,7 +158,7 @@
         return record.index();
     }
 
-    private void followMembership() {
+    private void updatePeers() {
         List<String> others = state.log.membership().members().stream()
                 .map(Member::memberId)
                 .filter(id -> !id.equals(state.selfId))
@@ -169,14 +169,14 @@
     }
 
     private Optional<FailureType> refusal(ConsensusEvent.Proposal proposal) {
-        if (state.log.lastIndex() - state.commitIndex() >= state.times.uncommittedRecords()) {
+        if (state.log.lastIndex() - state.commitIndex() >= state.parameters.maxUncommittedRecords()) {
             return Optional.of(FailureType.QUEUE_FULL);
         }
-        if (proposal.membership().isEmpty() || !state.has(ConsensusRule.ONE_CHANGE_AT_A_TIME)) {
+        if (proposal.membership().isEmpty() || !state.isEnabled(ConsensusRule.ONE_CHANGE_AT_A_TIME)) {
             return Optional.empty();
         }
         Membership next = proposal.membership().get();
-        if (!next.isWellFormed() || state.log.membership().votersChangedTo(next) > 1) {
+        if (!next.isWellFormed() || state.log.membership().countVoterChanges(next) > 1) {
             return Optional.of(FailureType.INVALID_REQUEST);
         }
         boolean settled = isReady() && state.log.membershipIndex() <= state.commitIndex();
@@ -189,14 +189,14 @@
     /** A voter's copies, as far as they are this incarnation's. */
     private long countedMatchIndex(Member voter) {
         if (voter.memberId().equals(state.selfId)) {
-            return isCounted(voter, state.incarnation) ? state.outbox.syncedIndex() : 0;
+            return isCurrentIncarnation(voter, state.incarnation) ? state.outbox.syncedIndex() : 0;
         }
         Progress peer = progress.get(voter.memberId());
-        return peer != null && isCounted(voter, peer.incarnation) ? peer.matchIndex : 0;
+        return peer != null && isCurrentIncarnation(voter, peer.incarnation) ? peer.matchIndex : 0;
     }
 
-    private boolean isCounted(Member voter, long incarnation) {
-        return voter.incarnation() == incarnation || !state.has(ConsensusRule.COUNT_INCARNATION);
+    private boolean isCurrentIncarnation(Member voter, long incarnation) {
+        return voter.incarnation() == incarnation || !state.isEnabled(ConsensusRule.COUNT_INCARNATION);
     }
 
     private void commit() {
@@ -207,19 +207,19 @@
                 .toList();
         long index = matches.get(matches.size() / 2);
         boolean ownTerm = index > state.commitIndex() && state.log.termAt(index) == state.term();
-        if (ownTerm || !state.has(ConsensusRule.COMMIT_OWN_TERM_ONLY)) {
+        if (ownTerm || !state.isEnabled(ConsensusRule.COMMIT_OWN_TERM_ONLY)) {
             state.commitTo(index);
         }
     }
 
     private void confirmReads() {
-        while (!reads.isEmpty()) {
-            PendingRead read = reads.peek();
+        while (!pendingReads.isEmpty()) {
+            PendingRead read = pendingReads.peek();
             boolean confirmed = state.log.membership().isMajority(voter -> hasAcked(voter, read.round()));
             if (!confirmed || state.commitIndex() < read.index()) {
                 return;
             }
-            reads.remove();
+            pendingReads.remove();
             state.outbox.emit(new ConsensusEffect.ReadConfirmed(read.readId()));
         }
     }
@@ -229,20 +229,20 @@
             return wantedRound <= round;
         }
         Progress peer = progress.get(voter.memberId());
-        return peer != null && isCounted(voter, peer.incarnation) && peer.ackedRound >= wantedRound;
+        return peer != null && isCurrentIncarnation(voter, peer.incarnation) && peer.ackedRound >= wantedRound;
     }
 
-    private boolean hearsMajority(long nowMs) {
-        long oldestMs = nowMs - 2 * state.times.electionTimeoutMs();
+    private boolean hasMajorityContact(long nowMs) {
+        long oldestMs = nowMs - 2 * state.parameters.electionTimeoutMs();
         return state.log.membership().isMajority(voter -> {
             Progress peer = progress.get(voter.memberId());
-            return voter.memberId().equals(state.selfId) || (peer != null && peer.lastHeardMs >= oldestMs);
+            return voter.memberId().equals(state.selfId) || (peer != null && peer.lastContactMs >= oldestMs);
         });
     }
 
-    private void send(Progress peer, boolean evenIfEmpty) {
+    private void replicateTo(Progress peer, boolean evenIfEmpty) {
         long nowMs = state.nowMs();
-        boolean waiting = peer.isWaiting(nowMs);
+        boolean waiting = peer.hasRequestInFlight(nowMs);
         if (peer.nextIndex <= state.log.baseIndex()) {
             if (!waiting) {
                 sendSnapshot(peer, nowMs);
@@ -255,10 +255,10 @@
                 sendAppend(peer, peer.matchIndex >= state.log.baseIndex() ? peer.matchIndex : 0, List.of());
             }
         } else {
-            List<LogRecord> records = state.log.from(peer.nextIndex, state.times.batchBytes());
+            List<LogRecord> records = state.log.batchFrom(peer.nextIndex, state.parameters.batchBytes());
             if (!records.isEmpty()) {
                 peer.inFlightIndex = records.get(records.size() - 1).index();
-                peer.inFlightUntilMs = nowMs + state.times.electionTimeoutMs();
+                peer.inFlightDeadlineMs = nowMs + state.parameters.electionTimeoutMs();
             }
             if (!records.isEmpty() || evenIfEmpty) {
                 sendAppend(peer, peer.nextIndex - 1, records);
@@ -268,7 +268,7 @@
 
     private void sendSnapshot(Progress peer, long nowMs) {
         peer.snapshotInFlight = true;
-        peer.inFlightUntilMs = nowMs + 10 * state.times.electionTimeoutMs();
+        peer.inFlightDeadlineMs = nowMs + 10 * state.parameters.electionTimeoutMs();
         state.outbox.emit(new ConsensusEffect.Send(
                 peer.memberId, new Message.SnapshotRequest(state.term(), state.selfId, state.log.snapshot())));
     }
@@ -282,19 +282,20 @@
     }
 
     /** The next single step towards a membership in which every member that answers may vote. */
-    private Optional<Membership> neededMembership(long nowMs) {
+    private Optional<Membership> nextMembershipChange(long nowMs) {
         if (!isReady() || state.log.membershipIndex() > state.commitIndex()) {
             return Optional.empty();
         }
         Membership present = state.log.membership();
         for (Progress peer : progress.values()) {
             Member member = present.find(peer.memberId).orElseThrow();
-            boolean answers = peer.incarnation != 0 && nowMs - peer.lastHeardMs <= state.times.electionTimeoutMs();
+            boolean answers =
+                    peer.incarnation != 0 && nowMs - peer.lastContactMs <= state.parameters.electionTimeoutMs();
             if (answers && member.voting() && member.incarnation() != peer.incarnation) {
-                return Optional.of(present.with(new Member(peer.memberId, peer.incarnation, false)));
+                return Optional.of(present.withMember(new Member(peer.memberId, peer.incarnation, false)));
             }
             if (answers && !member.voting() && peer.matchIndex >= state.commitIndex()) {
-                return Optional.of(present.with(new Member(peer.memberId, peer.incarnation, true)));
+                return Optional.of(present.withMember(new Member(peer.memberId, peer.incarnation, true)));
             }
         }
         return state.log.membershipIndex() == 0 ? Optional.of(present) : Optional.empty();
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Membership.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Membership.java
@@ -50,7 +50,7 @@
     }
 
     /** This membership with one member replaced, or added, by name. */
-    public Membership with(Member changed) {
+    public Membership withMember(Member changed) {
         List<Member> next = new ArrayList<>(members);
         next.removeIf(member -> member.memberId().equals(changed.memberId()));
         next.add(changed);
@@ -58,7 +58,7 @@
     }
 
     /** How many voters come or go between two memberships; majorities of both meet when it is at most one. */
-    public int votersChangedTo(Membership next) {
+    public int countVoterChanges(Membership next) {
         Set<Member> before = Set.copyOf(voters());
         Set<Member> after = Set.copyOf(next.voters());
         Set<Member> changed = new HashSet<>(before);
--- a/core/src/main/java/org/hornbeamspread/core/consensus/MemoryLog.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/MemoryLog.java
@@ -15,7 +15,7 @@
     private long baseTerm;
 
     /** The members that the log was formed with; in force until a record or a snapshot sets others. */
-    private Membership formed;
+    private Membership initialMembership;
 
     private Membership membership;
 
@@ -27,8 +27,8 @@
         this.snapshot = stored.snapshot();
         this.baseIndex = stored.baseIndex();
         this.baseTerm = stored.baseTerm();
-        this.formed = stored.formed().orElse(Membership.NONE);
-        findMembership();
+        this.initialMembership = stored.initialMembership().orElse(Membership.NONE);
+        recomputeMembership();
     }
 
     long baseIndex() {
@@ -67,7 +67,7 @@
                 return set.get();
             }
         }
-        return snapshot.lastIndex() > 0 ? snapshot.membership() : formed;
+        return snapshot.lastIndex() > 0 ? snapshot.membership() : initialMembership;
     }
 
     /** Whether the log has a record, or its base, at an index with this term. */
@@ -85,25 +85,25 @@
     }
 
     /** The records from an index on, at least one if there are any, up to about so many bytes. */
-    List<LogRecord> from(long index, int maxBytes) {
+    List<LogRecord> batchFrom(long index, int maxBytes) {
         long bytes = 0;
         long end = index;
         while (end <= lastIndex() && (end == index || bytes < maxBytes)) {
             bytes += get(end).payload().sizeBytes();
             end++;
         }
-        return between(index, end - 1);
+        return recordsBetween(index, end - 1);
     }
 
     /** The records from one index to another, both included. */
-    List<LogRecord> between(long first, long last) {
+    List<LogRecord> recordsBetween(long first, long last) {
         return first > last
                 ? List.of()
                 : List.copyOf(records.subList((int) (first - baseIndex - 1), (int) (last - baseIndex)));
     }
 
     /** The first index of the run of records that have the term at {@code index}. */
-    long firstOfTermAt(long index) {
+    long firstIndexOfTermAt(long index) {
         long term = termAt(index);
         long first = index;
         while (first - 1 > baseIndex && termAt(first - 1) == term) {
@@ -124,13 +124,13 @@
     void truncateFrom(long index) {
         records.subList((int) (index - baseIndex - 1), records.size()).clear();
         if (membershipIndex >= index) {
-            findMembership();
+            recomputeMembership();
         }
     }
 
-    void form(Membership members) {
-        formed = members;
-        findMembership();
+    void setInitialMembership(Membership members) {
+        initialMembership = members;
+        recomputeMembership();
     }
 
     /** Takes a newer snapshot of applied records, and keeps some records before it. */
@@ -153,10 +153,10 @@
             baseTerm = received.lastTerm();
             snapshot = received;
         }
-        findMembership();
+        recomputeMembership();
     }
 
-    private void findMembership() {
+    private void recomputeMembership() {
         for (int i = records.size() - 1; i >= 0 && records.get(i).index() > snapshot.lastIndex(); i--) {
             Optional<Membership> set = records.get(i).membership();
             if (set.isPresent()) {
@@ -165,7 +165,7 @@
                 return;
             }
         }
-        membership = snapshot.lastIndex() > 0 ? snapshot.membership() : formed;
+        membership = snapshot.lastIndex() > 0 ? snapshot.membership() : initialMembership;
         membershipIndex = snapshot.lastIndex();
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Message.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Message.java
@@ -111,7 +111,8 @@
      * @param askedBy the asker's incarnation
      * @param formed the members that the log was formed with; none when the answerer doesn't know
      */
-    record IntroduceResponse(String memberId, long incarnation, boolean blank, long askedBy, Membership formed)
+    record IntroduceResponse(
+            String memberId, long incarnation, boolean blank, long askedBy, Membership initialMembership)
             implements Message {
         @Override
         public long term() {
--- a/core/src/main/java/org/hornbeamspread/core/consensus/NodeState.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/NodeState.java
@@ -9,7 +9,7 @@
 final class NodeState {
     final String selfId;
     final long incarnation;
-    final ConsensusTimes times;
+    final ConsensusParameters parameters;
     final MemoryLog log;
     final Outbox outbox;
     private final Set<ConsensusRule> rules;
@@ -18,20 +18,20 @@
     private Optional<String> votedFor;
     private long commitIndex;
 
-    NodeState(String selfId, StoredState stored, ConsensusTimes times, Set<ConsensusRule> rules, Clock clock) {
+    NodeState(String selfId, StoredState stored, ConsensusParameters times, Set<ConsensusRule> rules, Clock clock) {
         this.selfId = selfId;
         this.incarnation = stored.incarnation();
-        this.times = times;
+        this.parameters = times;
         this.rules = Set.copyOf(rules);
         this.clock = clock;
         this.log = new MemoryLog(stored);
-        this.outbox = new Outbox(has(ConsensusRule.SYNC_BEFORE_ANSWER), log.lastIndex());
+        this.outbox = new Outbox(isEnabled(ConsensusRule.SYNC_BEFORE_ANSWER), log.lastIndex());
         this.term = stored.term();
         this.votedFor = stored.votedFor();
         this.commitIndex = stored.snapshot().lastIndex();
     }
 
-    boolean has(ConsensusRule rule) {
+    boolean isEnabled(ConsensusRule rule) {
         return rules.contains(rule);
     }
 
@@ -52,7 +52,7 @@
     }
 
     /** Moves to a later term, or votes in the present one. */
-    void vote(long newTerm, Optional<String> candidateId) {
+    void setTermAndVote(long newTerm, Optional<String> candidateId) {
         term = newTerm;
         votedFor = candidateId;
         outbox.stageVote(newTerm, candidateId);
@@ -60,7 +60,7 @@
 
     /** Whether an incarnation's votes and copies count. */
     boolean isVoter(String memberId, long memberIncarnation) {
-        if (has(ConsensusRule.COUNT_INCARNATION)) {
+        if (isEnabled(ConsensusRule.COUNT_INCARNATION)) {
             return log.membership().isVoter(memberId, memberIncarnation);
         }
         return log.membership().find(memberId).filter(Member::voting).isPresent();
@@ -73,7 +73,7 @@
     /** Commits up to an index and has it applied. */
     void commitTo(long index) {
         if (index > commitIndex) {
-            List<LogRecord> committed = log.between(commitIndex + 1, index);
+            List<LogRecord> committed = log.recordsBetween(commitIndex + 1, index);
             commitIndex = index;
             outbox.emit(new ConsensusEffect.Apply(committed));
         }
@@ -84,7 +84,7 @@
         boolean keepsRecords = log.matches(snapshot.lastIndex(), snapshot.lastTerm());
         log.install(snapshot);
         if (!keepsRecords) {
-            outbox.truncatedFrom(1);
+            outbox.onTruncated(1);
         }
         outbox.stageRewrite(log);
         commitIndex = snapshot.lastIndex();
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Outbox.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Outbox.java
@@ -11,16 +11,16 @@
  * what answers for it is held until that persist is synced. So one sync covers all the steps in between.
  */
 final class Outbox {
-    private final boolean syncFirst;
-    private final Deque<Held> held = new ArrayDeque<>();
-    private final Deque<Written> written = new ArrayDeque<>();
+    private final boolean requireSync;
+    private final Deque<HeldEffect> heldEffects = new ArrayDeque<>();
+    private final Deque<UnsyncedPersist> unsyncedPersists = new ArrayDeque<>();
     private List<ConsensusEffect> effects = new ArrayList<>();
     private long lastPersistId;
     private long syncedPersistId;
     private long votePersistId;
     private long syncedIndex;
 
-    private Optional<Membership> stagedFormed = Optional.empty();
+    private Optional<Membership> stagedInitialMembership = Optional.empty();
     private Optional<ConsensusEffect.StoredVote> stagedVote = Optional.empty();
     private Optional<ConsensusEffect.Rewrite> stagedRewrite = Optional.empty();
     private final List<LogRecord> stagedRecords = new ArrayList<>();
@@ -29,7 +29,7 @@
     private long stagedLastIndex;
 
     Outbox(boolean syncFirst, long syncedIndex) {
-        this.syncFirst = syncFirst;
+        this.requireSync = syncFirst;
         this.syncedIndex = syncedIndex;
         this.stagedLastIndex = syncedIndex;
     }
@@ -40,16 +40,16 @@
 
     /** Emits an effect once everything staged so far is synced. */
     void emitWhenSynced(ConsensusEffect effect) {
-        long needed = neededPersistId();
-        if (!syncFirst || needed <= syncedPersistId) {
+        long needed = requiredPersistId();
+        if (!requireSync || needed <= syncedPersistId) {
             effects.add(effect);
         } else {
-            held.add(new Held(needed, effect));
+            heldEffects.add(new HeldEffect(needed, effect));
         }
     }
 
-    void stageFormed(Membership members) {
-        stagedFormed = Optional.of(members);
+    void stageInitialMembership(Membership members) {
+        stagedInitialMembership = Optional.of(members);
     }
 
     void stageVote(long term, Optional<String> votedFor) {
@@ -63,27 +63,31 @@
     }
 
     /** The log was cut at an index; the disk learns of it by the record that takes its place. */
-    void truncatedFrom(long index) {
+    void onTruncated(long index) {
         syncedIndex = Math.min(syncedIndex, index - 1);
-        List<Written> entries = List.copyOf(written);
-        written.clear();
-        entries.forEach(entry -> written.add(new Written(entry.persistId(), Math.min(entry.lastIndex(), index - 1))));
+        List<UnsyncedPersist> entries = List.copyOf(unsyncedPersists);
+        unsyncedPersists.clear();
+        entries.forEach(entry ->
+                unsyncedPersists.add(new UnsyncedPersist(entry.persistId(), Math.min(entry.lastIndex(), index - 1))));
     }
 
     void stageRewrite(MemoryLog log) {
         stagedRecords.clear();
         stagedRewrite = Optional.of(new ConsensusEffect.Rewrite(
-                log.snapshot(), log.baseIndex(), log.baseTerm(), log.between(log.baseIndex() + 1, log.lastIndex())));
+                log.snapshot(),
+                log.baseIndex(),
+                log.baseTerm(),
+                log.recordsBetween(log.baseIndex() + 1, log.lastIndex())));
         stagedLastIndex = log.lastIndex();
     }
 
     /** What must be synced before anything that is decided now may be answered for. */
-    long neededPersistId() {
+    long requiredPersistId() {
         return isStaged() ? lastPersistId + 1 : lastPersistId;
     }
 
     boolean isSynced(long persistId) {
-        return !syncFirst || persistId <= syncedPersistId;
+        return !requireSync || persistId <= syncedPersistId;
     }
 
     /** Whether the latest term and vote are on the disk. */
@@ -93,16 +97,16 @@
 
     /** The last record on the disk, as far as the log was not cut since. */
     long syncedIndex() {
-        return syncFirst ? syncedIndex : stagedLastIndex;
+        return requireSync ? syncedIndex : stagedLastIndex;
     }
 
     void onSynced(long persistId) {
         syncedPersistId = Math.max(syncedPersistId, persistId);
-        while (!written.isEmpty() && written.peek().persistId() <= syncedPersistId) {
-            syncedIndex = Math.max(syncedIndex, written.remove().lastIndex());
+        while (!unsyncedPersists.isEmpty() && unsyncedPersists.peek().persistId() <= syncedPersistId) {
+            syncedIndex = Math.max(syncedIndex, unsyncedPersists.remove().lastIndex());
         }
-        while (!held.isEmpty() && held.peek().persistId() <= syncedPersistId) {
-            effects.add(held.remove().effect());
+        while (!heldEffects.isEmpty() && heldEffects.peek().persistId() <= syncedPersistId) {
+            effects.add(heldEffects.remove().effect());
         }
     }
 
@@ -110,11 +114,11 @@
         if (isStaged()) {
             lastPersistId++;
             if (!stagedRecords.isEmpty() || stagedRewrite.isPresent()) {
-                written.add(new Written(lastPersistId, stagedLastIndex));
+                unsyncedPersists.add(new UnsyncedPersist(lastPersistId, stagedLastIndex));
             }
-            effects.add(
-                    new ConsensusEffect.Persist(lastPersistId, stagedFormed, stagedVote, stagedRewrite, stagedRecords));
-            stagedFormed = Optional.empty();
+            effects.add(new ConsensusEffect.Persist(
+                    lastPersistId, stagedInitialMembership, stagedVote, stagedRewrite, stagedRecords));
+            stagedInitialMembership = Optional.empty();
             stagedVote = Optional.empty();
             stagedRewrite = Optional.empty();
             stagedRecords.clear();
@@ -125,15 +129,15 @@
     }
 
     private boolean isStaged() {
-        return stagedFormed.isPresent()
+        return stagedInitialMembership.isPresent()
                 || stagedVote.isPresent()
                 || stagedRewrite.isPresent()
                 || !stagedRecords.isEmpty();
     }
 
     /** An effect that waits for a persist. */
-    private record Held(long persistId, ConsensusEffect effect) {}
+    private record HeldEffect(long persistId, ConsensusEffect effect) {}
 
     /** How far the log reaches once a persist is synced. */
-    private record Written(long persistId, long lastIndex) {}
+    private record UnsyncedPersist(long persistId, long lastIndex) {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Progress.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Progress.java
@@ -16,24 +16,24 @@
     /** The latest round answered. */
     long ackedRound;
 
-    long lastHeardMs;
+    long lastContactMs;
 
     /** The last record of an append on its way; 0 when there is none. */
     long inFlightIndex;
 
     /** When the append or the snapshot on its way is given up. */
-    long inFlightUntilMs;
+    long inFlightDeadlineMs;
 
     boolean snapshotInFlight;
 
     Progress(String memberId, long nextIndex, long nowMs) {
         this.memberId = memberId;
         this.nextIndex = nextIndex;
-        this.lastHeardMs = nowMs;
+        this.lastContactMs = nowMs;
     }
 
-    boolean isWaiting(long nowMs) {
-        if (nowMs >= inFlightUntilMs) {
+    boolean hasRequestInFlight(long nowMs) {
+        if (nowMs >= inFlightDeadlineMs) {
             inFlightIndex = 0;
             snapshotInFlight = false;
         }
@@ -41,7 +41,7 @@
     }
 
     /** Forgets what another incarnation had. */
-    void restart(long newIncarnation, long newNextIndex) {
+    void reset(long newIncarnation, long newNextIndex) {
         incarnation = newIncarnation;
         nextIndex = newNextIndex;
         matchIndex = 0;
--- a/core/src/main/java/org/hornbeamspread/core/consensus/StoredState.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/StoredState.java
@@ -17,7 +17,7 @@
  */
 public record StoredState(
         long incarnation,
-        Optional<Membership> formed,
+        Optional<Membership> initialMembership,
         long term,
         Optional<String> votedFor,
         Snapshot snapshot,
--- a/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusInterleavingTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusInterleavingTest.java
@@ -23,7 +23,8 @@
         "1, 4001, 20, 4000, false",
         "3, 5001, 20, 40000, false"
     })
-    void noHistoryViolatesWithAllRules(int members, long firstSeed, int seeds, int steps, boolean anyMembers) {
+    void noHistoryViolatesAnInvariantWithAllRules(
+            int members, long firstSeed, int seeds, int steps, boolean anyMembers) {
         int disksLost = 0;
         int readsConfirmed = 0;
         long committed = 0;
@@ -32,7 +33,7 @@
             try {
                 run(harness, steps, anyMembers);
                 if (!anyMembers) {
-                    new RandomDriver(harness, false).settle();
+                    new RandomDriver(harness, false).healAndVerifyProgress();
                 }
             } catch (LogChecker.Violation | FailureException e) {
                 throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
@@ -55,17 +56,17 @@
         "COUNT_INCARNATION, false",
         "ONE_CHANGE_AT_A_TIME, true"
     })
-    void someHistoryViolatesWithoutTheRule(ConsensusRule rule, boolean anyMembers) {
+    void someHistoryViolatesAnInvariantWithoutTheRule(ConsensusRule rule, boolean anyMembers) {
         Set<ConsensusRule> rules = EnumSet.complementOf(EnumSet.of(rule));
         Optional<String> found = LongStream.rangeClosed(1, 2_000)
-                .mapToObj(seed -> violation(seed, rules, anyMembers))
+                .mapToObj(seed -> findViolation(seed, rules, anyMembers))
                 .<String>mapMulti(Optional::ifPresent)
                 .findFirst();
         System.out.println("without " + rule + ": " + found.orElse("nothing found"));
         assertWithMessage("without %s", rule).that(found).isPresent();
     }
 
-    private static Optional<String> violation(long seed, Set<ConsensusRule> rules, boolean anyMembers) {
+    private static Optional<String> findViolation(long seed, Set<ConsensusRule> rules, boolean anyMembers) {
         LogHarness harness = new LogHarness(3, seed, rules);
         try {
             run(harness, STEPS, anyMembers);
@@ -76,7 +77,7 @@
     }
 
     private static void run(LogHarness harness, int steps, boolean anyMembers) {
-        harness.formed();
+        harness.awaitBootstrap();
         new RandomDriver(harness, anyMembers).run(steps);
     }
 }
--- a/core/src/test/java/org/hornbeamspread/core/consensus/DiskModel.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/DiskModel.java
@@ -23,7 +23,7 @@
     }
 
     void write(ConsensusEffect.Persist persist) {
-        formed = persist.formed().or(() -> formed);
+        formed = persist.initialMembership().or(() -> formed);
         vote = persist.vote().orElse(vote);
         persist.rewrite().ifPresent(rewrite -> {
             snapshot = rewrite.snapshot();
--- a/core/src/test/java/org/hornbeamspread/core/consensus/LogChecker.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/LogChecker.java
@@ -7,12 +7,12 @@
 /** What must hold in every history of a log. */
 final class LogChecker {
     /** Who led each term. */
-    private final Map<Long, String> leaders = new HashMap<>();
+    private final Map<Long, String> leaderByTerm = new HashMap<>();
 
-    private final Map<Long, LogRecord> committed = new HashMap<>();
+    private final Map<Long, LogRecord> committedByIndex = new HashMap<>();
 
     /** The state after each committed index. */
-    private final Map<Long, Long> states = new HashMap<>();
+    private final Map<Long, Long> stateByIndex = new HashMap<>();
 
     private long lastCommitted;
     private Optional<Membership> committedMembership = Optional.empty();
@@ -27,16 +27,16 @@
     }
 
     void onLeader(long term, String leader) {
-        String first = leaders.putIfAbsent(term, leader);
+        String first = leaderByTerm.putIfAbsent(term, leader);
         require(first == null || first.equals(leader), "term " + term + " has leaders " + first + " and " + leader);
     }
 
     void onApply(LogRecord record, long state) {
-        LogRecord first = committed.putIfAbsent(record.index(), record);
+        LogRecord first = committedByIndex.putIfAbsent(record.index(), record);
         require(
                 first == null || first.equals(record),
                 "index " + record.index() + " was " + first + " and became " + record);
-        states.put(record.index(), state);
+        stateByIndex.put(record.index(), state);
         if (record.index() > lastCommitted) {
             require(record.index() == lastCommitted + 1, "index " + record.index() + " applied before those in front");
             lastCommitted = record.index();
@@ -45,7 +45,7 @@
     }
 
     void onRestore(long index, long state) {
-        Long known = states.get(index);
+        Long known = stateByIndex.get(index);
         require(known != null && known == state, "a snapshot at " + index + " differs from what was committed");
     }
 
--- a/core/src/test/java/org/hornbeamspread/core/consensus/LogHarness.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/LogHarness.java
@@ -22,13 +22,13 @@
     final SplittableRandom random;
     final LogChecker checker = new LogChecker();
     final Map<String, Host> hosts = new TreeMap<>();
-    final List<Packet> network = new ArrayList<>();
-    final Set<String> cutOff = new HashSet<>();
+    final List<Packet> packetsInFlight = new ArrayList<>();
+    final Set<String> isolated = new HashSet<>();
     private final Set<ConsensusRule> rules;
-    private final ConsensusTimes times;
+    private final ConsensusParameters times;
     private final List<String> initialIds;
-    private final Map<Long, String> requesters = new HashMap<>();
-    private final Map<Long, Long> readsAsked = new HashMap<>();
+    private final Map<Long, String> requesterByReplyId = new HashMap<>();
+    private final Map<Long, Long> committedAtReadStart = new HashMap<>();
     private long nextId = 1;
     int readsConfirmed;
     int disksLost;
@@ -38,7 +38,7 @@
         this.rules = rules;
         // By odd seeds a record travels alone, so that histories can part between any two.
         int batchBytes = seed % 2 == 1 ? 1 : 1 << 16;
-        this.times = new ConsensusTimes(ELECTION_TIMEOUT_MS, HEARTBEAT_MS, batchBytes, 64, 4);
+        this.times = new ConsensusParameters(ELECTION_TIMEOUT_MS, HEARTBEAT_MS, batchBytes, 64, 4);
         this.initialIds = new ArrayList<>();
         for (int i = 1; i <= members; i++) {
             initialIds.add("c" + i);
@@ -56,8 +56,8 @@
     }
 
     /** Up to a leader whose membership is recorded. */
-    LogHarness formed() {
-        settleUntil(() -> checker.committedMembership().isPresent() && leader().isPresent());
+    LogHarness awaitBootstrap() {
+        runUntil(() -> checker.committedMembership().isPresent() && leader().isPresent());
         return this;
     }
 
@@ -70,29 +70,29 @@
     }
 
     /** Runs without faults until something holds; fails when it does not come. */
-    void settleUntil(java.util.function.BooleanSupplier reached) {
+    void runUntil(java.util.function.BooleanSupplier reached) {
         for (int round = 0; round < 2_000; round++) {
             if (reached.getAsBoolean()) {
                 return;
             }
-            runFairly();
+            runFaultFreeRound();
         }
         throw new LogChecker.Violation("the log does not get on");
     }
 
     /** One round in which time passes and every message and disk gets through. */
-    void runFairly() {
+    void runFaultFreeRound() {
         clock.advance(Duration.ofMillis(5));
         hosts.values().forEach(Host::tick);
-        List<Packet> packets = List.copyOf(network);
-        network.clear();
+        List<Packet> packets = List.copyOf(packetsInFlight);
+        packetsInFlight.clear();
         packets.forEach(this::deliver);
-        hosts.values().forEach(host -> host.sync(host.unsynced.size()));
+        hosts.values().forEach(host -> host.sync(host.unsyncedPersists.size()));
     }
 
     void runFor(Duration time) {
         for (long ms = 0; ms < time.toMillis(); ms += 5) {
-            runFairly();
+            runFaultFreeRound();
         }
     }
 
@@ -103,7 +103,7 @@
     }
 
     void healAll() {
-        cutOff.clear();
+        isolated.clear();
         hosts.values().forEach(Host::start);
     }
 
@@ -115,11 +115,11 @@
         if (!rules.contains(ConsensusRule.COUNT_INCARNATION)) {
             return hosts.values().stream().allMatch(host -> host.applied == checker.lastCommitted());
         }
-        return isWhole();
+        return isEveryMemberVoter();
     }
 
     /** Whether the log names the present incarnation of every member as a voter. */
-    boolean isWhole() {
+    boolean isEveryMemberVoter() {
         return checker.committedMembership()
                 .map(members ->
                         hosts.values().stream().allMatch(host -> members.isVoter(host.id, host.disk.incarnation())))
@@ -127,7 +127,7 @@
     }
 
     private boolean isReachable(String id) {
-        return !cutOff.contains(id);
+        return !isolated.contains(id);
     }
 
     /** A message on its way; the reply id is 0 in a response. */
@@ -143,7 +143,7 @@
         boolean ready;
         long applied;
         long state;
-        final List<ConsensusEffect.Persist> unsynced = new ArrayList<>();
+        final List<ConsensusEffect.Persist> unsyncedPersists = new ArrayList<>();
         final Set<Long> refused = new HashSet<>();
 
         Host(String id) {
@@ -168,9 +168,9 @@
         /** Stops; of what was not reported synced, a first part may be on the disk all the same. */
         void crash() {
             if (up) {
-                int kept = random.nextInt(unsynced.size() + 1);
-                unsynced.subList(0, kept).forEach(disk::write);
-                unsynced.clear();
+                int kept = random.nextInt(unsyncedPersists.size() + 1);
+                unsyncedPersists.subList(0, kept).forEach(disk::write);
+                unsyncedPersists.clear();
                 up = false;
                 leads = false;
                 ready = false;
@@ -189,7 +189,7 @@
 
         void receive(Packet packet) {
             long replyId = nextId++;
-            requesters.put(replyId, packet.from());
+            requesterByReplyId.put(replyId, packet.from());
             step(new ConsensusEvent.Received(packet.message(), replyId));
         }
 
@@ -202,7 +202,7 @@
 
         void read() {
             long readId = nextId++;
-            readsAsked.put(readId, checker.lastCommitted());
+            committedAtReadStart.put(readId, checker.lastCommitted());
             step(new ConsensusEvent.Read(readId));
         }
 
@@ -214,8 +214,8 @@
 
         /** Syncs the first persists and reports them. */
         void sync(int count) {
-            for (int i = 0; i < count && up && !unsynced.isEmpty(); i++) {
-                ConsensusEffect.Persist first = unsynced.remove(0);
+            for (int i = 0; i < count && up && !unsyncedPersists.isEmpty(); i++) {
+                ConsensusEffect.Persist first = unsyncedPersists.remove(0);
                 disk.write(first);
                 step(new ConsensusEvent.Synced(first.persistId()));
             }
@@ -228,18 +228,18 @@
         private void step(ConsensusEvent event) {
             if (up) {
                 node.step(event);
-                carryOut(node.drain());
+                execute(node.drain());
             }
         }
 
-        private void carryOut(List<ConsensusEffect> effects) {
+        private void execute(List<ConsensusEffect> effects) {
             for (ConsensusEffect effect : effects) {
                 if (effect instanceof ConsensusEffect.Send send) {
-                    network.add(new Packet(id, send.toMemberId(), send.message()));
+                    packetsInFlight.add(new Packet(id, send.toMemberId(), send.message()));
                 } else if (effect instanceof ConsensusEffect.Reply reply) {
-                    network.add(new Packet(id, requesters.get(reply.replyId()), reply.message()));
+                    packetsInFlight.add(new Packet(id, requesterByReplyId.get(reply.replyId()), reply.message()));
                 } else if (effect instanceof ConsensusEffect.Persist persist) {
-                    unsynced.add(persist);
+                    unsyncedPersists.add(persist);
                 } else if (effect instanceof ConsensusEffect.Apply apply) {
                     apply.records().forEach(this::apply);
                 } else if (effect instanceof ConsensusEffect.Restore restore) {
@@ -248,8 +248,8 @@
                     onLeadership(changed);
                 } else if (effect instanceof ConsensusEffect.ReadConfirmed confirmed) {
                     readsConfirmed++;
-                    checker.onRead(applied, readsAsked.get(confirmed.readId()));
-                } else if (effect instanceof ConsensusEffect.MembershipNeeded needed) {
+                    checker.onRead(applied, committedAtReadStart.get(confirmed.readId()));
+                } else if (effect instanceof ConsensusEffect.MembershipChangeNeeded needed) {
                     propose(Optional.of(needed.membership()));
                 } else if (effect instanceof ConsensusEffect.ProposalRefused proposal) {
                     refused.add(proposal.proposalId());
--- a/core/src/test/java/org/hornbeamspread/core/consensus/RandomDriver.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/RandomDriver.java
@@ -11,69 +11,69 @@
 
     private final LogHarness harness;
     private final SplittableRandom random;
-    private final boolean anyMembers;
+    private final boolean arbitraryMemberships;
 
     /** With {@code anyMembers} it also proposes memberships that no operator should. */
     RandomDriver(LogHarness harness, boolean anyMembers) {
         this.harness = harness;
         this.random = harness.random;
-        this.anyMembers = anyMembers;
+        this.arbitraryMemberships = anyMembers;
     }
 
     void run(int steps) {
         for (int i = 0; i < steps; i++) {
-            act(random.nextInt(1_000));
-            while (harness.network.size() > MAX_PACKETS) {
-                harness.network.remove(random.nextInt(harness.network.size()));
+            performAction(random.nextInt(1_000));
+            while (harness.packetsInFlight.size() > MAX_PACKETS) {
+                harness.packetsInFlight.remove(random.nextInt(harness.packetsInFlight.size()));
             }
         }
     }
 
     /** Ends all faults and asks that the log gets on everywhere. */
-    void settle() {
+    void healAndVerifyProgress() {
         harness.healAll();
-        harness.settleUntil(() -> harness.leader().isPresent() && harness.isWhole());
+        harness.runUntil(() -> harness.leader().isPresent() && harness.isEveryMemberVoter());
         long before = harness.checker.lastCommitted();
         harness.leader().orElseThrow().propose(Optional.empty());
-        harness.settleUntil(() -> harness.checker.lastCommitted() > before
+        harness.runUntil(() -> harness.checker.lastCommitted() > before
                 && harness.hosts.values().stream().allMatch(host -> host.applied >= before + 1));
     }
 
-    private void act(int dice) {
+    private void performAction(int dice) {
         if (dice < 480) {
             deliver();
         } else if (dice < 700) {
-            LogHarness.Host host = any();
+            LogHarness.Host host = randomHost();
             host.sync(1 + random.nextInt(3));
         } else if (dice < 860) {
             harness.clock.advance(Duration.ofMillis(random.nextInt(12)));
-            any().tick();
+            randomHost().tick();
         } else if (dice < 915) {
             propose();
         } else if (dice < 930) {
-            any().read();
+            randomHost().read();
         } else if (dice < 934) {
-            any().crash();
+            randomHost().crash();
         } else if (dice < 974) {
-            any().start();
+            randomHost().start();
         } else if (dice < 984) {
-            cut();
+            isolate();
         } else if (dice < 994) {
-            any().snapshot();
+            randomHost().snapshot();
         } else {
             loseDisk();
         }
     }
 
     private void deliver() {
-        if (harness.network.isEmpty()) {
+        if (harness.packetsInFlight.isEmpty()) {
             return;
         }
-        int chosen = random.nextInt(harness.network.size());
-        LogHarness.Packet packet = harness.network.get(chosen);
+        int chosen = random.nextInt(harness.packetsInFlight.size());
+        LogHarness.Packet packet = harness.packetsInFlight.get(chosen);
         int fate = random.nextInt(100);
         if (fate >= 10) {
-            harness.network.remove(chosen);
+            harness.packetsInFlight.remove(chosen);
         }
         if (fate < 92) {
             harness.deliver(packet);
@@ -84,13 +84,14 @@
         LogHarness.Host host = harness.hosts.values().stream()
                 .filter(candidate -> candidate.leads)
                 .findAny()
-                .orElseGet(this::any);
-        Optional<Membership> members =
-                anyMembers && random.nextInt(4) == 0 && host.up ? Optional.of(someMembers(host)) : Optional.empty();
+                .orElseGet(this::randomHost);
+        Optional<Membership> members = arbitraryMemberships && random.nextInt(4) == 0 && host.up
+                ? Optional.of(randomMembership(host))
+                : Optional.empty();
         host.propose(members);
     }
 
-    private Membership someMembers(LogHarness.Host host) {
+    private Membership randomMembership(LogHarness.Host host) {
         List<Member> members = host.node.membership().members().stream()
                 .map(member -> new Member(member.memberId(), member.incarnation(), random.nextBoolean()))
                 .toList();
@@ -98,20 +99,20 @@
         return some.isWellFormed() ? some : host.node.membership();
     }
 
-    private void cut() {
-        harness.cutOff.clear();
+    private void isolate() {
+        harness.isolated.clear();
         if (random.nextInt(3) == 0) {
-            harness.cutOff.add(any().id);
+            harness.isolated.add(randomHost().id);
         }
     }
 
     private void loseDisk() {
         if (harness.mayLoseDisk()) {
-            any().loseDisk();
+            randomHost().loseDisk();
         }
     }
 
-    private LogHarness.Host any() {
+    private LogHarness.Host randomHost() {
         List<LogHarness.Host> hosts = List.copyOf(harness.hosts.values());
         return hosts.get(random.nextInt(hosts.size()));
     }
