--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
@@ -19,8 +19,8 @@
 import org.hornbeamspread.core.misc.FailureType;
 import org.hornbeamspread.core.route.DatabaseInstance;
 import org.hornbeamspread.core.route.InstanceRegistry;
+import org.hornbeamspread.core.route.InstanceRegistry.AnnouncementStatus;
 import org.hornbeamspread.core.route.InstanceRegistry.Departure;
-import org.hornbeamspread.core.route.InstanceRegistry.Verdict;
 import org.hornbeamspread.protocol.schema.ChangeInstances;
 import org.hornbeamspread.protocol.schema.ControlCommand;
 import org.hornbeamspread.protocol.schema.ControlMember;
@@ -193,8 +193,8 @@
     }
 
     private CompletableFuture<Void> commitAnnouncement(DatabaseInstance instance) {
-        Verdict verdict = registry.judge(instance);
-        if (verdict == Verdict.OUTDATED) {
+        AnnouncementStatus verdict = registry.classify(instance);
+        if (verdict == AnnouncementStatus.OUTDATED) {
             events.record(
                     "announcement_outdated",
                     "instance",
@@ -208,7 +208,7 @@
         if (heard.onAnnounced(instance.instanceId())) {
             publish(published.get());
         }
-        if (verdict == Verdict.UNCHANGED) {
+        if (verdict == AnnouncementStatus.UNCHANGED) {
             return CompletableFuture.completedFuture(null);
         }
         return commit(ChangeInstances.newBuilder()
--- a/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
+++ b/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
@@ -204,7 +204,7 @@
     private Optional<FailureException> changeInstances(ChangeInstances change) {
         change.getAnnouncedList().forEach(announced -> instances.announce(RouteMessages.instance(announced)));
         change.getDepartedList().forEach(departed -> instances.depart(RouteMessages.departure(departed)));
-        instances.recover(
+        instances.markRecovered(
                 change.getRecoveredList().stream().map(RouteMessages::lostCopy).toList());
         return Optional.empty();
     }
--- a/core/src/main/java/org/hornbeamspread/core/route/DatabaseInstance.java
+++ b/core/src/main/java/org/hornbeamspread/core/route/DatabaseInstance.java
@@ -26,7 +26,7 @@
         long bornMs,
         long sequence) {
     /** Whether this announcement tells the same, but for its sequence. */
-    public boolean tellsTheSameAs(DatabaseInstance other) {
+    public boolean equalsIgnoringSequence(DatabaseInstance other) {
         return equals(new DatabaseInstance(
                 other.instanceId,
                 other.service,
--- a/core/src/main/java/org/hornbeamspread/core/route/InstanceRegistry.java
+++ b/core/src/main/java/org/hornbeamspread/core/route/InstanceRegistry.java
@@ -22,18 +22,19 @@
  */
 public final class InstanceRegistry {
     /** Departures remembered; twice the databases of the largest group that leave at once. */
-    private static final int REMEMBERED_DEPARTURES = 1_024;
+    private static final int MAX_RETAINED_DEPARTURES = 1_024;
 
     private final NavigableMap<String, DatabaseInstance> instances = new TreeMap<>();
     private final Deque<Departure> departures = new ArrayDeque<>();
 
     /** The latest incarnation that ended at each place. */
-    private final NavigableMap<Place, LostCopy> lostCopies = new TreeMap<>(Comparator.comparing(Place::service)
-            .thenComparing(place -> place.address().host())
-            .thenComparingInt(place -> place.address().port()));
+    private final NavigableMap<ServiceAddress, LostCopy> lostCopies =
+            new TreeMap<>(Comparator.comparing(ServiceAddress::service)
+                    .thenComparing(place -> place.address().host())
+                    .thenComparingInt(place -> place.address().port()));
 
     /** What an announcement is to the registry. */
-    public enum Verdict {
+    public enum AnnouncementStatus {
         /** Older than what is known; ignored. */
         OUTDATED,
         /** Nothing new but its sequence. */
@@ -46,36 +47,36 @@
     public record Departure(String instanceId, long bornMs) {}
 
     /** Compares an announcement to what is known, without taking it. */
-    public Verdict judge(DatabaseInstance announced) {
+    public AnnouncementStatus classify(DatabaseInstance announced) {
         boolean departed = departures.stream()
                 .anyMatch(departure -> departure.instanceId().equals(announced.instanceId())
                         && departure.bornMs() >= announced.bornMs());
-        if (departed || isAddressTakenLater(announced)) {
-            return Verdict.OUTDATED;
+        if (departed || isAddressHeldByLaterInstance(announced)) {
+            return AnnouncementStatus.OUTDATED;
         }
         DatabaseInstance known = instances.get(announced.instanceId());
         if (known == null) {
-            return Verdict.NEW;
+            return AnnouncementStatus.NEW;
         }
         boolean older = announced.bornMs() < known.bornMs()
                 || (announced.bornMs() == known.bornMs() && announced.sequence() < known.sequence());
         if (older) {
-            return Verdict.OUTDATED;
+            return AnnouncementStatus.OUTDATED;
         }
-        return announced.tellsTheSameAs(known) ? Verdict.UNCHANGED : Verdict.NEW;
+        return announced.equalsIgnoringSequence(known) ? AnnouncementStatus.UNCHANGED : AnnouncementStatus.NEW;
     }
 
     /** Takes an announcement unless it is outdated; drops what its address belonged to before. */
     public void announce(DatabaseInstance announced) {
-        if (judge(announced) == Verdict.OUTDATED) {
+        if (classify(announced) == AnnouncementStatus.OUTDATED) {
             return;
         }
         List<DatabaseInstance> ended = instances.values().stream()
-                .filter(known -> endsWith(known, announced))
+                .filter(known -> isEndedBy(known, announced))
                 .toList();
         ended.forEach(known -> {
             instances.remove(known.instanceId());
-            lose(LostCopy.of(known));
+            addLostCopy(LostCopy.of(known));
         });
         instances.put(announced.instanceId(), announced);
     }
@@ -85,10 +86,10 @@
         DatabaseInstance known = instances.get(departure.instanceId());
         if (known != null && known.bornMs() <= departure.bornMs()) {
             instances.remove(departure.instanceId());
-            lose(LostCopy.of(known));
+            addLostCopy(LostCopy.of(known));
         }
         departures.addLast(departure);
-        if (departures.size() > REMEMBERED_DEPARTURES) {
+        if (departures.size() > MAX_RETAINED_DEPARTURES) {
             departures.removeFirst();
         }
     }
@@ -114,7 +115,7 @@
     }
 
     /** Drops exactly these; a later incarnation that ended at the same address stays. */
-    public void recover(Collection<LostCopy> recovered) {
+    public void markRecovered(Collection<LostCopy> recovered) {
         lostCopies.values().removeAll(recovered);
     }
 
@@ -125,24 +126,24 @@
         departures.clear();
         departures.addAll(departed);
         lostCopies.clear();
-        lost.forEach(this::lose);
+        lost.forEach(this::addLostCopy);
     }
 
-    private void lose(LostCopy copy) {
+    private void addLostCopy(LostCopy copy) {
         lostCopies.merge(
-                new Place(copy.service(), copy.address()),
+                new ServiceAddress(copy.service(), copy.address()),
                 copy,
                 (present, ended) -> ended.bornMs() < present.bornMs() ? present : ended);
     }
 
     /** Whether what is known has ended when this announcement is taken: it started again, or another has its address. */
-    private static boolean endsWith(DatabaseInstance known, DatabaseInstance announced) {
+    private static boolean isEndedBy(DatabaseInstance known, DatabaseInstance announced) {
         return known.instanceId().equals(announced.instanceId())
                 ? known.bornMs() < announced.bornMs()
                 : known.address().equals(announced.address());
     }
 
-    private boolean isAddressTakenLater(DatabaseInstance announced) {
+    private boolean isAddressHeldByLaterInstance(DatabaseInstance announced) {
         return instances.values().stream()
                 .anyMatch(other -> !other.instanceId().equals(announced.instanceId())
                         && other.address().equals(announced.address())
@@ -150,5 +151,5 @@
     }
 
     /** An address of a service. */
-    private record Place(String service, Address address) {}
+    private record ServiceAddress(String service, Address address) {}
 }
--- a/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusNodeTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusNodeTest.java
@@ -72,7 +72,7 @@
 
     /** All members lose power: a leader is back within three heartbeats. */
     @Test
-    void membersThatRestartTogetherElectALeaderWithinThreeHeartbeats() {
+    void membersThatRestartTogetherElectALeaderWithinThreeHeartbeatsOnAverage() {
         long totalMs = 0;
         for (long seed = 1; seed <= 50; seed++) {
             LogHarness harness = new LogHarness(3, seed, EnumSet.allOf(ConsensusRule.class)).awaitBootstrap();
--- a/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
@@ -378,7 +378,7 @@
             unsettledChoices = Set.of();
             failover.logDone(true);
         } else if (effect instanceof SyncFailoverEffect.Recover recover) {
-            registry.recover(recover.copies());
+            registry.markRecovered(recover.copies());
         } else if (effect instanceof SyncFailoverEffect.Promote promote) {
             order(promote);
         } else if (effect instanceof SyncFailoverEffect.AskStatus ask) {
--- a/core/src/test/java/org/hornbeamspread/core/route/InstanceRegistryTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/route/InstanceRegistryTest.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 import org.hornbeamspread.core.membership.Address;
+import org.hornbeamspread.core.route.InstanceRegistry.AnnouncementStatus;
 import org.hornbeamspread.core.route.InstanceRegistry.Departure;
-import org.hornbeamspread.core.route.InstanceRegistry.Verdict;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
@@ -21,29 +21,34 @@
 
     @ParameterizedTest
     @MethodSource("announcements")
-    void announcementsAreOrderedByBirthAndSequence(String name, DatabaseInstance announced, Verdict verdict) {
+    void announcementsAreOrderedByStartTimeAndSequence(
+            String name, DatabaseInstance announced, AnnouncementStatus verdict) {
         registry.announce(KNOWN);
 
-        assertThat(registry.judge(announced)).isEqualTo(verdict);
+        assertThat(registry.classify(announced)).isEqualTo(verdict);
         registry.announce(announced);
 
-        boolean taken = verdict != Verdict.OUTDATED;
+        boolean taken = verdict != AnnouncementStatus.OUTDATED;
         assertThat(registry.all().contains(announced)).isEqualTo(taken);
     }
 
     static Stream<Arguments> announcements() {
         return Stream.of(
-                Arguments.of("a later sequence", instance("a", 1, 100, 8, false), Verdict.UNCHANGED),
-                Arguments.of("a change", instance("a", 1, 100, 8, true), Verdict.NEW),
-                Arguments.of("an earlier sequence", instance("a", 1, 100, 6, true), Verdict.OUTDATED),
-                Arguments.of("a later birth whose sequence begins anew", instance("a", 1, 200, 1, false), Verdict.NEW),
-                Arguments.of("an earlier birth", instance("a", 1, 50, 99, false), Verdict.OUTDATED),
-                Arguments.of("another id", instance("b", 2, 100, 1, false), Verdict.NEW),
-                Arguments.of("the address's earlier owner", instance("b", 1, 50, 9, false), Verdict.OUTDATED));
+                Arguments.of("a later sequence", instance("a", 1, 100, 8, false), AnnouncementStatus.UNCHANGED),
+                Arguments.of("a change", instance("a", 1, 100, 8, true), AnnouncementStatus.NEW),
+                Arguments.of("an earlier sequence", instance("a", 1, 100, 6, true), AnnouncementStatus.OUTDATED),
+                Arguments.of(
+                        "a later birth whose sequence begins anew",
+                        instance("a", 1, 200, 1, false),
+                        AnnouncementStatus.NEW),
+                Arguments.of("an earlier birth", instance("a", 1, 50, 99, false), AnnouncementStatus.OUTDATED),
+                Arguments.of("another id", instance("b", 2, 100, 1, false), AnnouncementStatus.NEW),
+                Arguments.of(
+                        "the address's earlier owner", instance("b", 1, 50, 9, false), AnnouncementStatus.OUTDATED));
     }
 
     @Test
-    void aNewInstanceTakesTheAddressOver() {
+    void aLaterInstanceReplacesTheOneAtItsAddress() {
         registry.announce(KNOWN);
         registry.announce(instance("b", 1, 200, 1, false));
 
@@ -52,7 +57,7 @@
     }
 
     @Test
-    void aLateAnnouncementDoesNotBringADepartedInstanceBack() {
+    void aLateAnnouncementDoesNotReaddADepartedInstance() {
         registry.announce(KNOWN);
         registry.depart(new Departure("a", 100));
 
@@ -64,7 +69,7 @@
     }
 
     @Test
-    void aLateDepartureDoesNotDropALaterIncarnation() {
+    void aLateDepartureDoesNotRemoveALaterIncarnation() {
         registry.announce(instance("a", 1, 200, 1, false));
         registry.depart(new Departure("a", 100));
 
@@ -72,7 +77,7 @@
     }
 
     @Test
-    void aRestoredRegistryDecidesAsTheFirst() {
+    void aRestoredRegistryMakesTheSameDecisions() {
         registry.announce(KNOWN);
         registry.announce(instance("b", 2, 300, 1, false));
         registry.depart(new Departure("b", 300));
@@ -82,118 +87,119 @@
         restored.restore(registry.all(), registry.departures(), registry.lostCopies());
 
         assertThat(restored.all()).containsExactly(KNOWN);
-        assertThat(restored.judge(instance("b", 2, 300, 1, false))).isEqualTo(Verdict.OUTDATED);
-        assertThat(restored.lostCopies()).containsExactly(copy("b", 2, 300));
+        assertThat(restored.classify(instance("b", 2, 300, 1, false))).isEqualTo(AnnouncementStatus.OUTDATED);
+        assertThat(restored.lostCopies()).containsExactly(lostCopy("b", 2, 300));
     }
 
     @Test
-    void aDatabaseThatStartsAgainUnderItsIdLeavesALostCopy() {
+    void aRestartUnderTheSameIdLeavesALostCopy() {
         registry.announce(KNOWN);
         registry.announce(instance("a", 1, 200, 1, false));
 
-        assertThat(registry.lostCopies()).containsExactly(copy("a", 1, 100));
+        assertThat(registry.lostCopies()).containsExactly(lostCopy("a", 1, 100));
     }
 
     @Test
-    void aDatabaseThatStartsAgainElsewhereLeavesItsLostCopyWhereItWas() {
+    void aRestartAtAnotherAddressLeavesALostCopyAtTheOldAddress() {
         registry.announce(KNOWN);
         registry.announce(instance("b", 2, 150, 1, false));
         registry.announce(instance("a", 2, 200, 1, false));
 
         assertThat(registry.lostCopies())
-                .containsExactly(copy("a", 1, 100), copy("b", 2, 150))
+                .containsExactly(lostCopy("a", 1, 100), lostCopy("b", 2, 150))
                 .inOrder();
     }
 
     @Test
-    void aDatabaseWhoseAddressIsTakenLeavesALostCopy() {
+    void aDatabaseWhoseAddressIsReusedLeavesALostCopy() {
         registry.announce(KNOWN);
         registry.announce(instance("b", 1, 200, 1, false));
 
-        assertThat(registry.lostCopies()).containsExactly(copy("a", 1, 100));
+        assertThat(registry.lostCopies()).containsExactly(lostCopy("a", 1, 100));
     }
 
     /** The departure may name a later birth than the one that is known. */
     @ParameterizedTest
     @ValueSource(longs = {100, 130})
-    void aDatabaseThatLeavesLeavesALostCopy(long departedMs) {
+    void aDepartureLeavesALostCopy(long departedMs) {
         registry.announce(KNOWN);
         registry.depart(new Departure("a", departedMs));
 
-        assertThat(registry.lostCopies()).containsExactly(copy("a", 1, 100));
+        assertThat(registry.lostCopies()).containsExactly(lostCopy("a", 1, 100));
     }
 
     @ParameterizedTest
     @MethodSource("callsThatEndNothing")
-    void withoutAnEndNoCopyIsLost(String name, Consumer<InstanceRegistry> calls) {
+    void noLostCopyIsAddedWhenNoIncarnationEnds(String name, Consumer<InstanceRegistry> calls) {
         registry.announce(KNOWN);
         registry.announce(instance("b", 2, 100, 1, false));
         registry.depart(new Departure("b", 100));
         calls.accept(registry);
 
-        assertThat(registry.lostCopies()).containsExactly(copy("b", 2, 100));
+        assertThat(registry.lostCopies()).containsExactly(lostCopy("b", 2, 100));
     }
 
-    static Stream<Arguments> callsThatEndNothing() {
+    static Stream<Arguments> callsThatEndNoIncarnation() {
         return Stream.of(
-                endsNothing("a later sequence", known -> known.announce(instance("a", 1, 100, 8, false))),
-                endsNothing("a change", known -> known.announce(instance("a", 1, 100, 8, true))),
-                endsNothing("another address", known -> known.announce(instance("a", 3, 100, 8, false))),
-                endsNothing("an earlier birth", known -> known.announce(instance("a", 1, 50, 99, false))),
-                endsNothing("the address's earlier owner", known -> known.announce(instance("c", 1, 50, 9, false))),
-                endsNothing("a departed one", known -> known.announce(instance("b", 1, 100, 9, false))),
-                endsNothing("a late departure", known -> known.depart(new Departure("a", 99))),
-                endsNothing("a departure a second time", known -> known.depart(new Departure("b", 100))),
-                endsNothing("a departure of what is not known", known -> known.depart(new Departure("c", 100))));
+                endsNoIncarnation("a later sequence", known -> known.announce(instance("a", 1, 100, 8, false))),
+                endsNoIncarnation("a change", known -> known.announce(instance("a", 1, 100, 8, true))),
+                endsNoIncarnation("another address", known -> known.announce(instance("a", 3, 100, 8, false))),
+                endsNoIncarnation("an earlier birth", known -> known.announce(instance("a", 1, 50, 99, false))),
+                endsNoIncarnation(
+                        "the address's earlier owner", known -> known.announce(instance("c", 1, 50, 9, false))),
+                endsNoIncarnation("a departed one", known -> known.announce(instance("b", 1, 100, 9, false))),
+                endsNoIncarnation("a late departure", known -> known.depart(new Departure("a", 99))),
+                endsNoIncarnation("a departure a second time", known -> known.depart(new Departure("b", 100))),
+                endsNoIncarnation("a departure of what is not known", known -> known.depart(new Departure("c", 100))));
     }
 
     /** Named by their birth, as a late announcement may bring an earlier one back for a while. */
     @Test
-    void ofAllThatEndedAtAnAddressTheLatestIsKept() {
+    void onlyTheLatestLostCopyOfAnAddressIsKept() {
         registry.announce(KNOWN);
         registry.announce(instance("b", 1, 200, 1, false));
         registry.announce(instance("b", 1, 300, 1, false));
-        assertThat(registry.lostCopies()).containsExactly(copy("b", 1, 200));
+        assertThat(registry.lostCopies()).containsExactly(lostCopy("b", 1, 200));
 
         registry.depart(new Departure("b", 300));
         registry.announce(instance("c", 1, 250, 1, false));
         registry.depart(new Departure("c", 250));
 
-        assertThat(registry.lostCopies()).containsExactly(copy("b", 1, 300));
+        assertThat(registry.lostCopies()).containsExactly(lostCopy("b", 1, 300));
     }
 
     @Test
-    void servicesLoseTheirCopiesApart() {
+    void lostCopiesOfDifferentServicesAreKeptSeparately() {
         Address address = KNOWN.address();
         registry.announce(KNOWN);
         registry.announce(new DatabaseInstance("b", "audit", address, "domain", 2, false, false, 200, 1));
         registry.depart(new Departure("b", 200));
 
         assertThat(registry.lostCopies())
-                .containsExactly(new LostCopy("audit", address, "b", 200), copy("a", 1, 100))
+                .containsExactly(new LostCopy("audit", address, "b", 200), lostCopy("a", 1, 100))
                 .inOrder();
     }
 
     @Test
-    void whatIsRecoveredIsDroppedUnlessALaterOneEndedThere() {
+    void aRecoveredCopyIsRemovedUnlessALaterIncarnationEndedAtItsAddress() {
         for (int port = 1; port <= 3; port++) {
             registry.announce(instance("d" + port, port, 100, 1, false));
             registry.announce(instance("d" + port, port, 200, 1, false));
         }
-        List<LostCopy> recovered = List.of(copy("d1", 1, 100), copy("d2", 2, 100));
+        List<LostCopy> recovered = List.of(lostCopy("d1", 1, 100), lostCopy("d2", 2, 100));
         registry.depart(new Departure("d2", 200));
-        registry.recover(recovered);
+        registry.markRecovered(recovered);
 
         assertThat(registry.lostCopies())
-                .containsExactly(copy("d2", 2, 200), copy("d3", 3, 100))
+                .containsExactly(lostCopy("d2", 2, 200), lostCopy("d3", 3, 100))
                 .inOrder();
     }
 
-    private static Arguments endsNothing(String name, Consumer<InstanceRegistry> calls) {
+    private static Arguments endsNoIncarnation(String name, Consumer<InstanceRegistry> calls) {
         return Arguments.of(name, calls);
     }
 
-    private static LostCopy copy(String id, int port, long bornMs) {
+    private static LostCopy lostCopy(String id, int port, long bornMs) {
         return new LostCopy("ledger", new Address("10.0.0.1", port), id, bornMs);
     }
 
--- a/core/src/test/java/org/hornbeamspread/core/route/RouteConfigurationTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/route/RouteConfigurationTest.java
@@ -16,20 +16,20 @@
     private static final RoutedService LEDGER = new RoutedService("ledger", 28, 1);
 
     @Test
-    void aValidConfigurationIsTaken() {
+    void aValidConfigurationIsAccepted() {
         new RouteConfiguration(1, List.of(route("topup", "ledger", 800)), List.of(LEDGER), 3_000).validate();
     }
 
     @ParameterizedTest
     @MethodSource("invalid")
-    void anInvalidConfigurationIsRefused(String name, long version, List<Route> routes, List<RoutedService> services) {
+    void anInvalidConfigurationIsRejected(String name, long version, List<Route> routes, List<RoutedService> services) {
         RouteConfiguration configuration = new RouteConfiguration(version, routes, services, 0);
 
         FailureException failure = assertThrows(FailureException.class, configuration::validate);
         assertThat(failure.type()).isEqualTo(FailureType.INVALID_CONFIGURATION);
     }
 
-    static Stream<Arguments> invalid() {
+    static Stream<Arguments> invalidConfigurations() {
         Route topup = route("topup", "ledger", 800);
         return Stream.of(
                 Arguments.of("no version", 0, List.of(topup), List.of(LEDGER)),
