--- a/core/src/main/java/org/hornbeamspread/core/consensus/Bootstrap.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Bootstrap.java
@@ -6,46 +6,51 @@
 import java.util.TreeMap;
 
 /**
- * How a log begins, and why a member with a lost disk can't begin it again, nor vote.
+ * Bootstraps a log, and prevents a member that lost its disk from bootstrapping it again or voting.
  *
- * <p>A member with an empty disk does not know whether the log is new or whether it has forgotten what it voted and
- * kept. So each draws an incarnation and asks the others. One of them, the founder, forms the log once every other has
- * answered, to this very incarnation, that it has neither voted nor kept anything either: then nothing can have been
- * committed, since a majority would hold it. The members by incarnation are its membership before the first record;
- * the others learn it from the answers of those that know it.
+ * <p>A member with an empty disk cannot tell a new log from the loss of its own votes and records. Each member
+ * therefore draws an incarnation when its disk is empty and sends an introduction to the others. The bootstrap member,
+ * the first of the initial members by name, forms the log once every other member has answered its present incarnation
+ * that it has neither voted nor stored a record either: nothing can then have been committed, since a majority would
+ * hold it. These members with their incarnations are the membership before the first record. The other members receive
+ * it in the responses of members that have it.
  *
- * <p>A member votes only once the formation or its own log names its incarnation, and votes and copies are counted by
- * incarnation. One that lost its disk is in neither: it follows as a learner until the log names it. One founder is
- * needed because two members that formed the log each by itself, with stale answers, could count two incarnations of a
- * third one.
+ * <p>A member votes only once the initial membership or its own log contains its incarnation, and votes and copies are
+ * counted by incarnation. Neither contains a member that lost its disk: it follows as a learner until the log records
+ * its new incarnation. There is only one bootstrap member because two members that formed the log independently, from
+ * stale responses, could count two incarnations of a third member.
  */
 final class Bootstrap {
     private final NodeState state;
     private final List<String> initialMemberIds;
 
-    /** False for a member that joins a log which others form or have formed. */
+    /** False for a member that joins a log which other members bootstrap or have bootstrapped. */
     private final boolean mayBootstrap;
 
     private final Map<String, Long> blankIncarnations = new TreeMap<>();
 
-    /** The members that the log was formed with, once known and naming this incarnation. */
+    /** The members that the log was bootstrapped with; present once they are known to contain this incarnation. */
     private Optional<Membership> initialMembership;
 
     private long nextIntroduceMs;
 
-    Bootstrap(NodeState state, List<String> initialMemberIds, boolean mayForm, Optional<Membership> formed) {
+    Bootstrap(
+            NodeState state,
+            List<String> initialMemberIds,
+            boolean mayBootstrap,
+            Optional<Membership> initialMembership) {
         this.state = state;
         this.initialMemberIds = initialMemberIds.stream().sorted().toList();
-        this.mayBootstrap = mayForm;
-        this.initialMembership = formed;
+        this.mayBootstrap = mayBootstrap;
+        this.initialMembership = initialMembership;
     }
 
-    /** Whether this member has neither voted nor kept anything. */
+    /** Whether this member has neither voted nor stored a record. */
     boolean isBlank() {
         return initialMembership.isEmpty() && state.term() == 0 && state.log.lastIndex() == 0;
     }
 
-    /** Whether this member knows that it has forgotten no vote that could still count. */
+    /** Whether this member has certainly lost no vote that could still be counted. */
     boolean mayVote() {
         if (initialMembership.isPresent() || !state.isEnabled(ConsensusRule.COUNT_INCARNATION)) {
             return true;
@@ -100,9 +105,9 @@
     }
 
     private void bootstrapIfAllBlank() {
-        boolean founder = mayBootstrap && initialMemberIds.get(0).equals(state.selfId);
+        boolean isBootstrapMember = mayBootstrap && initialMemberIds.get(0).equals(state.selfId);
         blankIncarnations.put(state.selfId, state.incarnation);
-        if (founder && isBlank() && blankIncarnations.keySet().containsAll(initialMemberIds)) {
+        if (isBootstrapMember && isBlank() && blankIncarnations.keySet().containsAll(initialMemberIds)) {
             bootstrap();
         }
     }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/ConsensusEffect.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/ConsensusEffect.java
@@ -4,22 +4,22 @@
 import java.util.Optional;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** What a {@link ConsensusNode} wants done, in this order. */
+/** An effect that the owner of a {@link ConsensusNode} carries out. The order of the drained effects is binding. */
 public sealed interface ConsensusEffect {
     /** Send a request. */
     record Send(String toMemberId, Message message) implements ConsensusEffect {}
 
-    /** Answer a request that was received. */
+    /** Reply to a received request. */
     record Reply(long replyId, Message message) implements ConsensusEffect {}
 
     /**
-     * Write and sync, then report {@link ConsensusEvent.Synced}. The parts are written in this order.
+     * Write to disk and sync, then report {@link ConsensusEvent.Synced}. The parts are written in component order.
      *
-     * @param persistId rises by one with each
-     * @param formed the members that the log is formed with
-     * @param vote the term and the vote in it
-     * @param rewrite a snapshot, with the whole log that goes with it
-     * @param records to append; one whose index is taken replaces that record and all behind it
+     * @param persistId increases by one with each persist
+     * @param initialMembership the members that the log is bootstrapped with
+     * @param vote the current term and the vote cast in it
+     * @param rewrite a snapshot and the whole log that replaces the stored one
+     * @param records the records to append; a record whose index is in use replaces that record and all after it
      */
     record Persist(
             long persistId,
@@ -35,20 +35,20 @@
     }
 
     /**
-     * A term and the vote in it.
+     * A term and the vote cast in it.
      *
-     * @param term the highest term seen
-     * @param votedFor whom the vote went to, if to anyone
+     * @param term the highest term received
+     * @param votedFor the candidate that received the vote, empty if no vote was cast
      */
     record StoredVote(long term, Optional<String> votedFor) {}
 
     /**
-     * A snapshot, with the log that goes with it.
+     * A snapshot, and the log from its base on.
      *
      * @param snapshot the snapshot
      * @param baseIndex the index before the first record
      * @param baseTerm the term at that index
-     * @param records all records that are kept
+     * @param records all retained records after the base
      */
     record Rewrite(Snapshot snapshot, long baseIndex, long baseTerm, List<LogRecord> records) {
         /** Copies the list. */
@@ -65,30 +65,30 @@
         }
     }
 
-    /** Replace the applied state. */
+    /** Replace the applied state by the snapshot. */
     record Restore(Snapshot snapshot) implements ConsensusEffect {}
 
     /**
-     * Leadership changed, as far as this member knows.
+     * The leadership that this member observes has changed.
      *
-     * @param term the term
-     * @param leaderId who leads, if known
+     * @param term the current term
+     * @param leaderId the leader of the term, empty while unknown
      * @param ready whether this member leads and has applied a record of its own term
      */
     record LeadershipChanged(long term, Optional<String> leaderId, boolean ready) implements ConsensusEffect {}
 
-    /** A proposal has its place in the log; its fate is known when that index is applied. */
+    /** A proposal was appended at an index. Its outcome is decided when a record is applied at that index. */
     record ProposalAppended(long proposalId, long index, long term) implements ConsensusEffect {}
 
-    /** A proposal was not appended. */
+    /** A proposal was rejected and not appended. */
     record ProposalRefused(long proposalId, FailureType reason) implements ConsensusEffect {}
 
-    /** A read may go ahead. */
+    /** A read may be served from the applied state. */
     record ReadConfirmed(long readId) implements ConsensusEffect {}
 
-    /** A read can't be confirmed here. */
+    /** A read cannot be confirmed by this member. */
     record ReadRefused(long readId, FailureType reason) implements ConsensusEffect {}
 
-    /** This leader wants the members recorded in the log; the owner answers with a proposal. */
+    /** The leader requests a membership change; the owner submits the membership as a proposal. */
     record MembershipChangeNeeded(Membership membership) implements ConsensusEffect {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/ConsensusEvent.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/ConsensusEvent.java
@@ -3,54 +3,55 @@
 import java.util.Optional;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** What a {@link ConsensusNode} is told. */
+/** An input to a {@link ConsensusNode}. */
 public sealed interface ConsensusEvent {
     /**
-     * A message came.
+     * A message was received.
      *
      * @param message the message
-     * @param replyId given back with the reply; 0 when the message is itself a reply
+     * @param replyId returned with the reply; 0 when the message is itself a reply
      */
     record Received(Message message, long replyId) implements ConsensusEvent {}
 
-    /** Time may have passed. */
+    /** A periodic event on which the node checks its timeouts against the clock. */
     record Tick() implements ConsensusEvent {}
 
     /**
-     * Something is to be appended.
+     * A request to append a record.
      *
-     * @param proposalId given back with the outcome
-     * @param payload what to append
-     * @param membership the members it sets, if it changes them
+     * @param proposalId returned with the outcome
+     * @param payload the payload of the record
+     * @param membership the membership from this record on; empty unless the record changes it
      */
     record Proposal(long proposalId, Payload payload, Optional<Membership> membership) implements ConsensusEvent {}
 
     /**
-     * A read wants to know that this member leads and has applied everything committed before.
+     * A linearizable read: it is confirmed once this member is proven to lead still and has applied everything
+     * committed before the read.
      *
-     * @param readId given back with the outcome
+     * @param readId returned with the outcome
      */
     record Read(long readId) implements ConsensusEvent {}
 
     /**
-     * A {@link ConsensusEffect.Persist}, and all before it, are synced.
+     * A {@link ConsensusEffect.Persist} and all earlier ones are synced.
      *
-     * @param persistId of that effect
+     * @param persistId the id of that effect
      */
     record Synced(long persistId) implements ConsensusEvent {}
 
     /**
-     * The disk takes nothing for now, or no more.
+     * The disk accepts no writes, for now or permanently.
      *
      * @param reason DISK_FULL or DISK_FAILED
      */
     record StorageStalled(FailureType reason) implements ConsensusEvent {}
 
     /**
-     * The owner took the state at the last record applied.
+     * The owner took a snapshot of the state at the last applied record.
      *
-     * @param lastIndex that record
-     * @param state the state
+     * @param lastIndex the index of that record
+     * @param state the serialized state
      */
     record SnapshotTaken(long lastIndex, Payload state) implements ConsensusEvent {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/ConsensusNode.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/ConsensusNode.java
@@ -10,18 +10,19 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * One member of a log that a majority keeps.
+ * One member of a replicated log, in which a record is committed once a majority of the voters holds it, as in Raft.
  *
- * <p>The problem: several members hold copies of a log, any of them may stop or be cut off, and what was once answered
- * for must never be lost or changed. The naive way, one writer that copies to the others, fails when the writer is cut
- * off and a second one begins: both go on. So time is divided into terms with one leader at most. A member votes once a
- * term; a leader needs a majority of votes, and a record needs copies with a majority. Any two majorities meet, so a new
- * leader is voted in by someone who holds every committed record, and a member votes only for a candidate whose log is
- * at least as complete as its own. The other rules, and what each guards, are in {@link ConsensusRule}.
+ * <p>The problem: several members hold copies of a log, any of them may crash or be partitioned, and a record that was
+ * acknowledged must never be lost or changed. A single writer that copies to the others is not enough: when it is
+ * partitioned and a second writer takes over, both continue to write. Time is therefore divided into terms with at most
+ * one leader each. A member votes once per term, a leader needs the votes of a majority, and a committed record needs
+ * copies on a majority. Any two majorities share a member, so at least one voter of a new leader holds every committed
+ * record, and a member votes only for a candidate whose log is at least as up to date as its own. The other rules, and
+ * the failure that each prevents, are listed in {@link ConsensusRule}.
  *
- * <p>The class does nothing but decide. {@link #step} takes one event; {@link #drain} gives the effects of the steps
- * since the last drain, so that the owner may batch: one sync and one message then serve many proposals. Whatever
- * answers for durable state is held back until the owner reports the sync. Not safe for threads.
+ * <p>The class performs no I/O. {@link #step} takes one event; {@link #drain} returns the effects of all steps since
+ * the last drain, so that the owner can batch: one sync and one message then serve many proposals. Effects that
+ * acknowledge durable state are withheld until the owner reports the sync. Not thread-safe.
  */
 public final class ConsensusNode {
     private final NodeState state;
@@ -32,49 +33,61 @@
     /** Present while this member leads. */
     private Optional<LeaderRole> leaderRole = Optional.empty();
 
-    /** When a leader was heard last. A restarted member may just have heard one, which reaches it again before long. */
+    /**
+     * When the last append or snapshot of a leader was received. A restarted member may have acknowledged a leader just
+     * before it stopped. It therefore grants no votes until {@link ConsensusParameters#firstElectionDelayMs} after its
+     * start; an active leader sends its next heartbeat by then.
+     */
     private long lastLeaderContactMs;
 
-    /** Present while the disk takes nothing. */
+    /** Present while the disk accepts no writes. */
     private Optional<FailureType> stallReason = Optional.empty();
 
     private ConsensusEffect.LeadershipChanged lastPublishedLeadership;
 
     /**
-     * A member with all rules in force.
+     * Creates a member with all rules enabled.
      *
-     * @param mayForm false for one that joins a log which others form or have formed
+     * @param mayBootstrap false for a member that joins a log which other members bootstrap or have bootstrapped
      */
     public ConsensusNode(
             String memberId,
             List<String> initialMemberIds,
-            boolean mayForm,
+            boolean mayBootstrap,
             StoredState stored,
-            ConsensusParameters times,
+            ConsensusParameters parameters,
             Clock clock,
             RandomGenerator random) {
-        this(memberId, initialMemberIds, mayForm, stored, times, clock, random, EnumSet.allOf(ConsensusRule.class));
+        this(
+                memberId,
+                initialMemberIds,
+                mayBootstrap,
+                stored,
+                parameters,
+                clock,
+                random,
+                EnumSet.allOf(ConsensusRule.class));
     }
 
     ConsensusNode(
             String memberId,
             List<String> initialMemberIds,
-            boolean mayForm,
+            boolean mayBootstrap,
             StoredState stored,
-            ConsensusParameters times,
+            ConsensusParameters parameters,
             Clock clock,
             RandomGenerator random,
             Set<ConsensusRule> rules) {
-        this.state = new NodeState(memberId, stored, times, rules, clock);
-        this.bootstrap = new Bootstrap(state, initialMemberIds, mayForm, stored.initialMembership());
+        this.state = new NodeState(memberId, stored, parameters, rules, clock);
+        this.bootstrap = new Bootstrap(state, initialMemberIds, mayBootstrap, stored.initialMembership());
         this.election = new Election(state, random);
         this.lastLeaderContactMs = stored.term() > 0
-                ? state.nowMs() + times.firstElectionDelayMs() - times.electionTimeoutMs()
+                ? state.nowMs() + parameters.firstElectionDelayMs() - parameters.electionTimeoutMs()
                 : Long.MIN_VALUE / 2;
         this.lastPublishedLeadership = new ConsensusEffect.LeadershipChanged(stored.term(), Optional.empty(), false);
     }
 
-    /** Takes one event. */
+    /** Processes one event. */
     public void step(ConsensusEvent event) {
         if (event instanceof ConsensusEvent.Received received) {
             onMessage(received.message(), received.replyId());
@@ -93,7 +106,7 @@
         }
     }
 
-    /** The effects of the steps since the last drain, to be carried out in order. */
+    /** Returns the effects of the steps since the last drain, to be carried out in order. */
     public List<ConsensusEffect> drain() {
         leaderRole.ifPresent(LeaderRole::flush);
         if (leaderRole.isPresent() && !state.isSelfVoter() && isMembershipCommitted()) {
@@ -108,32 +121,32 @@
         return state.term();
     }
 
-    /** The last committed record. */
+    /** The index of the last committed record. */
     public long commitIndex() {
         return state.commitIndex();
     }
 
-    /** The last record, committed or not. */
+    /** The index of the last record, committed or not. */
     public long lastIndex() {
         return state.log.lastIndex();
     }
 
-    /** The members as the last record that sets them has it. */
+    /** The membership set by the last record that changes it, committed or not. */
     public Membership membership() {
         return state.log.membership();
     }
 
-    /** The last record that a member is known to have synced; 0 unless this member leads. */
+    /** The index up to which a member has acknowledged synced records; 0 unless this member leads. */
     public long matchIndex(String memberId) {
         return leaderRole.map(leader -> leader.matchIndex(memberId)).orElse(0L);
     }
 
-    /** How long a member has not answered this leader; 0 unless this member leads. */
+    /** Milliseconds since the last response of a member to this leader; 0 unless this member leads. */
     public long silentMs(String memberId) {
         return leaderRole.map(leader -> leader.silentMs(memberId)).orElse(0L);
     }
 
-    /** Whether this member has neither voted nor kept anything, nor taken part in forming the log. */
+    /** Whether this member has neither voted, nor stored a record, nor taken part in the bootstrap of the log. */
     public boolean isBlank() {
         return bootstrap.isBlank();
     }
@@ -193,19 +206,19 @@
             replyToVote(replyId, state.term(), false, request.preVote());
             return;
         }
-        boolean undisturbed = state.isEnabled(ConsensusRule.PRE_VOTE) && hasLeaderContact();
+        boolean leaderActive = state.isEnabled(ConsensusRule.PRE_VOTE) && hasLeaderContact();
         if (request.preVote()) {
-            boolean wouldGrant = !undisturbed && request.term() > state.term() && isLogUpToDate(request);
+            boolean wouldGrant = !leaderActive && request.term() > state.term() && isLogUpToDate(request);
             replyToVote(replyId, wouldGrant ? request.term() : state.term(), wouldGrant, true);
             return;
         }
-        if (undisturbed && request.term() > state.term()) {
+        if (leaderActive && request.term() > state.term()) {
             replyToVote(replyId, state.term(), false, false);
             return;
         }
         adoptHigherTerm(request.term());
-        boolean free = state.votedFor().isEmpty() || state.votedFor().get().equals(request.candidateId());
-        boolean granted = request.term() == state.term() && free && isLogUpToDate(request);
+        boolean canVote = state.votedFor().isEmpty() || state.votedFor().get().equals(request.candidateId());
+        boolean granted = request.term() == state.term() && canVote && isLogUpToDate(request);
         if (granted) {
             if (state.votedFor().isEmpty()) {
                 state.setTermAndVote(state.term(), Optional.of(request.candidateId()));
@@ -268,7 +281,8 @@
         }
         if (record.index() <= state.commitIndex()) {
             throw new FailureException(
-                    FailureType.LOG_CORRUPTED, "a leader replaces committed record " + record.index());
+                    FailureType.LOG_CORRUPTED,
+                    "append from the leader conflicts with committed record " + record.index());
         }
         if (record.index() <= state.log.lastIndex()) {
             state.log.truncateFrom(record.index());
@@ -278,7 +292,7 @@
         state.outbox.stageRecord(record);
     }
 
-    /** Where a leader whose record at {@code previous} differs should try next. */
+    /** A hint for a leader whose record at {@code previous} differs: the last index at which the logs may match. */
     private long conflictHint(long previous) {
         if (previous > state.log.lastIndex()) {
             return state.log.lastIndex();
@@ -307,7 +321,7 @@
                 replyId, new Message.SnapshotResponse(state.term(), match, state.selfId, state.incarnation)));
     }
 
-    /** Follows the sender of an append or a snapshot, unless its term is over. */
+    /** Follows the sender of an append or a snapshot, unless its term is outdated. */
     private boolean acceptLeader(long term, String sender) {
         if (term < state.term()) {
             return false;
@@ -380,11 +394,11 @@
 
     private void publishLeadership() {
         boolean ready = leaderRole.map(LeaderRole::isReady).orElse(false);
-        ConsensusEffect.LeadershipChanged present =
+        ConsensusEffect.LeadershipChanged current =
                 new ConsensusEffect.LeadershipChanged(state.term(), leaderId, ready);
-        if (!present.equals(lastPublishedLeadership)) {
-            lastPublishedLeadership = present;
-            state.outbox.emit(present);
+        if (!current.equals(lastPublishedLeadership)) {
+            lastPublishedLeadership = current;
+            state.outbox.emit(current);
         }
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Election.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Election.java
@@ -6,19 +6,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides when a member stands for election, asks for votes and counts them. A candidate first asks how a vote would go
- * and raises its term only when a majority would grant it; so a member that was cut off does not depose a leader that
- * the others hear when it returns. The waits are random, so that two candidates seldom split a vote.
+ * Decides when a member becomes a candidate, requests votes and counts them. A candidate first runs a pre-vote and
+ * raises its term only when a majority would grant the vote, so a member that returns from a partition does not depose
+ * a leader that the others still receive heartbeats from. The timeouts are random, so that two candidates seldom split
+ * a vote.
  */
 final class Election {
     private final NodeState state;
     private final RandomGenerator random;
     private Phase phase = Phase.NONE;
 
-    /** Who granted the vote that is under way, with the incarnation that did. */
+    /** The voters that granted the vote or pre-vote in progress, each with its incarnation. */
     private final Map<String, Long> grants = new HashMap<>();
 
-    /** The persist that makes the candidate's own vote durable. */
+    /** The id of the persist that makes the candidate's own vote durable. */
     private long ownVotePersistId;
 
     private long deadlineMs;
@@ -29,7 +30,7 @@
         schedule(state.parameters.firstElectionDelayMs(), state.parameters.firstElectionJitterMs());
     }
 
-    /** Whether no leader was heard, and no vote given, for long enough. */
+    /** Whether the election timeout has elapsed since the last message of a leader and the last granted vote. */
     boolean isDue() {
         return state.nowMs() >= deadlineMs;
     }
@@ -38,12 +39,14 @@
         return phase != Phase.NONE;
     }
 
-    /** Waits a whole election timeout again. */
+    /** Restarts the timeout with a full election timeout plus jitter. */
     void resetTimeout() {
         schedule(state.parameters.electionTimeoutMs(), state.parameters.electionTimeoutMs());
     }
 
-    /** Waits less: a vote that was split or refused is tried again sooner than a leader is given up. */
+    /**
+     * Schedules the next attempt after half an election timeout plus jitter: a split or rejected vote is retried early.
+     */
     void scheduleRetry() {
         schedule(state.parameters.electionTimeoutMs() / 2, state.parameters.electionTimeoutMs() / 2);
     }
@@ -53,7 +56,7 @@
         grants.clear();
     }
 
-    /** Stands for election. True when that wins it at once, as the only voter does. */
+    /** Starts a campaign. True when the member wins it at once, as a sole voter does. */
     boolean campaign() {
         if (!state.isEnabled(ConsensusRule.PRE_VOTE)) {
             return startVote();
@@ -65,19 +68,19 @@
         return countGrants();
     }
 
-    /** Counts a granted vote. True when it wins the election. */
+    /** Counts a granted vote. True when the vote wins the election. */
     boolean onGranted(Message.VoteResponse response) {
-        boolean wanted = response.preVote()
+        boolean matchesPhase = response.preVote()
                 ? phase == Phase.PRE_VOTE && response.term() == state.term() + 1
                 : phase == Phase.VOTE && response.term() == state.term();
-        if (!wanted) {
+        if (!matchesPhase) {
             return false;
         }
         grants.put(response.voterId(), response.incarnation());
         return countGrants();
     }
 
-    /** Counts the candidate's own vote once it is durable. True when it wins the election. */
+    /** Counts the candidate's own vote once the vote is durable. True when the vote wins the election. */
     boolean countOwnVote() {
         if (phase != Phase.VOTE || !state.outbox.isSynced(ownVotePersistId)) {
             return false;
@@ -116,11 +119,11 @@
         return phase == Phase.VOTE || startVote();
     }
 
-    private void schedule(long shortestMs, long spreadMs) {
-        deadlineMs = state.nowMs() + shortestMs + random.nextLong(spreadMs);
+    private void schedule(long minDelayMs, long jitterMs) {
+        deadlineMs = state.nowMs() + minDelayMs + random.nextLong(jitterMs);
     }
 
-    /** What is asked for at present. */
+    /** The kind of vote in progress. */
     private enum Phase {
         NONE,
         PRE_VOTE,
--- a/core/src/main/java/org/hornbeamspread/core/consensus/LeaderRole.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/LeaderRole.java
@@ -10,25 +10,25 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * What a member does while it leads: replicates, commits, confirms reads, and mends the membership.
+ * The leader role of a member: replication, commits, read confirmation and repair of the membership.
  *
- * <p>A record is committed once a majority of voters has synced it and it is of the leader's own term; an older one is
- * committed by a younger one behind it, since a later leader may still replace a record that merely has copies. So the
- * leader first appends an empty record of its term.
+ * <p>A record is committed once a majority of the voters has synced it and it is of the leader's own term. A record of
+ * an older term is committed by a later record of the leader's term, since a later leader may still replace an older
+ * record even when a majority holds copies of it. The leader therefore first appends an empty record of its term.
  *
- * <p>A read is confirmed by a round of appends that began after the read came: a majority that still follows this
- * term proves that no later leader had committed anything before.
+ * <p>A read is confirmed by a round of appends that began after the read arrived: the responses of a majority in this
+ * term prove that no later leader had committed a record before the read.
  *
- * <p>A voter that answers with a new incarnation lost its disk and its votes. The leader records it first as
- * non-voting, and as voting again once it has synced everything committed. Each step changes one voter, so that the
- * majorities before and after meet.
+ * <p>A voter that responds with a new incarnation has lost its disk and its votes. The leader first records it as
+ * non-voting, and as voting again once it has synced all committed records. Each step changes one voter, so that any
+ * majorities before and after the step share a voter.
  */
 final class LeaderRole {
     private final NodeState state;
     private final Map<String, Progress> progress = new TreeMap<>();
     private final Deque<PendingRead> pendingReads = new ArrayDeque<>();
 
-    /** The leader's first record of its term. */
+    /** The index of the first record of the leader's term. */
     private final long termStartIndex;
 
     private long round;
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Commits what a majority has, confirms reads, and sends what there is to send. */
+    /** Commits the records that a majority has synced, confirms reads, and sends pending records. */
     void flush() {
         commit();
         boolean newRound = !pendingReads.isEmpty() && pendingReads.peekLast().round() > round;
@@ -124,7 +124,7 @@
         progress.values().forEach(peer -> replicateTo(peer, newRound));
     }
 
-    /** The last record that a member is known to have synced. */
+    /** The index up to which a member has acknowledged synced records. */
     long matchIndex(String memberId) {
         if (memberId.equals(state.selfId)) {
             return state.outbox.syncedIndex();
@@ -133,7 +133,7 @@
         return peer == null ? 0 : peer.matchIndex;
     }
 
-    /** How long a member has not answered. */
+    /** Milliseconds since the last response of a member. */
     long silentMs(String memberId) {
         Progress peer = progress.get(memberId);
         return peer == null ? 0 : state.nowMs() - peer.lastContactMs;
@@ -179,14 +179,16 @@
         if (!next.isWellFormed() || state.log.membership().countVoterChanges(next) > 1) {
             return Optional.of(FailureType.INVALID_REQUEST);
         }
-        boolean settled = isReady() && state.log.membershipIndex() <= state.commitIndex();
+        boolean previousChangeCommitted = isReady() && state.log.membershipIndex() <= state.commitIndex();
         boolean caughtUp = next.voters().stream()
                 .filter(voter -> !state.log.membership().voters().contains(voter))
                 .allMatch(voter -> countedMatchIndex(voter) >= state.commitIndex());
-        return settled && caughtUp ? Optional.empty() : Optional.of(FailureType.MEMBER_CHANGE_IN_PROGRESS);
+        return previousChangeCommitted && caughtUp
+                ? Optional.empty()
+                : Optional.of(FailureType.MEMBER_CHANGE_IN_PROGRESS);
     }
 
-    /** A voter's copies, as far as they are this incarnation's. */
+    /** The match index of a voter; 0 unless it was acknowledged by the incarnation in the membership. */
     private long countedMatchIndex(Member voter) {
         if (voter.memberId().equals(state.selfId)) {
             return isCurrentIncarnation(voter, state.incarnation) ? state.outbox.syncedIndex() : 0;
@@ -206,8 +208,8 @@
                 .sorted(Comparator.reverseOrder())
                 .toList();
         long index = matches.get(matches.size() / 2);
-        boolean ownTerm = index > state.commitIndex() && state.log.termAt(index) == state.term();
-        if (ownTerm || !state.isEnabled(ConsensusRule.COMMIT_OWN_TERM_ONLY)) {
+        boolean isOwnTerm = index > state.commitIndex() && state.log.termAt(index) == state.term();
+        if (isOwnTerm || !state.isEnabled(ConsensusRule.COMMIT_OWN_TERM_ONLY)) {
             state.commitTo(index);
         }
     }
@@ -224,33 +226,33 @@
         }
     }
 
-    private boolean hasAcked(Member voter, long wantedRound) {
+    private boolean hasAcked(Member voter, long requiredRound) {
         if (voter.memberId().equals(state.selfId)) {
-            return wantedRound <= round;
+            return requiredRound <= round;
         }
         Progress peer = progress.get(voter.memberId());
-        return peer != null && isCurrentIncarnation(voter, peer.incarnation) && peer.ackedRound >= wantedRound;
+        return peer != null && isCurrentIncarnation(voter, peer.incarnation) && peer.ackedRound >= requiredRound;
     }
 
     private boolean hasMajorityContact(long nowMs) {
-        long oldestMs = nowMs - 2 * state.parameters.electionTimeoutMs();
+        long earliestContactMs = nowMs - 2 * state.parameters.electionTimeoutMs();
         return state.log.membership().isMajority(voter -> {
             Progress peer = progress.get(voter.memberId());
-            return voter.memberId().equals(state.selfId) || (peer != null && peer.lastContactMs >= oldestMs);
+            return voter.memberId().equals(state.selfId) || (peer != null && peer.lastContactMs >= earliestContactMs);
         });
     }
 
     private void replicateTo(Progress peer, boolean evenIfEmpty) {
         long nowMs = state.nowMs();
-        boolean waiting = peer.hasRequestInFlight(nowMs);
+        boolean requestInFlight = peer.hasRequestInFlight(nowMs);
         if (peer.nextIndex <= state.log.baseIndex()) {
-            if (!waiting) {
+            if (!requestInFlight) {
                 sendSnapshot(peer, nowMs);
             }
             if (evenIfEmpty) {
                 sendAppend(peer, 0, List.of());
             }
-        } else if (waiting) {
+        } else if (requestInFlight) {
             if (evenIfEmpty) {
                 sendAppend(peer, peer.matchIndex >= state.log.baseIndex() ? peer.matchIndex : 0, List.of());
             }
@@ -281,26 +283,26 @@
                         state.term(), state.selfId, previousIndex, previousTerm, state.commitIndex(), records, round)));
     }
 
-    /** The next single step towards a membership in which every member that answers may vote. */
+    /** The next single-member change towards a membership in which every responding member votes. */
     private Optional<Membership> nextMembershipChange(long nowMs) {
         if (!isReady() || state.log.membershipIndex() > state.commitIndex()) {
             return Optional.empty();
         }
-        Membership present = state.log.membership();
+        Membership current = state.log.membership();
         for (Progress peer : progress.values()) {
-            Member member = present.find(peer.memberId).orElseThrow();
-            boolean answers =
+            Member member = current.find(peer.memberId).orElseThrow();
+            boolean responsive =
                     peer.incarnation != 0 && nowMs - peer.lastContactMs <= state.parameters.electionTimeoutMs();
-            if (answers && member.voting() && member.incarnation() != peer.incarnation) {
-                return Optional.of(present.withMember(new Member(peer.memberId, peer.incarnation, false)));
+            if (responsive && member.voting() && member.incarnation() != peer.incarnation) {
+                return Optional.of(current.withMember(new Member(peer.memberId, peer.incarnation, false)));
             }
-            if (answers && !member.voting() && peer.matchIndex >= state.commitIndex()) {
-                return Optional.of(present.withMember(new Member(peer.memberId, peer.incarnation, true)));
+            if (responsive && !member.voting() && peer.matchIndex >= state.commitIndex()) {
+                return Optional.of(current.withMember(new Member(peer.memberId, peer.incarnation, true)));
             }
         }
-        return state.log.membershipIndex() == 0 ? Optional.of(present) : Optional.empty();
+        return state.log.membershipIndex() == 0 ? Optional.of(current) : Optional.empty();
     }
 
-    /** A read that waits for a round and for a commit index. */
+    /** A read that waits for a round of appends and for a commit index. */
     private record PendingRead(long readId, long index, long round) {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/LogRecord.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/LogRecord.java
@@ -5,9 +5,9 @@
 /**
  * A record of the log.
  *
- * @param index its place, from 1
+ * @param index the position in the log, from 1
  * @param term the term of the leader that appended it
- * @param payload what it carries, empty for a leader's own first record
- * @param membership the members from this record on, when it changes them
+ * @param payload the payload, empty for the first record of a leader's term
+ * @param membership the membership from this record on; empty unless the record changes it
  */
 public record LogRecord(long index, long term, Payload payload, Optional<Membership> membership) {}
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Membership.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Membership.java
@@ -10,28 +10,28 @@
 import java.util.stream.Collectors;
 
 /**
- * The members of the log at one place in it.
+ * The members of the log as of one index.
  *
- * @param members in order of their names
+ * @param members the members, ordered by name
  */
 public record Membership(List<Member> members) {
-    /** Of a member that has not learned of any. */
+    /** The membership of a member that has not received one. */
     public static final Membership NONE = new Membership(List.of());
 
-    /** Sorts and copies. */
+    /** Copies and sorts the members. */
     public Membership {
         members =
                 members.stream().sorted(Comparator.comparing(Member::memberId)).toList();
     }
 
-    /** The member of a name. */
+    /** Returns the member with the given name. */
     public Optional<Member> find(String memberId) {
         return members.stream()
                 .filter(member -> member.memberId().equals(memberId))
                 .findFirst();
     }
 
-    /** Whether this incarnation's votes and copies count. */
+    /** Whether the votes and copies of this incarnation of a member are counted. */
     public boolean isVoter(String memberId, long incarnation) {
         return find(memberId)
                 .filter(member -> member.voting() && member.incarnation() == incarnation)
@@ -44,12 +44,12 @@
         return voters.stream().filter(predicate).count() * 2 > voters.size();
     }
 
-    /** The members whose votes and copies count. */
+    /** The members whose votes and copies are counted. */
     public List<Member> voters() {
         return members.stream().filter(Member::voting).toList();
     }
 
-    /** This membership with one member replaced, or added, by name. */
+    /** Returns this membership with the member of the same name replaced, or with the member added. */
     public Membership withMember(Member changed) {
         List<Member> next = new ArrayList<>(members);
         next.removeIf(member -> member.memberId().equals(changed.memberId()));
@@ -57,7 +57,9 @@
         return new Membership(next);
     }
 
-    /** How many voters come or go between two memberships; majorities of both meet when it is at most one. */
+    /**
+     * The number of voters added or removed by a change; with at most one, any two majorities of both share a voter.
+     */
     public int countVoterChanges(Membership next) {
         Set<Member> before = Set.copyOf(voters());
         Set<Member> after = Set.copyOf(next.voters());
@@ -67,7 +69,7 @@
         return changed.size();
     }
 
-    /** Whether no name stands twice and someone may vote. */
+    /** Whether the names are unique and there is at least one voter. */
     public boolean isWellFormed() {
         Set<String> names = members.stream().map(Member::memberId).collect(Collectors.toSet());
         return names.size() == members.size() && !voters().isEmpty();
--- a/core/src/main/java/org/hornbeamspread/core/consensus/MemoryLog.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/MemoryLog.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * The part of the log that a member keeps in memory: a base, and the records behind it without gaps. The latest snapshot
- * lies at the base or behind it. Membership follows the last record that sets it, committed or not.
+ * The part of the log that a member holds in memory: a base index and the records after it without gaps. The latest
+ * snapshot is at or after the base. The membership is that of the last record that sets one, committed or not.
  */
 final class MemoryLog {
     private final List<LogRecord> records;
@@ -14,12 +14,12 @@
     private long baseIndex;
     private long baseTerm;
 
-    /** The members that the log was formed with; in force until a record or a snapshot sets others. */
+    /** The members that the log was bootstrapped with; in effect until a record or a snapshot sets a membership. */
     private Membership initialMembership;
 
     private Membership membership;
 
-    /** The record that set the membership; 0 when it came from the formation. */
+    /** The index of the record that set the membership; 0 for the initial membership. */
     private long membershipIndex;
 
     MemoryLog(StoredState stored) {
@@ -59,23 +59,23 @@
         return membershipIndex;
     }
 
-    /** The members at an index that is at or behind the snapshot. */
+    /** The membership as of an index at or after the snapshot. */
     Membership membershipAt(long index) {
         for (long i = index; i > Math.max(baseIndex, snapshot.lastIndex()); i--) {
-            Optional<Membership> set = get(i).membership();
-            if (set.isPresent()) {
-                return set.get();
+            Optional<Membership> recorded = get(i).membership();
+            if (recorded.isPresent()) {
+                return recorded.get();
             }
         }
         return snapshot.lastIndex() > 0 ? snapshot.membership() : initialMembership;
     }
 
-    /** Whether the log has a record, or its base, at an index with this term. */
+    /** Whether the log has a record or its base at this index with this term. */
     boolean matches(long index, long term) {
         return index >= baseIndex && index <= lastIndex() && termAt(index) == term;
     }
 
-    /** The term at an index between the base and the end. */
+    /** The term at an index from the base to the end of the log. */
     long termAt(long index) {
         return index == baseIndex ? baseTerm : get(index).term();
     }
@@ -84,7 +84,7 @@
         return records.get((int) (index - baseIndex - 1));
     }
 
-    /** The records from an index on, at least one if there are any, up to about so many bytes. */
+    /** The records from an index on, up to about {@code maxBytes} of payload, but at least one if there is any. */
     List<LogRecord> batchFrom(long index, int maxBytes) {
         long bytes = 0;
         long end = index;
@@ -95,14 +95,14 @@
         return recordsBetween(index, end - 1);
     }
 
-    /** The records from one index to another, both included. */
+    /** The records from {@code first} to {@code last}, both included. */
     List<LogRecord> recordsBetween(long first, long last) {
         return first > last
                 ? List.of()
                 : List.copyOf(records.subList((int) (first - baseIndex - 1), (int) (last - baseIndex)));
     }
 
-    /** The first index of the run of records that have the term at {@code index}. */
+    /** The first index of the consecutive records up to {@code index} that have the same term. */
     long firstIndexOfTermAt(long index) {
         long term = termAt(index);
         long first = index;
@@ -120,7 +120,7 @@
         });
     }
 
-    /** Drops the record at an index and all behind it. */
+    /** Removes the record at an index and all after it. */
     void truncateFrom(long index) {
         records.subList((int) (index - baseIndex - 1), records.size()).clear();
         if (membershipIndex >= index) {
@@ -133,7 +133,7 @@
         recomputeMembership();
     }
 
-    /** Takes a newer snapshot of applied records, and keeps some records before it. */
+    /** Replaces the snapshot by a newer one of applied records, and retains some records before it. */
     void compact(Snapshot taken, int retainedRecords) {
         snapshot = taken;
         long newBase = Math.max(baseIndex, taken.lastIndex() - retainedRecords);
@@ -143,7 +143,9 @@
         baseTerm = newBaseTerm;
     }
 
-    /** Takes a leader's snapshot: records behind it stay only when the log matches it. */
+    /**
+     * Installs a snapshot of the leader; records after it are retained only when the log matches it at its last index.
+     */
     void install(Snapshot received) {
         if (matches(received.lastIndex(), received.lastTerm())) {
             compact(received, 0);
@@ -158,9 +160,9 @@
 
     private void recomputeMembership() {
         for (int i = records.size() - 1; i >= 0 && records.get(i).index() > snapshot.lastIndex(); i--) {
-            Optional<Membership> set = records.get(i).membership();
-            if (set.isPresent()) {
-                membership = set.get();
+            Optional<Membership> recorded = records.get(i).membership();
+            if (recorded.isPresent()) {
+                membership = recorded.get();
                 membershipIndex = records.get(i).index();
                 return;
             }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Message.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Message.java
@@ -2,30 +2,30 @@
 
 import java.util.List;
 
-/** What members send to each other. Any of them may be lost, late, repeated or out of order. */
+/** A message between members. Messages may be lost, delayed, duplicated or reordered. */
 public sealed interface Message {
-    /** The sender's term; 0 outside of terms. */
+    /** The sender's term; 0 in messages that have no term. */
     long term();
 
     /**
-     * Asks for a vote.
+     * Requests a vote.
      *
-     * @param term the term to lead; in a pre-vote one above the candidate's own
-     * @param candidateId who asks
-     * @param lastIndex the candidate's last record
+     * @param term the term of the election; in a pre-vote the candidate's own term plus one
+     * @param candidateId the candidate
+     * @param lastIndex the index of the candidate's last record
      * @param lastTerm that record's term
-     * @param preVote whether it only asks how a vote would go
+     * @param preVote whether this is a pre-vote, which only asks whether a vote would be granted
      */
     record VoteRequest(long term, String candidateId, long lastIndex, long lastTerm, boolean preVote)
             implements Message {}
 
     /**
-     * Answers a request for a vote.
+     * Answers a vote request.
      *
-     * @param term the term voted in when granted, else the voter's own
-     * @param granted whether the vote is the candidate's
-     * @param preVote whether a pre-vote is answered
-     * @param voterId who answers
+     * @param term the requested term when granted, else the voter's own
+     * @param granted whether the candidate receives the vote
+     * @param preVote whether this answers a pre-vote
+     * @param voterId the voter
      * @param incarnation the voter's incarnation
      */
     record VoteResponse(long term, boolean granted, boolean preVote, String voterId, long incarnation)
@@ -35,12 +35,12 @@
      * Replicates records, or none as a heartbeat.
      *
      * @param term the leader's term
-     * @param leaderId who leads
+     * @param leaderId the leader
      * @param previousIndex the index before the first record
      * @param previousTerm the term at that index
-     * @param commitIndex the last record the leader knows committed
+     * @param commitIndex the index of the leader's last committed record
      * @param records the records, without gaps
-     * @param round echoed in the response
+     * @param round the leader's round of appends, returned in the response
      */
     record AppendRequest(
             long term,
@@ -62,20 +62,21 @@
      *
      * @param term the follower's term
      * @param success whether the log matches at the previous index
-     * @param matchIndex on success the last record that matches the leader's and is synced, else a place to try next
-     * @param round that of the request
-     * @param memberId who answers
+     * @param matchIndex on success the last index that matches the leader's log and is synced, else a hint, the last
+     *     index that may match
+     * @param round the round of the request
+     * @param memberId the follower
      * @param incarnation the follower's incarnation
      */
     record AppendResponse(long term, boolean success, long matchIndex, long round, String memberId, long incarnation)
             implements Message {}
 
     /**
-     * Replaces a follower's log that ends before the leader's begins.
+     * Replaces the log of a follower that ends before the base of the leader's log.
      *
      * @param term the leader's term
-     * @param leaderId who leads
-     * @param snapshot the leader's latest
+     * @param leaderId the leader
+     * @param snapshot the leader's latest snapshot
      */
     record SnapshotRequest(long term, String leaderId, Snapshot snapshot) implements Message {}
 
@@ -83,17 +84,17 @@
      * Answers a snapshot once it is synced.
      *
      * @param term the follower's term
-     * @param matchIndex the last record that the follower holds for certain
-     * @param memberId who answers
+     * @param matchIndex the last index that the follower is certain to hold; 0 for an outdated term
+     * @param memberId the follower
      * @param incarnation the follower's incarnation
      */
     record SnapshotResponse(long term, long matchIndex, String memberId, long incarnation) implements Message {}
 
     /**
-     * Sent by a member with an empty disk to those it should form the log with.
+     * Sent by a member with an empty disk to the other initial members before the log is bootstrapped.
      *
-     * @param memberId who asks
-     * @param incarnation the asker's incarnation
+     * @param memberId the sender
+     * @param incarnation the sender's incarnation
      */
     record IntroduceRequest(String memberId, long incarnation) implements Message {
         @Override
@@ -105,11 +106,11 @@
     /**
      * Answers an introduction.
      *
-     * @param memberId who answers
-     * @param incarnation the answerer's incarnation
-     * @param blank whether it has neither voted nor kept anything either
-     * @param askedBy the asker's incarnation
-     * @param formed the members that the log was formed with; none when the answerer doesn't know
+     * @param memberId the responder
+     * @param incarnation the responder's incarnation
+     * @param blank whether the responder has neither voted nor stored a record
+     * @param askedBy the incarnation in the request
+     * @param initialMembership the members that the log was bootstrapped with; empty when the responder has none
      */
     record IntroduceResponse(
             String memberId, long incarnation, boolean blank, long askedBy, Membership initialMembership)
--- a/core/src/main/java/org/hornbeamspread/core/consensus/NodeState.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/NodeState.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What a member's roles share. */
+/** The state that the roles of a member share. */
 final class NodeState {
     final String selfId;
     final long incarnation;
@@ -18,10 +18,11 @@
     private Optional<String> votedFor;
     private long commitIndex;
 
-    NodeState(String selfId, StoredState stored, ConsensusParameters times, Set<ConsensusRule> rules, Clock clock) {
+    NodeState(
+            String selfId, StoredState stored, ConsensusParameters parameters, Set<ConsensusRule> rules, Clock clock) {
         this.selfId = selfId;
         this.incarnation = stored.incarnation();
-        this.parameters = times;
+        this.parameters = parameters;
         this.rules = Set.copyOf(rules);
         this.clock = clock;
         this.log = new MemoryLog(stored);
@@ -51,14 +52,14 @@
         return commitIndex;
     }
 
-    /** Moves to a later term, or votes in the present one. */
+    /** Advances to a later term, or votes in the current one. */
     void setTermAndVote(long newTerm, Optional<String> candidateId) {
         term = newTerm;
         votedFor = candidateId;
         outbox.stageVote(newTerm, candidateId);
     }
 
-    /** Whether an incarnation's votes and copies count. */
+    /** Whether the votes and copies of this incarnation of a member are counted. */
     boolean isVoter(String memberId, long memberIncarnation) {
         if (isEnabled(ConsensusRule.COUNT_INCARNATION)) {
             return log.membership().isVoter(memberId, memberIncarnation);
@@ -70,7 +71,7 @@
         return isVoter(selfId, incarnation);
     }
 
-    /** Commits up to an index and has it applied. */
+    /** Commits up to an index and emits the newly committed records to be applied. */
     void commitTo(long index) {
         if (index > commitIndex) {
             List<LogRecord> committed = log.recordsBetween(commitIndex + 1, index);
@@ -79,11 +80,11 @@
         }
     }
 
-    /** Takes a leader's snapshot in place of what is committed here. */
+    /** Installs a snapshot of the leader, which replaces the committed state of this member. */
     void install(Snapshot snapshot) {
-        boolean keepsRecords = log.matches(snapshot.lastIndex(), snapshot.lastTerm());
+        boolean retainsRecords = log.matches(snapshot.lastIndex(), snapshot.lastTerm());
         log.install(snapshot);
-        if (!keepsRecords) {
+        if (!retainsRecords) {
             outbox.onTruncated(1);
         }
         outbox.stageRewrite(log);
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Outbox.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Outbox.java
@@ -7,8 +7,9 @@
 import java.util.Optional;
 
 /**
- * Collects the effects of the steps since the last drain. What must be durable is staged and goes out as one persist;
- * what answers for it is held until that persist is synced. So one sync covers all the steps in between.
+ * Collects the effects of the steps since the last drain. Writes that must be durable are staged and emitted as one
+ * persist; effects that acknowledge them are held until that persist is synced. One sync thus covers all steps in
+ * between.
  */
 final class Outbox {
     private final boolean requireSync;
@@ -25,7 +26,7 @@
     private Optional<ConsensusEffect.Rewrite> stagedRewrite = Optional.empty();
     private final List<LogRecord> stagedRecords = new ArrayList<>();
 
-    /** The log's end as staged; it becomes the synced end with the persist. */
+    /** The last index including staged records; it becomes the synced index once the persist is synced. */
     private long stagedLastIndex;
 
     Outbox(boolean syncFirst, long syncedIndex) {
@@ -40,11 +41,11 @@
 
     /** Emits an effect once everything staged so far is synced. */
     void emitWhenSynced(ConsensusEffect effect) {
-        long needed = requiredPersistId();
-        if (!requireSync || needed <= syncedPersistId) {
+        long requiredId = requiredPersistId();
+        if (!requireSync || requiredId <= syncedPersistId) {
             effects.add(effect);
         } else {
-            heldEffects.add(new HeldEffect(needed, effect));
+            heldEffects.add(new HeldEffect(requiredId, effect));
         }
     }
 
@@ -62,7 +63,7 @@
         stagedLastIndex = record.index();
     }
 
-    /** The log was cut at an index; the disk learns of it by the record that takes its place. */
+    /** Lowers the synced index below a truncated index. The disk is truncated when the replacing record is written. */
     void onTruncated(long index) {
         syncedIndex = Math.min(syncedIndex, index - 1);
         List<UnsyncedPersist> entries = List.copyOf(unsyncedPersists);
@@ -81,7 +82,7 @@
         stagedLastIndex = log.lastIndex();
     }
 
-    /** What must be synced before anything that is decided now may be answered for. */
+    /** The persist that must be synced before a decision made now may be acknowledged. */
     long requiredPersistId() {
         return isStaged() ? lastPersistId + 1 : lastPersistId;
     }
@@ -90,12 +91,12 @@
         return !requireSync || persistId <= syncedPersistId;
     }
 
-    /** Whether the latest term and vote are on the disk. */
+    /** Whether the latest term and vote are synced. */
     boolean isVoteSynced() {
         return isSynced(votePersistId);
     }
 
-    /** The last record on the disk, as far as the log was not cut since. */
+    /** The last synced index, excluding records truncated since. */
     long syncedIndex() {
         return requireSync ? syncedIndex : stagedLastIndex;
     }
@@ -135,9 +136,9 @@
                 || !stagedRecords.isEmpty();
     }
 
-    /** An effect that waits for a persist. */
+    /** An effect held until a persist is synced. */
     private record HeldEffect(long persistId, ConsensusEffect effect) {}
 
-    /** How far the log reaches once a persist is synced. */
+    /** The last index of the log once a persist is synced. */
     private record UnsyncedPersist(long persistId, long lastIndex) {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Payload.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Payload.java
@@ -2,9 +2,9 @@
 
 import java.util.Arrays;
 
-/** Immutable bytes that the log carries and does not interpret. */
+/** Immutable bytes that the log stores without interpreting them. */
 public final class Payload {
-    /** No bytes. */
+    /** The empty payload. */
     public static final Payload EMPTY = new Payload(new byte[0]);
 
     private final byte[] bytes;
@@ -13,17 +13,17 @@
         this.bytes = bytes;
     }
 
-    /** A copy of the bytes. */
+    /** Returns a payload with a copy of the bytes. */
     public static Payload copyOf(byte[] bytes) {
         return new Payload(bytes.clone());
     }
 
-    /** A copy of the bytes. */
+    /** Returns a copy of the bytes. */
     public byte[] toByteArray() {
         return bytes.clone();
     }
 
-    /** How many bytes it holds. */
+    /** The number of bytes. */
     public int sizeBytes() {
         return bytes.length;
     }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Progress.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Progress.java
@@ -1,27 +1,27 @@
 package org.hornbeamspread.core.consensus;
 
-/** What a leader knows of another member. */
+/** The replication progress of another member, as tracked by the leader. */
 final class Progress {
     final String memberId;
 
-    /** The incarnation that answers at present; 0 until the first answer. */
+    /** The incarnation in the last response; 0 until the first response. */
     long incarnation;
 
-    /** The next record to send. */
+    /** The index of the next record to send. */
     long nextIndex;
 
-    /** The last record known to match and to be synced there. */
+    /** The last index acknowledged as matching and synced by the member. */
     long matchIndex;
 
-    /** The latest round answered. */
+    /** The latest round of appends that the member acknowledged. */
     long ackedRound;
 
     long lastContactMs;
 
-    /** The last record of an append on its way; 0 when there is none. */
+    /** The last index of the append in flight; 0 when there is none. */
     long inFlightIndex;
 
-    /** When the append or the snapshot on its way is given up. */
+    /** The time at which the append or snapshot in flight is considered lost. */
     long inFlightDeadlineMs;
 
     boolean snapshotInFlight;
@@ -40,7 +40,7 @@
         return inFlightIndex > 0 || snapshotInFlight;
     }
 
-    /** Forgets what another incarnation had. */
+    /** Discards the progress of the previous incarnation. */
     void reset(long newIncarnation, long newNextIndex) {
         incarnation = newIncarnation;
         nextIndex = newNextIndex;
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Snapshot.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Snapshot.java
@@ -1,14 +1,14 @@
 package org.hornbeamspread.core.consensus;
 
 /**
- * The state that all records up to one give, in place of them.
+ * The state after all records up to an index, which replaces those records.
  *
- * @param lastIndex the last record in it
+ * @param lastIndex the index of the last record included
  * @param lastTerm that record's term
- * @param membership the members at that record
- * @param state the state
+ * @param membership the membership as of that record
+ * @param state the serialized state
  */
 public record Snapshot(long lastIndex, long lastTerm, Membership membership, Payload state) {
-    /** Of an empty log. */
+    /** The snapshot of an empty log. */
     public static final Snapshot NONE = new Snapshot(0, 0, Membership.NONE, Payload.EMPTY);
 }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/StoredState.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/StoredState.java
@@ -4,16 +4,16 @@
 import java.util.Optional;
 
 /**
- * What a member finds on its disk when it starts.
+ * The state that a member reads from its disk at its start.
  *
- * @param incarnation drawn when the disk was empty
- * @param formed the members that the log was formed with, if this member took part in that
- * @param term the highest term seen
- * @param votedFor whom it voted for in that term
- * @param snapshot the latest snapshot, {@link Snapshot#NONE} without one
+ * @param incarnation a number drawn when the disk was empty
+ * @param initialMembership the members that the log was bootstrapped with, if this member took part in the bootstrap
+ * @param term the highest term received
+ * @param votedFor the candidate that received this member's vote in that term, if any
+ * @param snapshot the latest snapshot, {@link Snapshot#NONE} if there is none
  * @param baseIndex the index before the first record
  * @param baseTerm the term at that index
- * @param records the records behind the base, without gaps
+ * @param records the records after the base, without gaps
  */
 public record StoredState(
         long incarnation,
@@ -29,7 +29,7 @@
         records = List.copyOf(records);
     }
 
-    /** Of an empty disk. */
+    /** The state of an empty disk. */
     public static StoredState blank(long incarnation) {
         return new StoredState(incarnation, Optional.empty(), 0, Optional.empty(), Snapshot.NONE, 0, 0, List.of());
     }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/package-info.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/package-info.java
@@ -1,2 +1,2 @@
-/** A replicated log by majority: elections, replication, confirmed reads, membership, snapshots. */
+/** A replicated log after Raft: elections, replication, linearizable reads, membership changes and snapshots. */
 package org.hornbeamspread.core.consensus;
