--- a/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusInterleavingTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusInterleavingTest.java
@@ -38,8 +38,8 @@
             } catch (LogChecker.Violation | FailureException e) {
                 throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
             }
-            disksLost += harness.disksLost;
-            readsConfirmed += harness.readsConfirmed;
+            disksLost += harness.lostDiskCount;
+            readsConfirmed += harness.confirmedReadCount;
             committed += harness.checker.lastCommitted();
         }
         System.out.printf(
--- a/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusNodeTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusNodeTest.java
@@ -177,7 +177,7 @@
 
     /** It may have answered a leader just before it stopped, and that leader counts on no other for a while. */
     @Test
-    void aRestartedMemberVotesOnlyAfterAnElectionTimeout() {
+    void aRestartedMemberGrantsVotesOnlyAfterADelay() {
         LogHarness harness = harness(3, ConsensusRule.PRE_VOTE, true);
         LogHarness.Host voter = harness.host(
                 otherIds(harness, harness.leader().orElseThrow().id).get(0));
--- a/core/src/test/java/org/hornbeamspread/core/consensus/LogHarness.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/LogHarness.java
@@ -25,20 +25,20 @@
     final List<Packet> packetsInFlight = new ArrayList<>();
     final Set<String> isolated = new HashSet<>();
     private final Set<ConsensusRule> rules;
-    private final ConsensusParameters times;
+    private final ConsensusParameters parameters;
     private final List<String> initialIds;
     private final Map<Long, String> requesterByReplyId = new HashMap<>();
     private final Map<Long, Long> committedAtReadStart = new HashMap<>();
     private long nextId = 1;
-    int readsConfirmed;
-    int disksLost;
+    int confirmedReadCount;
+    int lostDiskCount;
 
     LogHarness(int members, long seed, Set<ConsensusRule> rules) {
         this.random = new SplittableRandom(seed);
         this.rules = rules;
         // By odd seeds a record travels alone, so that histories can part between any two.
         int batchBytes = seed % 2 == 1 ? 1 : 1 << 16;
-        this.times = new ConsensusParameters(ELECTION_TIMEOUT_MS, HEARTBEAT_MS, batchBytes, 64, 4);
+        this.parameters = new ConsensusParameters(ELECTION_TIMEOUT_MS, HEARTBEAT_MS, batchBytes, 64, 4);
         this.initialIds = new ArrayList<>();
         for (int i = 1; i <= members; i++) {
             initialIds.add("c" + i);
@@ -155,7 +155,7 @@
             if (up) {
                 return;
             }
-            node = new ConsensusNode(id, initialIds, true, disk.stored(), times, clock, random.split(), rules);
+            node = new ConsensusNode(id, initialIds, true, disk.stored(), parameters, clock, random.split(), rules);
             up = true;
             Snapshot snapshot = disk.stored().snapshot();
             applied = 0;
@@ -180,7 +180,7 @@
         void loseDisk() {
             crash();
             disk = new DiskModel(nextId++);
-            disksLost++;
+            lostDiskCount++;
         }
 
         void tick() {
@@ -247,7 +247,7 @@
                 } else if (effect instanceof ConsensusEffect.LeadershipChanged changed) {
                     onLeadership(changed);
                 } else if (effect instanceof ConsensusEffect.ReadConfirmed confirmed) {
-                    readsConfirmed++;
+                    confirmedReadCount++;
                     checker.onRead(applied, committedAtReadStart.get(confirmed.readId()));
                 } else if (effect instanceof ConsensusEffect.MembershipChangeNeeded needed) {
                     propose(Optional.of(needed.membership()));
--- a/core/src/test/java/org/hornbeamspread/core/route/InstanceRegistryTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/route/InstanceRegistryTest.java
@@ -20,7 +20,7 @@
     private final InstanceRegistry registry = new InstanceRegistry();
 
     @ParameterizedTest
-    @MethodSource("announcements")
+    @MethodSource("announcementCases")
     void announcementsAreOrderedByStartTimeAndSequence(
             String name, DatabaseInstance announced, AnnouncementStatus verdict) {
         registry.announce(KNOWN);
@@ -32,7 +32,7 @@
         assertThat(registry.all().contains(announced)).isEqualTo(taken);
     }
 
-    static Stream<Arguments> announcements() {
+    static Stream<Arguments> announcementCases() {
         return Stream.of(
                 Arguments.of("a later sequence", instance("a", 1, 100, 8, false), AnnouncementStatus.UNCHANGED),
                 Arguments.of("a change", instance("a", 1, 100, 8, true), AnnouncementStatus.NEW),
@@ -129,7 +129,7 @@
     }
 
     @ParameterizedTest
-    @MethodSource("callsThatEndNothing")
+    @MethodSource("callsThatEndNoIncarnation")
     void noLostCopyIsAddedWhenNoIncarnationEnds(String name, Consumer<InstanceRegistry> calls) {
         registry.announce(KNOWN);
         registry.announce(instance("b", 2, 100, 1, false));
--- a/core/src/test/java/org/hornbeamspread/core/route/RouteConfigurationTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/route/RouteConfigurationTest.java
@@ -21,7 +21,7 @@
     }
 
     @ParameterizedTest
-    @MethodSource("invalid")
+    @MethodSource("invalidConfigurations")
     void anInvalidConfigurationIsRejected(String name, long version, List<Route> routes, List<RoutedService> services) {
         RouteConfiguration configuration = new RouteConfiguration(version, routes, services, 0);
 
