--- a/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusInterleavingTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusInterleavingTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Random histories by fixed seeds: with all rules nothing is violated, and without any one of them something is. */
+/**
+ * Runs random histories from fixed seeds. With all rules enabled no history violates an invariant; with any one of five
+ * rules disabled some history does, so the checker detects the failure that the rule prevents.
+ */
 final class ConsensusInterleavingTest {
     private static final int STEPS = 4_000;
 
@@ -24,15 +27,15 @@
         "3, 5001, 20, 40000, false"
     })
     void noHistoryViolatesAnInvariantWithAllRules(
-            int members, long firstSeed, int seeds, int steps, boolean anyMembers) {
+            int members, long firstSeed, int seeds, int steps, boolean arbitraryMemberships) {
         int disksLost = 0;
         int readsConfirmed = 0;
         long committed = 0;
         for (long seed = firstSeed; seed < firstSeed + seeds; seed++) {
             LogHarness harness = new LogHarness(members, seed, EnumSet.allOf(ConsensusRule.class));
             try {
-                run(harness, steps, anyMembers);
-                if (!anyMembers) {
+                run(harness, steps, arbitraryMemberships);
+                if (!arbitraryMemberships) {
                     new RandomDriver(harness, false).healAndVerifyProgress();
                 }
             } catch (LogChecker.Violation | FailureException e) {
@@ -45,7 +48,7 @@
         System.out.printf(
                 "members %d, seeds %d..%d: %d records committed, %d reads confirmed, %d disks lost%n",
                 members, firstSeed, firstSeed + seeds - 1, committed, readsConfirmed, disksLost);
-        assertWithMessage("histories commit").that(committed).isGreaterThan(5L * seeds);
+        assertWithMessage("committed records").that(committed).isGreaterThan(5L * seeds);
     }
 
     @ParameterizedTest
@@ -56,28 +59,28 @@
         "COUNT_INCARNATION, false",
         "ONE_CHANGE_AT_A_TIME, true"
     })
-    void someHistoryViolatesAnInvariantWithoutTheRule(ConsensusRule rule, boolean anyMembers) {
+    void someHistoryViolatesAnInvariantWithoutTheRule(ConsensusRule rule, boolean arbitraryMemberships) {
         Set<ConsensusRule> rules = EnumSet.complementOf(EnumSet.of(rule));
         Optional<String> found = LongStream.rangeClosed(1, 2_000)
-                .mapToObj(seed -> findViolation(seed, rules, anyMembers))
+                .mapToObj(seed -> findViolation(seed, rules, arbitraryMemberships))
                 .<String>mapMulti(Optional::ifPresent)
                 .findFirst();
-        System.out.println("without " + rule + ": " + found.orElse("nothing found"));
+        System.out.println("without " + rule + ": " + found.orElse("no violation found"));
         assertWithMessage("without %s", rule).that(found).isPresent();
     }
 
-    private static Optional<String> findViolation(long seed, Set<ConsensusRule> rules, boolean anyMembers) {
+    private static Optional<String> findViolation(long seed, Set<ConsensusRule> rules, boolean arbitraryMemberships) {
         LogHarness harness = new LogHarness(3, seed, rules);
         try {
-            run(harness, STEPS, anyMembers);
+            run(harness, STEPS, arbitraryMemberships);
             return Optional.empty();
         } catch (LogChecker.Violation | FailureException e) {
             return Optional.of("seed " + seed + ": " + e.getMessage());
         }
     }
 
-    private static void run(LogHarness harness, int steps, boolean anyMembers) {
+    private static void run(LogHarness harness, int steps, boolean arbitraryMemberships) {
         harness.awaitBootstrap();
-        new RandomDriver(harness, anyMembers).run(steps);
+        new RandomDriver(harness, arbitraryMemberships).run(steps);
     }
 }
--- a/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusNodeTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusNodeTest.java
@@ -13,37 +13,43 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One fault a case, each with the rule that answers it in force and left out. */
+/**
+ * Single faults; where one {@link ConsensusRule} handles the fault, the case runs with the rule enabled and disabled.
+ */
 final class ConsensusNodeTest {
     private static final Duration MANY_ELECTION_TIMEOUTS = Duration.ofSeconds(2);
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aRejoiningMemberDeposesNoLeaderBecauseOfPreVote(boolean inForce) {
-        LogHarness harness = harness(3, ConsensusRule.PRE_VOTE, inForce);
+    void aRejoiningMemberDeposesNoLeaderBecauseOfPreVote(boolean ruleEnabled) {
+        LogHarness harness = harness(3, ConsensusRule.PRE_VOTE, ruleEnabled);
         String leader = harness.leader().orElseThrow().id;
         long term = harness.host(leader).node.term();
         harness.isolated.add(otherIds(harness, leader).get(0));
         harness.runFor(MANY_ELECTION_TIMEOUTS);
         harness.healAll();
         harness.runFor(MANY_ELECTION_TIMEOUTS);
-        assertThat(harness.host(leader).node.term() == term).isEqualTo(inForce);
+        assertThat(harness.host(leader).node.term() == term).isEqualTo(ruleEnabled);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void anIsolatedLeaderStepsDownBecauseOfCheckQuorum(boolean inForce) {
-        LogHarness harness = harness(3, ConsensusRule.CHECK_QUORUM, inForce);
+    void anIsolatedLeaderStepsDownBecauseOfCheckQuorum(boolean ruleEnabled) {
+        LogHarness harness = harness(3, ConsensusRule.CHECK_QUORUM, ruleEnabled);
         String leader = harness.leader().orElseThrow().id;
         harness.isolated.add(leader);
         harness.runFor(MANY_ELECTION_TIMEOUTS);
-        assertThat(harness.host(leader).leads).isEqualTo(!inForce);
+        assertThat(harness.host(leader).leads).isEqualTo(!ruleEnabled);
     }
 
+    /**
+     * A record of an older term that a later leader copies to a majority may still be replaced by a member whose last
+     * record has a later term. Committing the older record by counting its copies would lose a committed record.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aRecordOfAnOlderTermIsNotCommittedByCountingCopies(boolean inForce) {
-        LogHarness harness = harness(3, ConsensusRule.COMMIT_OWN_TERM_ONLY, inForce);
+    void aRecordOfAnOlderTermIsNotCommittedByCountingCopies(boolean ruleEnabled) {
+        LogHarness harness = harness(3, ConsensusRule.COMMIT_OWN_TERM_ONLY, ruleEnabled);
         String first = harness.leader().orElseThrow().id;
         harness.runFor(MANY_ELECTION_TIMEOUTS);
         harness.packetsInFlight.clear();
@@ -57,20 +63,23 @@
                 .findFirst()
                 .orElseThrow();
         harness.host(first).start();
-        long old = harness.host(first).node.lastIndex();
-        harness.runUntil(() -> harness.host(third).node.lastIndex() == old
-                && harness.host(first).node.matchIndex(third) == old);
+        long oldIndex = harness.host(first).node.lastIndex();
+        harness.runUntil(() -> harness.host(third).node.lastIndex() == oldIndex
+                && harness.host(first).node.matchIndex(third) == oldIndex);
         syncAndCrash(harness, first);
         harness.host(second).start();
-        Runnable rest = () -> harness.runUntil(() -> harness.host(second).ready);
-        if (inForce) {
-            rest.run();
+        Runnable electSecond = () -> harness.runUntil(() -> harness.host(second).ready);
+        if (ruleEnabled) {
+            electSecond.run();
         } else {
-            assertThrows(RuntimeException.class, rest::run);
+            assertThrows(RuntimeException.class, electSecond::run);
         }
     }
 
-    /** All members lose power: a leader is back within three heartbeats. */
+    /**
+     * After a power loss of all members a leader is elected within three heartbeats on average: the first election
+     * waits for the heartbeat and its jitter, not for a whole election timeout.
+     */
     @Test
     void membersThatRestartTogetherElectALeaderWithinThreeHeartbeatsOnAverage() {
         long totalMs = 0;
@@ -88,7 +97,7 @@
         assertThat(totalMs / 50).isAtMost(3 * LogHarness.HEARTBEAT_MS);
     }
 
-    /** Repeated losses, each as soon as the log names the repaired member. */
+    /** Disks are lost repeatedly, each as soon as the log records the previous member as a voter again. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void repeatedDiskLossesEachAfterReadmissionLoseNoCommittedRecord(long seed) {
@@ -164,18 +173,22 @@
         LogHarness harness = harness(3, ConsensusRule.PRE_VOTE, true);
         LogHarness.Host leader = harness.leader().orElseThrow();
         harness.runUntil(() -> leader.applied == leader.node.lastIndex());
-        String gone = otherIds(harness, leader.id).get(0);
-        harness.host(gone).loseDisk();
+        String replaced = otherIds(harness, leader.id).get(0);
+        harness.host(replaced).loseDisk();
         LogHarness.Host added = harness.addHost("c4");
-        leader.propose(Optional.of(without(leader.node.membership(), gone).withMember(new Member("c4", 0, false))));
+        leader.propose(Optional.of(without(leader.node.membership(), replaced).withMember(new Member("c4", 0, false))));
         harness.runUntil(
                 () -> harness.checker.committedMembership().orElseThrow().isVoter("c4", added.disk.incarnation()));
         leader.crash();
         harness.runUntil(() -> harness.leader().isPresent());
-        assertThat(harness.leader().orElseThrow().node.membership().find(gone)).isEqualTo(Optional.empty());
+        assertThat(harness.leader().orElseThrow().node.membership().find(replaced))
+                .isEqualTo(Optional.empty());
     }
 
-    /** It may have answered a leader just before it stopped, and that leader counts on no other for a while. */
+    /**
+     * The restarted member may have acknowledged a leader just before it stopped, and that leader relies on having no
+     * successor for a while.
+     */
     @Test
     void aRestartedMemberGrantsVotesOnlyAfterADelay() {
         LogHarness harness = harness(3, ConsensusRule.PRE_VOTE, true);
@@ -197,9 +210,9 @@
                         && response.granted());
     }
 
-    private static LogHarness harness(int members, ConsensusRule rule, boolean inForce) {
+    private static LogHarness harness(int members, ConsensusRule rule, boolean ruleEnabled) {
         Set<ConsensusRule> rules =
-                inForce ? EnumSet.allOf(ConsensusRule.class) : EnumSet.complementOf(EnumSet.of(rule));
+                ruleEnabled ? EnumSet.allOf(ConsensusRule.class) : EnumSet.complementOf(EnumSet.of(rule));
         return new LogHarness(members, 7, rules).awaitBootstrap();
     }
 
@@ -213,7 +226,7 @@
         return ids.stream().filter(id -> harness.host(id).leads).findFirst();
     }
 
-    /** Lets a member sync what it has, loses its messages, and stops it. */
+    /** Syncs the pending writes of a member, drops all messages in flight, and crashes the member. */
     private static void syncAndCrash(LogHarness harness, String id) {
         LogHarness.Host host = harness.host(id);
         host.sync(host.unsyncedPersists.size());
--- a/core/src/test/java/org/hornbeamspread/core/consensus/DiskModel.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/DiskModel.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A disk that keeps what was synced. */
+/** A model of a disk that holds the persists written to it. */
 final class DiskModel {
     private final long incarnation;
     private Optional<Membership> formed = Optional.empty();
@@ -33,8 +33,8 @@
             records.addAll(rewrite.records());
         });
         for (LogRecord record : persist.records()) {
-            int place = (int) (record.index() - baseIndex - 1);
-            records.subList(place, records.size()).clear();
+            int position = (int) (record.index() - baseIndex - 1);
+            records.subList(position, records.size()).clear();
             records.add(record);
         }
     }
--- a/core/src/test/java/org/hornbeamspread/core/consensus/LogChecker.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/LogChecker.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What must hold in every history of a log. */
+/** Checks the invariants that must hold in every history of a log. */
 final class LogChecker {
-    /** Who led each term. */
+    /** The leader of each term. */
     private final Map<Long, String> leaderByTerm = new HashMap<>();
 
     private final Map<Long, LogRecord> committedByIndex = new HashMap<>();
@@ -17,7 +17,7 @@
     private long lastCommitted;
     private Optional<Membership> committedMembership = Optional.empty();
 
-    /** The last index that anyone applied: whoever asks for a read later must see it. */
+    /** The last index that any member applied; every read requested later must include it. */
     long lastCommitted() {
         return lastCommitted;
     }
@@ -38,7 +38,7 @@
                 "index " + record.index() + " was " + first + " and became " + record);
         stateByIndex.put(record.index(), state);
         if (record.index() > lastCommitted) {
-            require(record.index() == lastCommitted + 1, "index " + record.index() + " applied before those in front");
+            require(record.index() == lastCommitted + 1, "index " + record.index() + " applied before earlier indexes");
             lastCommitted = record.index();
             committedMembership = record.membership().or(() -> committedMembership);
         }
@@ -46,13 +46,14 @@
 
     void onRestore(long index, long state) {
         Long known = stateByIndex.get(index);
-        require(known != null && known == state, "a snapshot at " + index + " differs from what was committed");
+        require(known != null && known == state, "a snapshot at " + index + " differs from the committed state");
     }
 
-    void onRead(long appliedIndex, long committedWhenAsked) {
+    void onRead(long appliedIndex, long committedAtRequest) {
         require(
-                appliedIndex >= committedWhenAsked,
-                "a read saw " + appliedIndex + " though " + committedWhenAsked + " was committed before");
+                appliedIndex >= committedAtRequest,
+                "a read returned the state at index " + appliedIndex + " though " + committedAtRequest
+                        + " was committed before the read");
     }
 
     static void require(boolean holds, String violation) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /** Something that must hold did not. */
+    /** An invariant was violated. */
     static final class Violation extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
--- a/core/src/test/java/org/hornbeamspread/core/consensus/LogHarness.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/LogHarness.java
@@ -13,7 +13,9 @@
 import java.util.TreeMap;
 import org.hornbeamspread.core.misc.PausedClock;
 
-/** Members of one log, with the messages and disks between their steps in the hands of a test. */
+/**
+ * Simulates the members of one log. The test controls the clock, the delivery of messages and the syncs of the disks.
+ */
 final class LogHarness {
     static final long ELECTION_TIMEOUT_MS = 100;
     static final long HEARTBEAT_MS = 20;
@@ -36,7 +38,7 @@
     LogHarness(int members, long seed, Set<ConsensusRule> rules) {
         this.random = new SplittableRandom(seed);
         this.rules = rules;
-        // By odd seeds a record travels alone, so that histories can part between any two.
+        // Odd seeds send one record per message, so that histories can diverge between any two records.
         int batchBytes = seed % 2 == 1 ? 1 : 1 << 16;
         this.parameters = new ConsensusParameters(ELECTION_TIMEOUT_MS, HEARTBEAT_MS, batchBytes, 64, 4);
         this.initialIds = new ArrayList<>();
@@ -47,7 +49,7 @@
         hosts.values().forEach(Host::start);
     }
 
-    /** A member that the log does not know yet. */
+    /** Adds and starts a member that is not in the membership yet. */
     Host addHost(String id) {
         Host added = new Host(id);
         hosts.put(id, added);
@@ -55,7 +57,7 @@
         return added;
     }
 
-    /** Up to a leader whose membership is recorded. */
+    /** Runs until there is a leader and the membership is committed. */
     LogHarness awaitBootstrap() {
         runUntil(() -> checker.committedMembership().isPresent() && leader().isPresent());
         return this;
@@ -69,18 +71,18 @@
         return hosts.get(id);
     }
 
-    /** Runs without faults until something holds; fails when it does not come. */
-    void runUntil(java.util.function.BooleanSupplier reached) {
+    /** Runs fault-free rounds until a condition holds; fails when it does not hold after 2000 rounds. */
+    void runUntil(java.util.function.BooleanSupplier condition) {
         for (int round = 0; round < 2_000; round++) {
-            if (reached.getAsBoolean()) {
+            if (condition.getAsBoolean()) {
                 return;
             }
             runFaultFreeRound();
         }
-        throw new LogChecker.Violation("the log does not get on");
+        throw new LogChecker.Violation("the condition still does not hold after the last fault-free round");
     }
 
-    /** One round in which time passes and every message and disk gets through. */
+    /** One round in which the clock advances, every message in flight is delivered and every persist is synced. */
     void runFaultFreeRound() {
         clock.advance(Duration.ofMillis(5));
         hosts.values().forEach(Host::tick);
@@ -107,7 +109,10 @@
         hosts.values().forEach(Host::start);
     }
 
-    /** A member of several may lose its disk when every voter still has the one that the log names. */
+    /**
+     * Whether a member may lose its disk: there are several members, and each still has the disk of the incarnation
+     * that the log records as a voter. Without incarnations, every member must have applied all committed records.
+     */
     boolean mayLoseDisk() {
         if (hosts.size() == 1) {
             return false;
@@ -118,7 +123,7 @@
         return isEveryMemberVoter();
     }
 
-    /** Whether the log names the present incarnation of every member as a voter. */
+    /** Whether the committed membership has the current incarnation of every member as a voter. */
     boolean isEveryMemberVoter() {
         return checker.committedMembership()
                 .map(members ->
@@ -130,10 +135,10 @@
         return !isolated.contains(id);
     }
 
-    /** A message on its way; the reply id is 0 in a response. */
+    /** A message in flight. */
     record Packet(String from, String to, Message message) {}
 
-    /** One member with its disk. */
+    /** One simulated member with its disk. */
     final class Host {
         final String id;
         DiskModel disk;
@@ -165,7 +170,7 @@
             }
         }
 
-        /** Stops; of what was not reported synced, a first part may be on the disk all the same. */
+        /** Crashes; a random prefix of the persists not yet reported as synced is on the disk nevertheless. */
         void crash() {
             if (up) {
                 int kept = random.nextInt(unsyncedPersists.size() + 1);
@@ -212,7 +217,7 @@
             }
         }
 
-        /** Syncs the first persists and reports them. */
+        /** Syncs the oldest {@code count} persists and reports each as synced. */
         void sync(int count) {
             for (int i = 0; i < count && up && !unsyncedPersists.isEmpty(); i++) {
                 ConsensusEffect.Persist first = unsyncedPersists.remove(0);
--- a/core/src/test/java/org/hornbeamspread/core/consensus/RandomDriver.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/RandomDriver.java
@@ -5,7 +5,10 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 
-/** Chooses what happens next: messages late, lost, twice or out of order; disks late; stops, cuts and lost disks. */
+/**
+ * Drives random histories: delayed, lost, duplicated and reordered messages, delayed syncs, crashes, isolated members,
+ * snapshots and lost disks.
+ */
 final class RandomDriver {
     private static final int MAX_PACKETS = 60;
 
@@ -13,11 +16,15 @@
     private final SplittableRandom random;
     private final boolean arbitraryMemberships;
 
-    /** With {@code anyMembers} it also proposes memberships that no operator should. */
-    RandomDriver(LogHarness harness, boolean anyMembers) {
+    /**
+     * Creates a driver.
+     *
+     * @param arbitraryMemberships whether to propose random membership changes as well, also unsafe ones
+     */
+    RandomDriver(LogHarness harness, boolean arbitraryMemberships) {
         this.harness = harness;
         this.random = harness.random;
-        this.arbitraryMemberships = anyMembers;
+        this.arbitraryMemberships = arbitraryMemberships;
     }
 
     void run(int steps) {
@@ -29,7 +36,7 @@
         }
     }
 
-    /** Ends all faults and asks that the log gets on everywhere. */
+    /** Ends all faults and verifies that every member applies a new record. */
     void healAndVerifyProgress() {
         harness.healAll();
         harness.runUntil(() -> harness.leader().isPresent() && harness.isEveryMemberVoter());
@@ -39,26 +46,26 @@
                 && harness.hosts.values().stream().allMatch(host -> host.applied >= before + 1));
     }
 
-    private void performAction(int dice) {
-        if (dice < 480) {
+    private void performAction(int roll) {
+        if (roll < 480) {
             deliver();
-        } else if (dice < 700) {
+        } else if (roll < 700) {
             LogHarness.Host host = randomHost();
             host.sync(1 + random.nextInt(3));
-        } else if (dice < 860) {
+        } else if (roll < 860) {
             harness.clock.advance(Duration.ofMillis(random.nextInt(12)));
             randomHost().tick();
-        } else if (dice < 915) {
+        } else if (roll < 915) {
             propose();
-        } else if (dice < 930) {
+        } else if (roll < 930) {
             randomHost().read();
-        } else if (dice < 934) {
+        } else if (roll < 934) {
             randomHost().crash();
-        } else if (dice < 974) {
+        } else if (roll < 974) {
             randomHost().start();
-        } else if (dice < 984) {
+        } else if (roll < 984) {
             isolate();
-        } else if (dice < 994) {
+        } else if (roll < 994) {
             randomHost().snapshot();
         } else {
             loseDisk();
@@ -71,11 +78,11 @@
         }
         int chosen = random.nextInt(harness.packetsInFlight.size());
         LogHarness.Packet packet = harness.packetsInFlight.get(chosen);
-        int fate = random.nextInt(100);
-        if (fate >= 10) {
+        int deliveryRoll = random.nextInt(100);
+        if (deliveryRoll >= 10) {
             harness.packetsInFlight.remove(chosen);
         }
-        if (fate < 92) {
+        if (deliveryRoll < 92) {
             harness.deliver(packet);
         }
     }
@@ -95,8 +102,8 @@
         List<Member> members = host.node.membership().members().stream()
                 .map(member -> new Member(member.memberId(), member.incarnation(), random.nextBoolean()))
                 .toList();
-        Membership some = new Membership(members);
-        return some.isWellFormed() ? some : host.node.membership();
+        Membership candidate = new Membership(members);
+        return candidate.isWellFormed() ? candidate : host.node.membership();
     }
 
     private void isolate() {
