--- a/core/src/main/java/org/hornbeamspread/core/route/DatabaseInstance.java
+++ b/core/src/main/java/org/hornbeamspread/core/route/DatabaseInstance.java
@@ -3,17 +3,17 @@
 import org.hornbeamspread.core.membership.Address;
 
 /**
- * A database as it announced itself last.
+ * The latest announcement of a database.
  *
- * @param instanceId its id, which a later incarnation may use again
- * @param service that it belongs to
- * @param address where it is reached
- * @param failureDomain that it runs in
- * @param slots how many statements it runs at once
- * @param draining whether it is about to leave
- * @param primary whether it sees itself as the primary
- * @param bornMs when its process started, in ms since 1970
- * @param sequence rises with each announcement of an incarnation
+ * @param instanceId the id of the instance, which a later incarnation may reuse
+ * @param service the service that the database belongs to
+ * @param address the address at which the database accepts connections
+ * @param failureDomain the failure domain that the database runs in
+ * @param slots the maximum number of concurrent statements
+ * @param draining whether the database is draining before it departs
+ * @param primary whether the database reports itself as the primary
+ * @param bornMs the start time of the process, in ms since 1970; it identifies the incarnation
+ * @param sequence a number that increases with each announcement of an incarnation
  */
 public record DatabaseInstance(
         String instanceId,
@@ -25,7 +25,7 @@
         boolean primary,
         long bornMs,
         long sequence) {
-    /** Whether this announcement tells the same, but for its sequence. */
+    /** Whether this announcement equals another one in everything but the sequence. */
     public boolean equalsIgnoringSequence(DatabaseInstance other) {
         return equals(new DatabaseInstance(
                 other.instanceId,
--- a/core/src/main/java/org/hornbeamspread/core/route/InstanceRegistry.java
+++ b/core/src/main/java/org/hornbeamspread/core/route/InstanceRegistry.java
@@ -11,42 +11,44 @@
 import org.hornbeamspread.core.membership.Address;
 
 /**
- * The databases that announced themselves and have not left.
+ * The registry of the databases that have announced themselves and have not departed.
  *
- * <p>Announcements may be late, and ids and addresses are used again. Within one id they are ordered by (birth, sequence);
- * among ids at one address the latest birth holds it. A departure is remembered for a while, so that a late announcement
- * does not bring a database back. Outcomes depend on the calls alone. Confined to one thread.
+ * <p>Announcements may be delayed, and ids and addresses are reused. Announcements of one id are ordered by (start
+ * time, sequence); among several ids at one address, the one with the latest start time holds the address. A number of
+ * recent departures is retained, so that a delayed announcement does not add a departed database again. Results depend
+ * only on the sequence of calls, not on a clock. Confined to one thread.
  *
- * <p>An incarnation ends when its id is announced with a later birth, when another id is announced at its address, or when it
- * leaves. Its log may have gone with it, so it is kept as a {@link LostCopy} until that is recovered.
+ * <p>An incarnation ends when its id is announced with a later start time, when another id is announced at its address,
+ * or when it departs. Its log may be lost with it, so it is retained as a {@link LostCopy} until that copy is
+ * recovered.
  */
 public final class InstanceRegistry {
-    /** Departures remembered; twice the databases of the largest group that leave at once. */
+    /** Limit on retained departures: twice the number of databases that depart at once in the largest group. */
     private static final int MAX_RETAINED_DEPARTURES = 1_024;
 
     private final NavigableMap<String, DatabaseInstance> instances = new TreeMap<>();
     private final Deque<Departure> departures = new ArrayDeque<>();
 
-    /** The latest incarnation that ended at each place. */
+    /** The latest ended incarnation at each address of a service. */
     private final NavigableMap<ServiceAddress, LostCopy> lostCopies =
             new TreeMap<>(Comparator.comparing(ServiceAddress::service)
-                    .thenComparing(place -> place.address().host())
-                    .thenComparingInt(place -> place.address().port()));
+                    .thenComparing(location -> location.address().host())
+                    .thenComparingInt(location -> location.address().port()));
 
-    /** What an announcement is to the registry. */
+    /** The status of an announcement relative to the registry. */
     public enum AnnouncementStatus {
-        /** Older than what is known; ignored. */
+        /** Older than the registered state; ignored. */
         OUTDATED,
-        /** Nothing new but its sequence. */
+        /** Differs only by its sequence. */
         UNCHANGED,
-        /** Something new. */
+        /** An unregistered database, or changed values of a registered one. */
         NEW
     }
 
-    /** A database that left; announcements of this birth and older ones are ignored. */
+    /** A departed database. Announcements of its id with this start time or an earlier one are ignored. */
     public record Departure(String instanceId, long bornMs) {}
 
-    /** Compares an announcement to what is known, without taking it. */
+    /** Compares an announcement to the registered state without applying it. */
     public AnnouncementStatus classify(DatabaseInstance announced) {
         boolean departed = departures.stream()
                 .anyMatch(departure -> departure.instanceId().equals(announced.instanceId())
@@ -54,39 +56,39 @@
         if (departed || isAddressHeldByLaterInstance(announced)) {
             return AnnouncementStatus.OUTDATED;
         }
-        DatabaseInstance known = instances.get(announced.instanceId());
-        if (known == null) {
+        DatabaseInstance registered = instances.get(announced.instanceId());
+        if (registered == null) {
             return AnnouncementStatus.NEW;
         }
-        boolean older = announced.bornMs() < known.bornMs()
-                || (announced.bornMs() == known.bornMs() && announced.sequence() < known.sequence());
+        boolean older = announced.bornMs() < registered.bornMs()
+                || (announced.bornMs() == registered.bornMs() && announced.sequence() < registered.sequence());
         if (older) {
             return AnnouncementStatus.OUTDATED;
         }
-        return announced.equalsIgnoringSequence(known) ? AnnouncementStatus.UNCHANGED : AnnouncementStatus.NEW;
+        return announced.equalsIgnoringSequence(registered) ? AnnouncementStatus.UNCHANGED : AnnouncementStatus.NEW;
     }
 
-    /** Takes an announcement unless it is outdated; drops what its address belonged to before. */
+    /** Applies an announcement unless it is outdated; removes the database that held its address before. */
     public void announce(DatabaseInstance announced) {
         if (classify(announced) == AnnouncementStatus.OUTDATED) {
             return;
         }
         List<DatabaseInstance> ended = instances.values().stream()
-                .filter(known -> isEndedBy(known, announced))
+                .filter(registered -> isEndedBy(registered, announced))
                 .toList();
-        ended.forEach(known -> {
-            instances.remove(known.instanceId());
-            addLostCopy(LostCopy.of(known));
+        ended.forEach(registered -> {
+            instances.remove(registered.instanceId());
+            addLostCopy(LostCopy.of(registered));
         });
         instances.put(announced.instanceId(), announced);
     }
 
-    /** Drops a database, unless a later incarnation of it is known. */
+    /** Removes a database unless a later incarnation of it is registered; retains the departure in either case. */
     public void depart(Departure departure) {
-        DatabaseInstance known = instances.get(departure.instanceId());
-        if (known != null && known.bornMs() <= departure.bornMs()) {
+        DatabaseInstance registered = instances.get(departure.instanceId());
+        if (registered != null && registered.bornMs() <= departure.bornMs()) {
             instances.remove(departure.instanceId());
-            addLostCopy(LostCopy.of(known));
+            addLostCopy(LostCopy.of(registered));
         }
         departures.addLast(departure);
         if (departures.size() > MAX_RETAINED_DEPARTURES) {
@@ -94,35 +96,36 @@
         }
     }
 
-    /** The database of an id. */
+    /** Returns the registered database with the given id. */
     public Optional<DatabaseInstance> find(String instanceId) {
         return Optional.ofNullable(instances.get(instanceId));
     }
 
-    /** All databases, in order of their ids. */
+    /** All registered databases, ordered by id. */
     public Collection<DatabaseInstance> all() {
         return List.copyOf(instances.values());
     }
 
-    /** The remembered departures, oldest first. */
+    /** The retained departures, oldest first. */
     public List<Departure> departures() {
         return List.copyOf(departures);
     }
 
-    /** The incarnations that ended and are not recovered, in order of service and address: the latest of each address. */
+    /** The ended incarnations that are not recovered, ordered by service and address: the latest of each address. */
     public List<LostCopy> lostCopies() {
         return List.copyOf(lostCopies.values());
     }
 
-    /** Drops exactly these; a later incarnation that ended at the same address stays. */
+    /** Removes exactly these lost copies; that of a later incarnation that ended at the same address stays. */
     public void markRecovered(Collection<LostCopy> recovered) {
         lostCopies.values().removeAll(recovered);
     }
 
-    /** Replaces everything. */
-    public void restore(Collection<DatabaseInstance> known, Collection<Departure> departed, Collection<LostCopy> lost) {
+    /** Replaces the whole state of the registry. */
+    public void restore(
+            Collection<DatabaseInstance> registered, Collection<Departure> departed, Collection<LostCopy> lost) {
         instances.clear();
-        known.forEach(instance -> instances.put(instance.instanceId(), instance));
+        registered.forEach(instance -> instances.put(instance.instanceId(), instance));
         departures.clear();
         departures.addAll(departed);
         lostCopies.clear();
@@ -133,14 +136,16 @@
         lostCopies.merge(
                 new ServiceAddress(copy.service(), copy.address()),
                 copy,
-                (present, ended) -> ended.bornMs() < present.bornMs() ? present : ended);
+                (retained, ended) -> ended.bornMs() < retained.bornMs() ? retained : ended);
     }
 
-    /** Whether what is known has ended when this announcement is taken: it started again, or another has its address. */
-    private static boolean isEndedBy(DatabaseInstance known, DatabaseInstance announced) {
-        return known.instanceId().equals(announced.instanceId())
-                ? known.bornMs() < announced.bornMs()
-                : known.address().equals(announced.address());
+    /**
+     * Whether an announcement ends a registered incarnation: its id has restarted, or another id has taken its address.
+     */
+    private static boolean isEndedBy(DatabaseInstance registered, DatabaseInstance announced) {
+        return registered.instanceId().equals(announced.instanceId())
+                ? registered.bornMs() < announced.bornMs()
+                : registered.address().equals(announced.address());
     }
 
     private boolean isAddressHeldByLaterInstance(DatabaseInstance announced) {
@@ -150,6 +155,6 @@
                         && other.bornMs() > announced.bornMs());
     }
 
-    /** An address of a service. */
+    /** A database address within a service. */
     private record ServiceAddress(String service, Address address) {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/route/Route.java
+++ b/core/src/main/java/org/hornbeamspread/core/route/Route.java
@@ -1,16 +1,16 @@
 package org.hornbeamspread.core.route;
 
 /**
- * Where the sessions of one database name go.
+ * The route of the sessions that open one database name.
  *
- * @param name of the route
- * @param database the name that sessions open
- * @param service the service whose databases serve it
- * @param kind what its reads must see
- * @param priority 0 is the most urgent
- * @param statementTimeoutMs for one statement
- * @param targetMs for a whole operation; 0 for none
- * @param maxStalenessMs how old a read may be, unless the kind is PRIMARY
+ * @param name the name of the route
+ * @param database the database name that sessions open
+ * @param service the service whose databases serve the route
+ * @param kind the consistency of reads
+ * @param priority the priority of statements; 0 is the most urgent
+ * @param statementTimeoutMs the timeout of one statement
+ * @param targetMs the latency target of a whole operation; 0 for none
+ * @param maxStalenessMs the maximum staleness of a read; ignored for the kind PRIMARY
  */
 public record Route(
         String name,
--- a/core/src/main/java/org/hornbeamspread/core/route/RouteConfiguration.java
+++ b/core/src/main/java/org/hornbeamspread/core/route/RouteConfiguration.java
@@ -9,16 +9,16 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * A whole configuration of routes and services.
+ * A complete configuration of routes and services.
  *
- * @param version the highest accepted version is in force
- * @param routes no two of the same database
- * @param services no two of the same name
- * @param idleTransactionMs a transaction that is idle for longer may be ended; 0 for never
+ * @param version the version; the highest accepted version is in force
+ * @param routes the routes, at most one per database
+ * @param services the services, with unique names
+ * @param idleTransactionMs the time after which an idle transaction may be ended; 0 for never
  */
 public record RouteConfiguration(
         long version, List<Route> routes, List<RoutedService> services, long idleTransactionMs) {
-    /** Of a process that has learned of none. */
+    /** The configuration of a process that has not received one. */
     public static final RouteConfiguration NONE = new RouteConfiguration(0, List.of(), List.of(), 0);
 
     /** Copies the lists. */
@@ -27,28 +27,31 @@
         services = List.copyOf(services);
     }
 
-    /** Fails with INVALID_CONFIGURATION when a route is ambiguous, unbounded in time, or leads nowhere. */
+    /**
+     * Fails with INVALID_CONFIGURATION when the version is not positive, service names are not unique, or a route is
+     * ambiguous, has no database, has no timeout, or refers to an unknown service.
+     */
     public void validate() {
-        Set<String> names = services.stream().map(RoutedService::name).collect(Collectors.toSet());
-        require(names.size() == services.size(), "two services of one name");
+        Set<String> serviceNames = services.stream().map(RoutedService::name).collect(Collectors.toSet());
+        require(serviceNames.size() == services.size(), "duplicate service name");
         require(version > 0, "the version is not positive");
         Set<String> databases = new HashSet<>();
         for (Route route : routes) {
-            require(!route.database().isEmpty(), "a route without a database");
-            require(databases.add(route.database()), "two routes of database " + route.database());
-            require(names.contains(route.service()), "unknown service " + route.service());
-            require(route.statementTimeoutMs() > 0, "timeout 0 of route " + route.name());
+            require(!route.database().isEmpty(), "a route has no database");
+            require(databases.add(route.database()), "more than one route for database " + route.database());
+            require(serviceNames.contains(route.service()), "a route refers to the unknown service " + route.service());
+            require(route.statementTimeoutMs() > 0, "the statement timeout is not positive in route " + route.name());
         }
     }
 
-    /** The service of a name. */
+    /** Returns the service with the given name. */
     public Optional<RoutedService> service(String name) {
         return services.stream().filter(service -> service.name().equals(name)).findFirst();
     }
 
-    private static void require(boolean satisfied, String what) {
+    private static void require(boolean satisfied, String message) {
         if (!satisfied) {
-            throw new FailureException(FailureType.INVALID_CONFIGURATION, what);
+            throw new FailureException(FailureType.INVALID_CONFIGURATION, message);
         }
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/route/RouteKind.java
+++ b/core/src/main/java/org/hornbeamspread/core/route/RouteKind.java
@@ -1,11 +1,11 @@
 package org.hornbeamspread.core.route;
 
-/** What the reads of a route must see. */
+/** The consistency of the reads of a route. */
 public enum RouteKind {
-    /** Every acknowledged commit. */
+    /** Reads include every acknowledged commit. */
     PRIMARY,
-    /** Every commit acknowledged longer ago than the route's allowance. */
+    /** Reads include every commit acknowledged longer ago than the route's maximum staleness. */
     BOUNDED_STALENESS,
-    /** As bounded staleness, and the session's own commits. */
+    /** As bounded staleness, and reads also include the session's own commits. */
     READ_YOUR_WRITES
 }
--- a/core/src/main/java/org/hornbeamspread/core/route/RoutedService.java
+++ b/core/src/main/java/org/hornbeamspread/core/route/RoutedService.java
@@ -1,10 +1,10 @@
 package org.hornbeamspread.core.route;
 
 /**
- * A service of one primary and its replicas.
+ * A service: one primary and its replicas.
  *
- * @param name of the service
- * @param maxConnections of one database, from all callers together; 0 for no limit known
- * @param syncReplicas how many replicas hold a commit before it is acknowledged
+ * @param name the name of the service
+ * @param maxConnections the connection limit of one database, over all callers; 0 if no limit is known
+ * @param syncReplicas the number of replicas that must hold a commit before it is acknowledged
  */
 public record RoutedService(String name, int maxConnections, int syncReplicas) {}
--- a/core/src/test/java/org/hornbeamspread/core/route/InstanceRegistryTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/route/InstanceRegistryTest.java
@@ -14,22 +14,26 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * Announcements and departures may be late or repeated, and ids and addresses are reused. The registry must not restore
+ * an outdated incarnation, and must retain a lost copy for each one that ended.
+ */
 final class InstanceRegistryTest {
-    private static final DatabaseInstance KNOWN = instance("a", 1, 100, 7, false);
+    private static final DatabaseInstance REGISTERED = instance("a", 1, 100, 7, false);
 
     private final InstanceRegistry registry = new InstanceRegistry();
 
     @ParameterizedTest
     @MethodSource("announcementCases")
     void announcementsAreOrderedByStartTimeAndSequence(
-            String name, DatabaseInstance announced, AnnouncementStatus verdict) {
-        registry.announce(KNOWN);
+            String name, DatabaseInstance announced, AnnouncementStatus expected) {
+        registry.announce(REGISTERED);
 
-        assertThat(registry.classify(announced)).isEqualTo(verdict);
+        assertThat(registry.classify(announced)).isEqualTo(expected);
         registry.announce(announced);
 
-        boolean taken = verdict != AnnouncementStatus.OUTDATED;
-        assertThat(registry.all().contains(announced)).isEqualTo(taken);
+        boolean applied = expected != AnnouncementStatus.OUTDATED;
+        assertThat(registry.all().contains(announced)).isEqualTo(applied);
     }
 
     static Stream<Arguments> announcementCases() {
@@ -38,18 +42,20 @@
                 Arguments.of("a change", instance("a", 1, 100, 8, true), AnnouncementStatus.NEW),
                 Arguments.of("an earlier sequence", instance("a", 1, 100, 6, true), AnnouncementStatus.OUTDATED),
                 Arguments.of(
-                        "a later birth whose sequence begins anew",
+                        "a later start time with a lower sequence",
                         instance("a", 1, 200, 1, false),
                         AnnouncementStatus.NEW),
-                Arguments.of("an earlier birth", instance("a", 1, 50, 99, false), AnnouncementStatus.OUTDATED),
+                Arguments.of("an earlier start time", instance("a", 1, 50, 99, false), AnnouncementStatus.OUTDATED),
                 Arguments.of("another id", instance("b", 2, 100, 1, false), AnnouncementStatus.NEW),
                 Arguments.of(
-                        "the address's earlier owner", instance("b", 1, 50, 9, false), AnnouncementStatus.OUTDATED));
+                        "an earlier holder of the address",
+                        instance("b", 1, 50, 9, false),
+                        AnnouncementStatus.OUTDATED));
     }
 
     @Test
     void aLaterInstanceReplacesTheOneAtItsAddress() {
-        registry.announce(KNOWN);
+        registry.announce(REGISTERED);
         registry.announce(instance("b", 1, 200, 1, false));
 
         assertThat(registry.find("a")).isEmpty();
@@ -58,7 +64,7 @@
 
     @Test
     void aLateAnnouncementDoesNotReaddADepartedInstance() {
-        registry.announce(KNOWN);
+        registry.announce(REGISTERED);
         registry.depart(new Departure("a", 100));
 
         registry.announce(instance("a", 1, 100, 9, false));
@@ -78,7 +84,7 @@
 
     @Test
     void aRestoredRegistryMakesTheSameDecisions() {
-        registry.announce(KNOWN);
+        registry.announce(REGISTERED);
         registry.announce(instance("b", 2, 300, 1, false));
         registry.depart(new Departure("b", 300));
         InstanceRegistry restored = new InstanceRegistry();
@@ -86,14 +92,14 @@
         restored.depart(new Departure("z", 100));
         restored.restore(registry.all(), registry.departures(), registry.lostCopies());
 
-        assertThat(restored.all()).containsExactly(KNOWN);
+        assertThat(restored.all()).containsExactly(REGISTERED);
         assertThat(restored.classify(instance("b", 2, 300, 1, false))).isEqualTo(AnnouncementStatus.OUTDATED);
         assertThat(restored.lostCopies()).containsExactly(lostCopy("b", 2, 300));
     }
 
     @Test
     void aRestartUnderTheSameIdLeavesALostCopy() {
-        registry.announce(KNOWN);
+        registry.announce(REGISTERED);
         registry.announce(instance("a", 1, 200, 1, false));
 
         assertThat(registry.lostCopies()).containsExactly(lostCopy("a", 1, 100));
@@ -101,7 +107,7 @@
 
     @Test
     void aRestartAtAnotherAddressLeavesALostCopyAtTheOldAddress() {
-        registry.announce(KNOWN);
+        registry.announce(REGISTERED);
         registry.announce(instance("b", 2, 150, 1, false));
         registry.announce(instance("a", 2, 200, 1, false));
 
@@ -112,17 +118,17 @@
 
     @Test
     void aDatabaseWhoseAddressIsReusedLeavesALostCopy() {
-        registry.announce(KNOWN);
+        registry.announce(REGISTERED);
         registry.announce(instance("b", 1, 200, 1, false));
 
         assertThat(registry.lostCopies()).containsExactly(lostCopy("a", 1, 100));
     }
 
-    /** The departure may name a later birth than the one that is known. */
+    /** The departure may have a later start time than the registered incarnation. */
     @ParameterizedTest
     @ValueSource(longs = {100, 130})
     void aDepartureLeavesALostCopy(long departedMs) {
-        registry.announce(KNOWN);
+        registry.announce(REGISTERED);
         registry.depart(new Departure("a", departedMs));
 
         assertThat(registry.lostCopies()).containsExactly(lostCopy("a", 1, 100));
@@ -131,7 +137,7 @@
     @ParameterizedTest
     @MethodSource("callsThatEndNoIncarnation")
     void noLostCopyIsAddedWhenNoIncarnationEnds(String name, Consumer<InstanceRegistry> calls) {
-        registry.announce(KNOWN);
+        registry.announce(REGISTERED);
         registry.announce(instance("b", 2, 100, 1, false));
         registry.depart(new Departure("b", 100));
         calls.accept(registry);
@@ -141,22 +147,25 @@
 
     static Stream<Arguments> callsThatEndNoIncarnation() {
         return Stream.of(
-                endsNoIncarnation("a later sequence", known -> known.announce(instance("a", 1, 100, 8, false))),
-                endsNoIncarnation("a change", known -> known.announce(instance("a", 1, 100, 8, true))),
-                endsNoIncarnation("another address", known -> known.announce(instance("a", 3, 100, 8, false))),
-                endsNoIncarnation("an earlier birth", known -> known.announce(instance("a", 1, 50, 99, false))),
+                endsNoIncarnation("a later sequence", target -> target.announce(instance("a", 1, 100, 8, false))),
+                endsNoIncarnation("a change", target -> target.announce(instance("a", 1, 100, 8, true))),
+                endsNoIncarnation("another address", target -> target.announce(instance("a", 3, 100, 8, false))),
+                endsNoIncarnation("an earlier start time", target -> target.announce(instance("a", 1, 50, 99, false))),
                 endsNoIncarnation(
-                        "the address's earlier owner", known -> known.announce(instance("c", 1, 50, 9, false))),
-                endsNoIncarnation("a departed one", known -> known.announce(instance("b", 1, 100, 9, false))),
-                endsNoIncarnation("a late departure", known -> known.depart(new Departure("a", 99))),
-                endsNoIncarnation("a departure a second time", known -> known.depart(new Departure("b", 100))),
-                endsNoIncarnation("a departure of what is not known", known -> known.depart(new Departure("c", 100))));
+                        "an earlier holder of the address", target -> target.announce(instance("c", 1, 50, 9, false))),
+                endsNoIncarnation(
+                        "an announcement of a departed database",
+                        target -> target.announce(instance("b", 1, 100, 9, false))),
+                endsNoIncarnation("a late departure", target -> target.depart(new Departure("a", 99))),
+                endsNoIncarnation("a repeated departure", target -> target.depart(new Departure("b", 100))),
+                endsNoIncarnation(
+                        "a departure of an unregistered database", target -> target.depart(new Departure("c", 100))));
     }
 
-    /** Named by their birth, as a late announcement may bring an earlier one back for a while. */
+    /** The latest by start time, since a late announcement may register an earlier incarnation again for a while. */
     @Test
     void onlyTheLatestLostCopyOfAnAddressIsKept() {
-        registry.announce(KNOWN);
+        registry.announce(REGISTERED);
         registry.announce(instance("b", 1, 200, 1, false));
         registry.announce(instance("b", 1, 300, 1, false));
         assertThat(registry.lostCopies()).containsExactly(lostCopy("b", 1, 200));
@@ -170,8 +179,8 @@
 
     @Test
     void lostCopiesOfDifferentServicesAreKeptSeparately() {
-        Address address = KNOWN.address();
-        registry.announce(KNOWN);
+        Address address = REGISTERED.address();
+        registry.announce(REGISTERED);
         registry.announce(new DatabaseInstance("b", "audit", address, "domain", 2, false, false, 200, 1));
         registry.depart(new Departure("b", 200));
 
--- a/core/src/test/java/org/hornbeamspread/core/route/RouteConfigurationTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/route/RouteConfigurationTest.java
@@ -32,12 +32,12 @@
     static Stream<Arguments> invalidConfigurations() {
         Route topup = route("topup", "ledger", 800);
         return Stream.of(
-                Arguments.of("no version", 0, List.of(topup), List.of(LEDGER)),
+                Arguments.of("version 0", 0, List.of(topup), List.of(LEDGER)),
                 Arguments.of("an unknown service", 1, List.of(route("topup", "stock", 800)), List.of(LEDGER)),
-                Arguments.of("no time", 1, List.of(route("topup", "ledger", 0)), List.of(LEDGER)),
-                Arguments.of("a database twice", 1, List.of(topup, topup), List.of(LEDGER)),
-                Arguments.of("no database", 1, List.of(route("", "ledger", 800)), List.of(LEDGER)),
-                Arguments.of("a service twice", 1, List.of(topup), List.of(LEDGER, LEDGER)));
+                Arguments.of("no statement timeout", 1, List.of(route("topup", "ledger", 0)), List.of(LEDGER)),
+                Arguments.of("two routes for one database", 1, List.of(topup, topup), List.of(LEDGER)),
+                Arguments.of("a route without a database", 1, List.of(route("", "ledger", 800)), List.of(LEDGER)),
+                Arguments.of("duplicate service names", 1, List.of(topup), List.of(LEDGER, LEDGER)));
     }
 
     private static Route route(String database, String service, long timeoutMs) {
