--- a/core/src/main/java/org/hornbeamspread/core/route/RouteConfiguration.java
+++ b/core/src/main/java/org/hornbeamspread/core/route/RouteConfiguration.java
@@ -33,7 +33,7 @@
      */
     public void validate() {
         Set<String> serviceNames = services.stream().map(RoutedService::name).collect(Collectors.toSet());
-        require(serviceNames.size() == services.size(), "duplicate service name");
+        require(serviceNames.size() == services.size(), "two services have the same name");
         require(version > 0, "the version is not positive");
         Set<String> databases = new HashSet<>();
         for (Route route : routes) {
--- a/core/src/test/java/org/hornbeamspread/core/consensus/LogHarness.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/LogHarness.java
@@ -79,7 +79,7 @@
             }
             runFaultFreeRound();
         }
-        throw new LogChecker.Violation("the condition still does not hold after the last fault-free round");
+        throw new LogChecker.Violation("the log did not reach the expected state within the fault-free rounds");
     }
 
     /** One round in which the clock advances, every message in flight is delivered and every persist is synced. */
