--- a/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusNodeTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusNodeTest.java
@@ -130,8 +130,8 @@
     void aFollowerBehindTheStartOfTheLeadersLogInstallsASnapshot() {
         LogHarness harness = harness(3, ConsensusRule.PRE_VOTE, true);
         LogHarness.Host leader = harness.leader().orElseThrow();
-        LogHarness.Host behind = harness.host(otherIds(harness, leader.id).get(0));
-        behind.crash();
+        LogHarness.Host lagging = harness.host(otherIds(harness, leader.id).get(0));
+        lagging.crash();
         for (int i = 0; i < 40; i++) {
             leader.propose(Optional.empty());
             harness.runFaultFreeRound();
@@ -139,8 +139,8 @@
         harness.runUntil(() -> leader.applied == leader.node.lastIndex());
         leader.snapshot();
         harness.healAll();
-        harness.runUntil(() -> behind.applied == leader.applied);
-        assertThat(behind.disk.stored().snapshot().lastIndex()).isGreaterThan(0);
+        harness.runUntil(() -> lagging.applied == leader.applied);
+        assertThat(lagging.disk.stored().snapshot().lastIndex()).isGreaterThan(0);
     }
 
     @Test
