--- a/core/src/main/java/org/hornbeamspread/core/consensus/LeaderRole.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/LeaderRole.java
@@ -10,56 +10,56 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * What a member does while it leads: replicates, commits, confirms reads, and mends the membership.
+ * The leader role of a member: replication, commits, read confirmation and repair of the membership.
  *
- * <p>A record is committed once a majority of voters has synced it and it is of the leader's own term; an older one is
- * committed by a younger one behind it, since a later leader may still replace a record that merely has copies. So the
- * leader first appends an empty record of its term.
+ * <p>A record is committed once a majority of the voters has synced it and it is of the leader's own term. A record of
+ * an older term is committed by a later record of the leader's term, since a later leader may still replace an older
+ * record even when a majority holds copies of it. The leader therefore first appends an empty record of its term.
  *
- * <p>A read is confirmed by a round of appends that began after the read came: a majority that still follows this
- * term proves that no later leader had committed anything before.
+ * <p>A read is confirmed by a round of appends that began after the read arrived: the responses of a majority in this
+ * term prove that no later leader had committed a record before the read.
  *
- * <p>A voter that answers with a new incarnation lost its disk and its votes. The leader records it first as
- * non-voting, and as voting again once it has synced everything committed. Each step changes one voter, so that the
- * majorities before and after meet.
+ * <p>A voter that responds with a new incarnation has lost its disk and its votes. The leader first records it as
+ * non-voting, and as voting again once it has synced all committed records. Each step changes one voter, so that any
+ * majorities before and after the step share a voter.
  */
 final class LeaderRole {
     private final NodeState state;
     private final Map<String, Progress> progress = new TreeMap<>();
-    private final Deque<PendingRead> reads = new ArrayDeque<>();
+    private final Deque<PendingRead> pendingReads = new ArrayDeque<>();
 
-    /** The leader's first record of its term. */
-    private final long firstIndex;
+    /** The index of the first record of the leader's term. */
+    private final long termStartIndex;
 
     private long round;
     private long nextHeartbeatMs;
-    private long nextRepairMs;
+    private long nextMembershipChangeMs;
 
     LeaderRole(NodeState state) {
         this.state = state;
-        followMembership();
-        this.firstIndex = append(Payload.EMPTY, Optional.empty());
+        updatePeers();
+        this.termStartIndex = append(Payload.EMPTY, Optional.empty());
     }
 
     /** Whether a record of this term is committed. */
     boolean isReady() {
-        return state.commitIndex() >= firstIndex;
+        return state.commitIndex() >= termStartIndex;
     }
 
     /** False when this leader must step down. */
     boolean tick() {
         long nowMs = state.nowMs();
-        if (state.has(ConsensusRule.CHECK_QUORUM) && !hearsMajority(nowMs)) {
+        if (state.isEnabled(ConsensusRule.CHECK_QUORUM) && !hasMajorityContact(nowMs)) {
             return false;
         }
         if (nowMs >= nextHeartbeatMs) {
-            nextHeartbeatMs = nowMs + state.times.heartbeatMs();
-            progress.values().forEach(peer -> send(peer, true));
+            nextHeartbeatMs = nowMs + state.parameters.heartbeatMs();
+            progress.values().forEach(peer -> replicateTo(peer, true));
         }
-        if (nowMs >= nextRepairMs) {
-            neededMembership(nowMs).ifPresent(members -> {
-                nextRepairMs = nowMs + state.times.electionTimeoutMs();
-                state.outbox.emit(new ConsensusEffect.MembershipNeeded(members));
+        if (nowMs >= nextMembershipChangeMs) {
+            nextMembershipChange(nowMs).ifPresent(members -> {
+                nextMembershipChangeMs = nowMs + state.parameters.electionTimeoutMs();
+                state.outbox.emit(new ConsensusEffect.MembershipChangeNeeded(members));
             });
         }
         return true;
@@ -74,26 +74,26 @@
         long index = append(proposal.payload(), proposal.membership());
         state.outbox.emit(new ConsensusEffect.ProposalAppended(proposal.proposalId(), index, state.term()));
         if (proposal.membership().isPresent()) {
-            followMembership();
+            updatePeers();
         }
     }
 
     void read(long readId) {
-        if (!state.has(ConsensusRule.CONFIRM_READS)) {
+        if (!state.isEnabled(ConsensusRule.CONFIRM_READS)) {
             state.outbox.emit(new ConsensusEffect.ReadConfirmed(readId));
             return;
         }
-        reads.add(new PendingRead(readId, Math.max(firstIndex, state.commitIndex()), round + 1));
+        pendingReads.add(new PendingRead(readId, Math.max(termStartIndex, state.commitIndex()), round + 1));
     }
 
     void refuseReads() {
-        reads.forEach(
+        pendingReads.forEach(
                 read -> state.outbox.emit(new ConsensusEffect.ReadRefused(read.readId(), FailureType.NOT_LEADER)));
-        reads.clear();
+        pendingReads.clear();
     }
 
     void onAppendResponse(Message.AppendResponse response) {
-        Progress peer = heard(response.memberId(), response.incarnation());
+        Progress peer = recordContact(response.memberId(), response.incarnation());
         if (peer == null) {
             return;
         }
@@ -106,25 +106,25 @@
     }
 
     void onSnapshotResponse(Message.SnapshotResponse response) {
-        Progress peer = heard(response.memberId(), response.incarnation());
+        Progress peer = recordContact(response.memberId(), response.incarnation());
         if (peer != null) {
             peer.snapshotInFlight = false;
             peer.onMatch(response.matchIndex());
         }
     }
 
-    /** Commits what a majority has, confirms reads, and sends what there is to send. */
+    /** Commits the records that a majority has synced, confirms reads, and sends pending records. */
     void flush() {
         commit();
-        boolean newRound = !reads.isEmpty() && reads.peekLast().round() > round;
+        boolean newRound = !pendingReads.isEmpty() && pendingReads.peekLast().round() > round;
         if (newRound) {
             round++;
         }
         confirmReads();
-        progress.values().forEach(peer -> send(peer, newRound));
+        progress.values().forEach(peer -> replicateTo(peer, newRound));
     }
 
-    /** The last record that a member is known to have synced. */
+    /** The index up to which a member has acknowledged synced records. */
     long matchIndex(String memberId) {
         if (memberId.equals(state.selfId)) {
             return state.outbox.syncedIndex();
@@ -133,21 +133,21 @@
         return peer == null ? 0 : peer.matchIndex;
     }
 
-    /** How long a member has not answered. */
+    /** Milliseconds since the last response of a member. */
     long silentMs(String memberId) {
         Progress peer = progress.get(memberId);
-        return peer == null ? 0 : state.nowMs() - peer.lastHeardMs;
+        return peer == null ? 0 : state.nowMs() - peer.lastContactMs;
     }
 
-    private Progress heard(String memberId, long incarnation) {
+    private Progress recordContact(String memberId, long incarnation) {
         Progress peer = progress.get(memberId);
         if (peer == null) {
             return null;
         }
-        if (peer.incarnation != incarnation && state.has(ConsensusRule.COUNT_INCARNATION)) {
-            peer.restart(incarnation, state.log.lastIndex() + 1);
+        if (peer.incarnation != incarnation && state.isEnabled(ConsensusRule.COUNT_INCARNATION)) {
+            peer.reset(incarnation, state.log.lastIndex() + 1);
         }
-        peer.lastHeardMs = state.nowMs();
+        peer.lastContactMs = state.nowMs();
         return peer;
     }
 
@@ -158,7 +158,7 @@
         return record.index();
     }
 
-    private void followMembership() {
+    private void updatePeers() {
         List<String> others = state.log.membership().members().stream()
                 .map(Member::memberId)
                 .filter(id -> !id.equals(state.selfId))
@@ -169,34 +169,36 @@
     }
 
     private Optional<FailureType> refusal(ConsensusEvent.Proposal proposal) {
-        if (state.log.lastIndex() - state.commitIndex() >= state.times.uncommittedRecords()) {
+        if (state.log.lastIndex() - state.commitIndex() >= state.parameters.maxUncommittedRecords()) {
             return Optional.of(FailureType.QUEUE_FULL);
         }
-        if (proposal.membership().isEmpty() || !state.has(ConsensusRule.ONE_CHANGE_AT_A_TIME)) {
+        if (proposal.membership().isEmpty() || !state.isEnabled(ConsensusRule.ONE_CHANGE_AT_A_TIME)) {
             return Optional.empty();
         }
         Membership next = proposal.membership().get();
-        if (!next.isWellFormed() || state.log.membership().votersChangedTo(next) > 1) {
+        if (!next.isWellFormed() || state.log.membership().countVoterChanges(next) > 1) {
             return Optional.of(FailureType.INVALID_REQUEST);
         }
-        boolean settled = isReady() && state.log.membershipIndex() <= state.commitIndex();
+        boolean previousChangeCommitted = isReady() && state.log.membershipIndex() <= state.commitIndex();
         boolean caughtUp = next.voters().stream()
                 .filter(voter -> !state.log.membership().voters().contains(voter))
                 .allMatch(voter -> countedMatchIndex(voter) >= state.commitIndex());
-        return settled && caughtUp ? Optional.empty() : Optional.of(FailureType.MEMBER_CHANGE_IN_PROGRESS);
+        return previousChangeCommitted && caughtUp
+                ? Optional.empty()
+                : Optional.of(FailureType.MEMBER_CHANGE_IN_PROGRESS);
     }
 
-    /** A voter's copies, as far as they are this incarnation's. */
+    /** The match index of a voter; 0 unless it was acknowledged by the incarnation in the membership. */
     private long countedMatchIndex(Member voter) {
         if (voter.memberId().equals(state.selfId)) {
-            return isCounted(voter, state.incarnation) ? state.outbox.syncedIndex() : 0;
+            return isCurrentIncarnation(voter, state.incarnation) ? state.outbox.syncedIndex() : 0;
         }
         Progress peer = progress.get(voter.memberId());
-        return peer != null && isCounted(voter, peer.incarnation) ? peer.matchIndex : 0;
+        return peer != null && isCurrentIncarnation(voter, peer.incarnation) ? peer.matchIndex : 0;
     }
 
-    private boolean isCounted(Member voter, long incarnation) {
-        return voter.incarnation() == incarnation || !state.has(ConsensusRule.COUNT_INCARNATION);
+    private boolean isCurrentIncarnation(Member voter, long incarnation) {
+        return voter.incarnation() == incarnation || !state.isEnabled(ConsensusRule.COUNT_INCARNATION);
     }
 
     private void commit() {
@@ -206,59 +208,59 @@
                 .sorted(Comparator.reverseOrder())
                 .toList();
         long index = matches.get(matches.size() / 2);
-        boolean ownTerm = index > state.commitIndex() && state.log.termAt(index) == state.term();
-        if (ownTerm || !state.has(ConsensusRule.COMMIT_OWN_TERM_ONLY)) {
+        boolean isOwnTerm = index > state.commitIndex() && state.log.termAt(index) == state.term();
+        if (isOwnTerm || !state.isEnabled(ConsensusRule.COMMIT_OWN_TERM_ONLY)) {
             state.commitTo(index);
         }
     }
 
     private void confirmReads() {
-        while (!reads.isEmpty()) {
-            PendingRead read = reads.peek();
+        while (!pendingReads.isEmpty()) {
+            PendingRead read = pendingReads.peek();
             boolean confirmed = state.log.membership().isMajority(voter -> hasAcked(voter, read.round()));
             if (!confirmed || state.commitIndex() < read.index()) {
                 return;
             }
-            reads.remove();
+            pendingReads.remove();
             state.outbox.emit(new ConsensusEffect.ReadConfirmed(read.readId()));
         }
     }
 
-    private boolean hasAcked(Member voter, long wantedRound) {
+    private boolean hasAcked(Member voter, long requiredRound) {
         if (voter.memberId().equals(state.selfId)) {
-            return wantedRound <= round;
+            return requiredRound <= round;
         }
         Progress peer = progress.get(voter.memberId());
-        return peer != null && isCounted(voter, peer.incarnation) && peer.ackedRound >= wantedRound;
+        return peer != null && isCurrentIncarnation(voter, peer.incarnation) && peer.ackedRound >= requiredRound;
     }
 
-    private boolean hearsMajority(long nowMs) {
-        long oldestMs = nowMs - 2 * state.times.electionTimeoutMs();
+    private boolean hasMajorityContact(long nowMs) {
+        long earliestContactMs = nowMs - 2 * state.parameters.electionTimeoutMs();
         return state.log.membership().isMajority(voter -> {
             Progress peer = progress.get(voter.memberId());
-            return voter.memberId().equals(state.selfId) || (peer != null && peer.lastHeardMs >= oldestMs);
+            return voter.memberId().equals(state.selfId) || (peer != null && peer.lastContactMs >= earliestContactMs);
         });
     }
 
-    private void send(Progress peer, boolean evenIfEmpty) {
+    private void replicateTo(Progress peer, boolean evenIfEmpty) {
         long nowMs = state.nowMs();
-        boolean waiting = peer.isWaiting(nowMs);
+        boolean requestInFlight = peer.hasRequestInFlight(nowMs);
         if (peer.nextIndex <= state.log.baseIndex()) {
-            if (!waiting) {
+            if (!requestInFlight) {
                 sendSnapshot(peer, nowMs);
             }
             if (evenIfEmpty) {
                 sendAppend(peer, 0, List.of());
             }
-        } else if (waiting) {
+        } else if (requestInFlight) {
             if (evenIfEmpty) {
                 sendAppend(peer, peer.matchIndex >= state.log.baseIndex() ? peer.matchIndex : 0, List.of());
             }
         } else {
-            List<LogRecord> records = state.log.from(peer.nextIndex, state.times.batchBytes());
+            List<LogRecord> records = state.log.batchFrom(peer.nextIndex, state.parameters.batchBytes());
             if (!records.isEmpty()) {
                 peer.inFlightIndex = records.get(records.size() - 1).index();
-                peer.inFlightUntilMs = nowMs + state.times.electionTimeoutMs();
+                peer.inFlightDeadlineMs = nowMs + state.parameters.electionTimeoutMs();
             }
             if (!records.isEmpty() || evenIfEmpty) {
                 sendAppend(peer, peer.nextIndex - 1, records);
@@ -268,7 +270,7 @@
 
     private void sendSnapshot(Progress peer, long nowMs) {
         peer.snapshotInFlight = true;
-        peer.inFlightUntilMs = nowMs + 10 * state.times.electionTimeoutMs();
+        peer.inFlightDeadlineMs = nowMs + 10 * state.parameters.electionTimeoutMs();
         state.outbox.emit(new ConsensusEffect.Send(
                 peer.memberId, new Message.SnapshotRequest(state.term(), state.selfId, state.log.snapshot())));
     }
@@ -281,25 +283,26 @@
                         state.term(), state.selfId, previousIndex, previousTerm, state.commitIndex(), records, round)));
     }
 
-    /** The next single step towards a membership in which every member that answers may vote. */
-    private Optional<Membership> neededMembership(long nowMs) {
+    /** The next single-member change towards a membership in which every responding member votes. */
+    private Optional<Membership> nextMembershipChange(long nowMs) {
         if (!isReady() || state.log.membershipIndex() > state.commitIndex()) {
             return Optional.empty();
         }
-        Membership present = state.log.membership();
+        Membership current = state.log.membership();
         for (Progress peer : progress.values()) {
-            Member member = present.find(peer.memberId).orElseThrow();
-            boolean answers = peer.incarnation != 0 && nowMs - peer.lastHeardMs <= state.times.electionTimeoutMs();
-            if (answers && member.voting() && member.incarnation() != peer.incarnation) {
-                return Optional.of(present.with(new Member(peer.memberId, peer.incarnation, false)));
+            Member member = current.find(peer.memberId).orElseThrow();
+            boolean responsive =
+                    peer.incarnation != 0 && nowMs - peer.lastContactMs <= state.parameters.electionTimeoutMs();
+            if (responsive && member.voting() && member.incarnation() != peer.incarnation) {
+                return Optional.of(current.withMember(new Member(peer.memberId, peer.incarnation, false)));
             }
-            if (answers && !member.voting() && peer.matchIndex >= state.commitIndex()) {
-                return Optional.of(present.with(new Member(peer.memberId, peer.incarnation, true)));
+            if (responsive && !member.voting() && peer.matchIndex >= state.commitIndex()) {
+                return Optional.of(current.withMember(new Member(peer.memberId, peer.incarnation, true)));
             }
         }
-        return state.log.membershipIndex() == 0 ? Optional.of(present) : Optional.empty();
+        return state.log.membershipIndex() == 0 ? Optional.of(current) : Optional.empty();
     }
 
-    /** A read that waits for a round and for a commit index. */
+    /** A read that waits for a round of appends and for a commit index. */
     private record PendingRead(long readId, long index, long round) {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/consensus/NodeState.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/NodeState.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What a member's roles share. */
+/** The state that the roles of a member share. */
 final class NodeState {
     final String selfId;
     final long incarnation;
-    final ConsensusTimes times;
+    final ConsensusParameters parameters;
     final MemoryLog log;
     final Outbox outbox;
     private final Set<ConsensusRule> rules;
@@ -18,20 +18,21 @@
     private Optional<String> votedFor;
     private long commitIndex;
 
-    NodeState(String selfId, StoredState stored, ConsensusTimes times, Set<ConsensusRule> rules, Clock clock) {
+    NodeState(
+            String selfId, StoredState stored, ConsensusParameters parameters, Set<ConsensusRule> rules, Clock clock) {
         this.selfId = selfId;
         this.incarnation = stored.incarnation();
-        this.times = times;
+        this.parameters = parameters;
         this.rules = Set.copyOf(rules);
         this.clock = clock;
         this.log = new MemoryLog(stored);
-        this.outbox = new Outbox(has(ConsensusRule.SYNC_BEFORE_ANSWER), log.lastIndex());
+        this.outbox = new Outbox(isEnabled(ConsensusRule.SYNC_BEFORE_ANSWER), log.lastIndex());
         this.term = stored.term();
         this.votedFor = stored.votedFor();
         this.commitIndex = stored.snapshot().lastIndex();
     }
 
-    boolean has(ConsensusRule rule) {
+    boolean isEnabled(ConsensusRule rule) {
         return rules.contains(rule);
     }
 
@@ -51,16 +52,16 @@
         return commitIndex;
     }
 
-    /** Moves to a later term, or votes in the present one. */
-    void vote(long newTerm, Optional<String> candidateId) {
+    /** Advances to a later term, or votes in the current one. */
+    void setTermAndVote(long newTerm, Optional<String> candidateId) {
         term = newTerm;
         votedFor = candidateId;
         outbox.stageVote(newTerm, candidateId);
     }
 
-    /** Whether an incarnation's votes and copies count. */
+    /** Whether the votes and copies of this incarnation of a member are counted. */
     boolean isVoter(String memberId, long memberIncarnation) {
-        if (has(ConsensusRule.COUNT_INCARNATION)) {
+        if (isEnabled(ConsensusRule.COUNT_INCARNATION)) {
             return log.membership().isVoter(memberId, memberIncarnation);
         }
         return log.membership().find(memberId).filter(Member::voting).isPresent();
@@ -70,21 +71,21 @@
         return isVoter(selfId, incarnation);
     }
 
-    /** Commits up to an index and has it applied. */
+    /** Commits up to an index and emits the newly committed records to be applied. */
     void commitTo(long index) {
         if (index > commitIndex) {
-            List<LogRecord> committed = log.between(commitIndex + 1, index);
+            List<LogRecord> committed = log.recordsBetween(commitIndex + 1, index);
             commitIndex = index;
             outbox.emit(new ConsensusEffect.Apply(committed));
         }
     }
 
-    /** Takes a leader's snapshot in place of what is committed here. */
+    /** Installs a snapshot of the leader, which replaces the committed state of this member. */
     void install(Snapshot snapshot) {
-        boolean keepsRecords = log.matches(snapshot.lastIndex(), snapshot.lastTerm());
+        boolean retainsRecords = log.matches(snapshot.lastIndex(), snapshot.lastTerm());
         log.install(snapshot);
-        if (!keepsRecords) {
-            outbox.truncatedFrom(1);
+        if (!retainsRecords) {
+            outbox.onTruncated(1);
         }
         outbox.stageRewrite(log);
         commitIndex = snapshot.lastIndex();
--- a/core/src/test/java/org/hornbeamspread/core/consensus/LogChecker.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/LogChecker.java
@@ -4,20 +4,20 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** What must hold in every history of a log. */
+/** Checks the invariants that must hold in every history of a log. */
 final class LogChecker {
-    /** Who led each term. */
-    private final Map<Long, String> leaders = new HashMap<>();
+    /** The leader of each term. */
+    private final Map<Long, String> leaderByTerm = new HashMap<>();
 
-    private final Map<Long, LogRecord> committed = new HashMap<>();
+    private final Map<Long, LogRecord> committedByIndex = new HashMap<>();
 
     /** The state after each committed index. */
-    private final Map<Long, Long> states = new HashMap<>();
+    private final Map<Long, Long> stateByIndex = new HashMap<>();
 
     private long lastCommitted;
     private Optional<Membership> committedMembership = Optional.empty();
 
-    /** The last index that anyone applied: whoever asks for a read later must see it. */
+    /** The last index that any member applied; every read requested later must include it. */
     long lastCommitted() {
         return lastCommitted;
     }
@@ -27,32 +27,33 @@
     }
 
     void onLeader(long term, String leader) {
-        String first = leaders.putIfAbsent(term, leader);
+        String first = leaderByTerm.putIfAbsent(term, leader);
         require(first == null || first.equals(leader), "term " + term + " has leaders " + first + " and " + leader);
     }
 
     void onApply(LogRecord record, long state) {
-        LogRecord first = committed.putIfAbsent(record.index(), record);
+        LogRecord first = committedByIndex.putIfAbsent(record.index(), record);
         require(
                 first == null || first.equals(record),
                 "index " + record.index() + " was " + first + " and became " + record);
-        states.put(record.index(), state);
+        stateByIndex.put(record.index(), state);
         if (record.index() > lastCommitted) {
-            require(record.index() == lastCommitted + 1, "index " + record.index() + " applied before those in front");
+            require(record.index() == lastCommitted + 1, "index " + record.index() + " applied before earlier indexes");
             lastCommitted = record.index();
             committedMembership = record.membership().or(() -> committedMembership);
         }
     }
 
     void onRestore(long index, long state) {
-        Long known = states.get(index);
-        require(known != null && known == state, "a snapshot at " + index + " differs from what was committed");
+        Long known = stateByIndex.get(index);
+        require(known != null && known == state, "a snapshot at " + index + " differs from the committed state");
     }
 
-    void onRead(long appliedIndex, long committedWhenAsked) {
+    void onRead(long appliedIndex, long committedAtRequest) {
         require(
-                appliedIndex >= committedWhenAsked,
-                "a read saw " + appliedIndex + " though " + committedWhenAsked + " was committed before");
+                appliedIndex >= committedAtRequest,
+                "a read returned the state at index " + appliedIndex + " though " + committedAtRequest
+                        + " was committed before the read");
     }
 
     static void require(boolean holds, String violation) {
@@ -61,7 +62,7 @@
         }
     }
 
-    /** Something that must hold did not. */
+    /** An invariant was violated. */
     static final class Violation extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
--- a/core/src/test/java/org/hornbeamspread/core/consensus/LogHarness.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/LogHarness.java
@@ -13,7 +13,9 @@
 import java.util.TreeMap;
 import org.hornbeamspread.core.misc.PausedClock;
 
-/** Members of one log, with the messages and disks between their steps in the hands of a test. */
+/**
+ * Simulates the members of one log. The test controls the clock, the delivery of messages and the syncs of the disks.
+ */
 final class LogHarness {
     static final long ELECTION_TIMEOUT_MS = 100;
     static final long HEARTBEAT_MS = 20;
@@ -22,23 +24,23 @@
     final SplittableRandom random;
     final LogChecker checker = new LogChecker();
     final Map<String, Host> hosts = new TreeMap<>();
-    final List<Packet> network = new ArrayList<>();
-    final Set<String> cutOff = new HashSet<>();
+    final List<Packet> packetsInFlight = new ArrayList<>();
+    final Set<String> isolated = new HashSet<>();
     private final Set<ConsensusRule> rules;
-    private final ConsensusTimes times;
+    private final ConsensusParameters parameters;
     private final List<String> initialIds;
-    private final Map<Long, String> requesters = new HashMap<>();
-    private final Map<Long, Long> readsAsked = new HashMap<>();
+    private final Map<Long, String> requesterByReplyId = new HashMap<>();
+    private final Map<Long, Long> committedAtReadStart = new HashMap<>();
     private long nextId = 1;
-    int readsConfirmed;
-    int disksLost;
+    int confirmedReadCount;
+    int lostDiskCount;
 
     LogHarness(int members, long seed, Set<ConsensusRule> rules) {
         this.random = new SplittableRandom(seed);
         this.rules = rules;
-        // By odd seeds a record travels alone, so that histories can part between any two.
+        // Odd seeds send one record per message, so that histories can diverge between any two records.
         int batchBytes = seed % 2 == 1 ? 1 : 1 << 16;
-        this.times = new ConsensusTimes(ELECTION_TIMEOUT_MS, HEARTBEAT_MS, batchBytes, 64, 4);
+        this.parameters = new ConsensusParameters(ELECTION_TIMEOUT_MS, HEARTBEAT_MS, batchBytes, 64, 4);
         this.initialIds = new ArrayList<>();
         for (int i = 1; i <= members; i++) {
             initialIds.add("c" + i);
@@ -47,7 +49,7 @@
         hosts.values().forEach(Host::start);
     }
 
-    /** A member that the log does not know yet. */
+    /** Adds and starts a member that is not in the membership yet. */
     Host addHost(String id) {
         Host added = new Host(id);
         hosts.put(id, added);
@@ -55,9 +57,9 @@
         return added;
     }
 
-    /** Up to a leader whose membership is recorded. */
-    LogHarness formed() {
-        settleUntil(() -> checker.committedMembership().isPresent() && leader().isPresent());
+    /** Runs until there is a leader and the membership is committed. */
+    LogHarness awaitBootstrap() {
+        runUntil(() -> checker.committedMembership().isPresent() && leader().isPresent());
         return this;
     }
 
@@ -69,30 +71,30 @@
         return hosts.get(id);
     }
 
-    /** Runs without faults until something holds; fails when it does not come. */
-    void settleUntil(java.util.function.BooleanSupplier reached) {
+    /** Runs fault-free rounds until a condition holds; fails when it does not hold after 2000 rounds. */
+    void runUntil(java.util.function.BooleanSupplier condition) {
         for (int round = 0; round < 2_000; round++) {
-            if (reached.getAsBoolean()) {
+            if (condition.getAsBoolean()) {
                 return;
             }
-            runFairly();
+            runFaultFreeRound();
         }
-        throw new LogChecker.Violation("the log does not get on");
+        throw new LogChecker.Violation("the log did not reach the expected state within the fault-free rounds");
     }
 
-    /** One round in which time passes and every message and disk gets through. */
-    void runFairly() {
+    /** One round in which the clock advances, every message in flight is delivered and every persist is synced. */
+    void runFaultFreeRound() {
         clock.advance(Duration.ofMillis(5));
         hosts.values().forEach(Host::tick);
-        List<Packet> packets = List.copyOf(network);
-        network.clear();
+        List<Packet> packets = List.copyOf(packetsInFlight);
+        packetsInFlight.clear();
         packets.forEach(this::deliver);
-        hosts.values().forEach(host -> host.sync(host.unsynced.size()));
+        hosts.values().forEach(host -> host.sync(host.unsyncedPersists.size()));
     }
 
     void runFor(Duration time) {
         for (long ms = 0; ms < time.toMillis(); ms += 5) {
-            runFairly();
+            runFaultFreeRound();
         }
     }
 
@@ -103,11 +105,14 @@
     }
 
     void healAll() {
-        cutOff.clear();
+        isolated.clear();
         hosts.values().forEach(Host::start);
     }
 
-    /** A member of several may lose its disk when every voter still has the one that the log names. */
+    /**
+     * Whether a member may lose its disk: there are several members, and each still has the disk of the incarnation
+     * that the log records as a voter. Without incarnations, every member must have applied all committed records.
+     */
     boolean mayLoseDisk() {
         if (hosts.size() == 1) {
             return false;
@@ -115,11 +120,11 @@
         if (!rules.contains(ConsensusRule.COUNT_INCARNATION)) {
             return hosts.values().stream().allMatch(host -> host.applied == checker.lastCommitted());
         }
-        return isWhole();
+        return isEveryMemberVoter();
     }
 
-    /** Whether the log names the present incarnation of every member as a voter. */
-    boolean isWhole() {
+    /** Whether the committed membership has the current incarnation of every member as a voter. */
+    boolean isEveryMemberVoter() {
         return checker.committedMembership()
                 .map(members ->
                         hosts.values().stream().allMatch(host -> members.isVoter(host.id, host.disk.incarnation())))
@@ -127,13 +132,13 @@
     }
 
     private boolean isReachable(String id) {
-        return !cutOff.contains(id);
+        return !isolated.contains(id);
     }
 
-    /** A message on its way; the reply id is 0 in a response. */
+    /** A message in flight. */
     record Packet(String from, String to, Message message) {}
 
-    /** One member with its disk. */
+    /** One simulated member with its disk. */
     final class Host {
         final String id;
         DiskModel disk;
@@ -143,7 +148,7 @@
         boolean ready;
         long applied;
         long state;
-        final List<ConsensusEffect.Persist> unsynced = new ArrayList<>();
+        final List<ConsensusEffect.Persist> unsyncedPersists = new ArrayList<>();
         final Set<Long> refused = new HashSet<>();
 
         Host(String id) {
@@ -155,7 +160,7 @@
             if (up) {
                 return;
             }
-            node = new ConsensusNode(id, initialIds, true, disk.stored(), times, clock, random.split(), rules);
+            node = new ConsensusNode(id, initialIds, true, disk.stored(), parameters, clock, random.split(), rules);
             up = true;
             Snapshot snapshot = disk.stored().snapshot();
             applied = 0;
@@ -165,12 +170,12 @@
             }
         }
 
-        /** Stops; of what was not reported synced, a first part may be on the disk all the same. */
+        /** Crashes; a random prefix of the persists not yet reported as synced is on the disk nevertheless. */
         void crash() {
             if (up) {
-                int kept = random.nextInt(unsynced.size() + 1);
-                unsynced.subList(0, kept).forEach(disk::write);
-                unsynced.clear();
+                int kept = random.nextInt(unsyncedPersists.size() + 1);
+                unsyncedPersists.subList(0, kept).forEach(disk::write);
+                unsyncedPersists.clear();
                 up = false;
                 leads = false;
                 ready = false;
@@ -180,7 +185,7 @@
         void loseDisk() {
             crash();
             disk = new DiskModel(nextId++);
-            disksLost++;
+            lostDiskCount++;
         }
 
         void tick() {
@@ -189,7 +194,7 @@
 
         void receive(Packet packet) {
             long replyId = nextId++;
-            requesters.put(replyId, packet.from());
+            requesterByReplyId.put(replyId, packet.from());
             step(new ConsensusEvent.Received(packet.message(), replyId));
         }
 
@@ -202,7 +207,7 @@
 
         void read() {
             long readId = nextId++;
-            readsAsked.put(readId, checker.lastCommitted());
+            committedAtReadStart.put(readId, checker.lastCommitted());
             step(new ConsensusEvent.Read(readId));
         }
 
@@ -212,10 +217,10 @@
             }
         }
 
-        /** Syncs the first persists and reports them. */
+        /** Syncs the oldest {@code count} persists and reports each as synced. */
         void sync(int count) {
-            for (int i = 0; i < count && up && !unsynced.isEmpty(); i++) {
-                ConsensusEffect.Persist first = unsynced.remove(0);
+            for (int i = 0; i < count && up && !unsyncedPersists.isEmpty(); i++) {
+                ConsensusEffect.Persist first = unsyncedPersists.remove(0);
                 disk.write(first);
                 step(new ConsensusEvent.Synced(first.persistId()));
             }
@@ -228,18 +233,18 @@
         private void step(ConsensusEvent event) {
             if (up) {
                 node.step(event);
-                carryOut(node.drain());
+                execute(node.drain());
             }
         }
 
-        private void carryOut(List<ConsensusEffect> effects) {
+        private void execute(List<ConsensusEffect> effects) {
             for (ConsensusEffect effect : effects) {
                 if (effect instanceof ConsensusEffect.Send send) {
-                    network.add(new Packet(id, send.toMemberId(), send.message()));
+                    packetsInFlight.add(new Packet(id, send.toMemberId(), send.message()));
                 } else if (effect instanceof ConsensusEffect.Reply reply) {
-                    network.add(new Packet(id, requesters.get(reply.replyId()), reply.message()));
+                    packetsInFlight.add(new Packet(id, requesterByReplyId.get(reply.replyId()), reply.message()));
                 } else if (effect instanceof ConsensusEffect.Persist persist) {
-                    unsynced.add(persist);
+                    unsyncedPersists.add(persist);
                 } else if (effect instanceof ConsensusEffect.Apply apply) {
                     apply.records().forEach(this::apply);
                 } else if (effect instanceof ConsensusEffect.Restore restore) {
@@ -247,9 +252,9 @@
                 } else if (effect instanceof ConsensusEffect.LeadershipChanged changed) {
                     onLeadership(changed);
                 } else if (effect instanceof ConsensusEffect.ReadConfirmed confirmed) {
-                    readsConfirmed++;
-                    checker.onRead(applied, readsAsked.get(confirmed.readId()));
-                } else if (effect instanceof ConsensusEffect.MembershipNeeded needed) {
+                    confirmedReadCount++;
+                    checker.onRead(applied, committedAtReadStart.get(confirmed.readId()));
+                } else if (effect instanceof ConsensusEffect.MembershipChangeNeeded needed) {
                     propose(Optional.of(needed.membership()));
                 } else if (effect instanceof ConsensusEffect.ProposalRefused proposal) {
                     refused.add(proposal.proposalId());
--- a/core/src/test/java/org/hornbeamspread/core/route/InstanceRegistryTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/route/InstanceRegistryTest.java
@@ -6,45 +6,56 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 import org.hornbeamspread.core.membership.Address;
+import org.hornbeamspread.core.route.InstanceRegistry.AnnouncementStatus;
 import org.hornbeamspread.core.route.InstanceRegistry.Departure;
-import org.hornbeamspread.core.route.InstanceRegistry.Verdict;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * Announcements and departures may be late or repeated, and ids and addresses are reused. The registry must not restore
+ * an outdated incarnation, and must retain a lost copy for each one that ended.
+ */
 final class InstanceRegistryTest {
-    private static final DatabaseInstance KNOWN = instance("a", 1, 100, 7, false);
+    private static final DatabaseInstance REGISTERED = instance("a", 1, 100, 7, false);
 
     private final InstanceRegistry registry = new InstanceRegistry();
 
     @ParameterizedTest
-    @MethodSource("announcements")
-    void announcementsAreOrderedByBirthAndSequence(String name, DatabaseInstance announced, Verdict verdict) {
-        registry.announce(KNOWN);
+    @MethodSource("announcementCases")
+    void announcementsAreOrderedByStartTimeAndSequence(
+            String name, DatabaseInstance announced, AnnouncementStatus expected) {
+        registry.announce(REGISTERED);
 
-        assertThat(registry.judge(announced)).isEqualTo(verdict);
+        assertThat(registry.classify(announced)).isEqualTo(expected);
         registry.announce(announced);
 
-        boolean taken = verdict != Verdict.OUTDATED;
-        assertThat(registry.all().contains(announced)).isEqualTo(taken);
+        boolean applied = expected != AnnouncementStatus.OUTDATED;
+        assertThat(registry.all().contains(announced)).isEqualTo(applied);
     }
 
-    static Stream<Arguments> announcements() {
+    static Stream<Arguments> announcementCases() {
         return Stream.of(
-                Arguments.of("a later sequence", instance("a", 1, 100, 8, false), Verdict.UNCHANGED),
-                Arguments.of("a change", instance("a", 1, 100, 8, true), Verdict.NEW),
-                Arguments.of("an earlier sequence", instance("a", 1, 100, 6, true), Verdict.OUTDATED),
-                Arguments.of("a later birth whose sequence begins anew", instance("a", 1, 200, 1, false), Verdict.NEW),
-                Arguments.of("an earlier birth", instance("a", 1, 50, 99, false), Verdict.OUTDATED),
-                Arguments.of("another id", instance("b", 2, 100, 1, false), Verdict.NEW),
-                Arguments.of("the address's earlier owner", instance("b", 1, 50, 9, false), Verdict.OUTDATED));
+                Arguments.of("a later sequence", instance("a", 1, 100, 8, false), AnnouncementStatus.UNCHANGED),
+                Arguments.of("a change", instance("a", 1, 100, 8, true), AnnouncementStatus.NEW),
+                Arguments.of("an earlier sequence", instance("a", 1, 100, 6, true), AnnouncementStatus.OUTDATED),
+                Arguments.of(
+                        "a later start time with a lower sequence",
+                        instance("a", 1, 200, 1, false),
+                        AnnouncementStatus.NEW),
+                Arguments.of("an earlier start time", instance("a", 1, 50, 99, false), AnnouncementStatus.OUTDATED),
+                Arguments.of("another id", instance("b", 2, 100, 1, false), AnnouncementStatus.NEW),
+                Arguments.of(
+                        "an earlier holder of the address",
+                        instance("b", 1, 50, 9, false),
+                        AnnouncementStatus.OUTDATED));
     }
 
     @Test
-    void aNewInstanceTakesTheAddressOver() {
-        registry.announce(KNOWN);
+    void aLaterInstanceReplacesTheOneAtItsAddress() {
+        registry.announce(REGISTERED);
         registry.announce(instance("b", 1, 200, 1, false));
 
         assertThat(registry.find("a")).isEmpty();
@@ -52,8 +63,8 @@
     }
 
     @Test
-    void aLateAnnouncementDoesNotBringADepartedInstanceBack() {
-        registry.announce(KNOWN);
+    void aLateAnnouncementDoesNotReaddADepartedInstance() {
+        registry.announce(REGISTERED);
         registry.depart(new Departure("a", 100));
 
         registry.announce(instance("a", 1, 100, 9, false));
@@ -64,7 +75,7 @@
     }
 
     @Test
-    void aLateDepartureDoesNotDropALaterIncarnation() {
+    void aLateDepartureDoesNotRemoveALaterIncarnation() {
         registry.announce(instance("a", 1, 200, 1, false));
         registry.depart(new Departure("a", 100));
 
@@ -72,8 +83,8 @@
     }
 
     @Test
-    void aRestoredRegistryDecidesAsTheFirst() {
-        registry.announce(KNOWN);
+    void aRestoredRegistryMakesTheSameDecisions() {
+        registry.announce(REGISTERED);
         registry.announce(instance("b", 2, 300, 1, false));
         registry.depart(new Departure("b", 300));
         InstanceRegistry restored = new InstanceRegistry();
@@ -81,119 +92,123 @@
         restored.depart(new Departure("z", 100));
         restored.restore(registry.all(), registry.departures(), registry.lostCopies());
 
-        assertThat(restored.all()).containsExactly(KNOWN);
-        assertThat(restored.judge(instance("b", 2, 300, 1, false))).isEqualTo(Verdict.OUTDATED);
-        assertThat(restored.lostCopies()).containsExactly(copy("b", 2, 300));
+        assertThat(restored.all()).containsExactly(REGISTERED);
+        assertThat(restored.classify(instance("b", 2, 300, 1, false))).isEqualTo(AnnouncementStatus.OUTDATED);
+        assertThat(restored.lostCopies()).containsExactly(lostCopy("b", 2, 300));
     }
 
     @Test
-    void aDatabaseThatStartsAgainUnderItsIdLeavesALostCopy() {
-        registry.announce(KNOWN);
+    void aRestartUnderTheSameIdLeavesALostCopy() {
+        registry.announce(REGISTERED);
         registry.announce(instance("a", 1, 200, 1, false));
 
-        assertThat(registry.lostCopies()).containsExactly(copy("a", 1, 100));
+        assertThat(registry.lostCopies()).containsExactly(lostCopy("a", 1, 100));
     }
 
     @Test
-    void aDatabaseThatStartsAgainElsewhereLeavesItsLostCopyWhereItWas() {
-        registry.announce(KNOWN);
+    void aRestartAtAnotherAddressLeavesALostCopyAtTheOldAddress() {
+        registry.announce(REGISTERED);
         registry.announce(instance("b", 2, 150, 1, false));
         registry.announce(instance("a", 2, 200, 1, false));
 
         assertThat(registry.lostCopies())
-                .containsExactly(copy("a", 1, 100), copy("b", 2, 150))
+                .containsExactly(lostCopy("a", 1, 100), lostCopy("b", 2, 150))
                 .inOrder();
     }
 
     @Test
-    void aDatabaseWhoseAddressIsTakenLeavesALostCopy() {
-        registry.announce(KNOWN);
+    void aDatabaseWhoseAddressIsReusedLeavesALostCopy() {
+        registry.announce(REGISTERED);
         registry.announce(instance("b", 1, 200, 1, false));
 
-        assertThat(registry.lostCopies()).containsExactly(copy("a", 1, 100));
+        assertThat(registry.lostCopies()).containsExactly(lostCopy("a", 1, 100));
     }
 
-    /** The departure may name a later birth than the one that is known. */
+    /** The departure may have a later start time than the registered incarnation. */
     @ParameterizedTest
     @ValueSource(longs = {100, 130})
-    void aDatabaseThatLeavesLeavesALostCopy(long departedMs) {
-        registry.announce(KNOWN);
+    void aDepartureLeavesALostCopy(long departedMs) {
+        registry.announce(REGISTERED);
         registry.depart(new Departure("a", departedMs));
 
-        assertThat(registry.lostCopies()).containsExactly(copy("a", 1, 100));
+        assertThat(registry.lostCopies()).containsExactly(lostCopy("a", 1, 100));
     }
 
     @ParameterizedTest
-    @MethodSource("callsThatEndNothing")
-    void withoutAnEndNoCopyIsLost(String name, Consumer<InstanceRegistry> calls) {
-        registry.announce(KNOWN);
+    @MethodSource("callsThatEndNoIncarnation")
+    void noLostCopyIsAddedWhenNoIncarnationEnds(String name, Consumer<InstanceRegistry> calls) {
+        registry.announce(REGISTERED);
         registry.announce(instance("b", 2, 100, 1, false));
         registry.depart(new Departure("b", 100));
         calls.accept(registry);
 
-        assertThat(registry.lostCopies()).containsExactly(copy("b", 2, 100));
+        assertThat(registry.lostCopies()).containsExactly(lostCopy("b", 2, 100));
     }
 
-    static Stream<Arguments> callsThatEndNothing() {
+    static Stream<Arguments> callsThatEndNoIncarnation() {
         return Stream.of(
-                endsNothing("a later sequence", known -> known.announce(instance("a", 1, 100, 8, false))),
-                endsNothing("a change", known -> known.announce(instance("a", 1, 100, 8, true))),
-                endsNothing("another address", known -> known.announce(instance("a", 3, 100, 8, false))),
-                endsNothing("an earlier birth", known -> known.announce(instance("a", 1, 50, 99, false))),
-                endsNothing("the address's earlier owner", known -> known.announce(instance("c", 1, 50, 9, false))),
-                endsNothing("a departed one", known -> known.announce(instance("b", 1, 100, 9, false))),
-                endsNothing("a late departure", known -> known.depart(new Departure("a", 99))),
-                endsNothing("a departure a second time", known -> known.depart(new Departure("b", 100))),
-                endsNothing("a departure of what is not known", known -> known.depart(new Departure("c", 100))));
-    }
-
-    /** Named by their birth, as a late announcement may bring an earlier one back for a while. */
+                endsNoIncarnation("a later sequence", target -> target.announce(instance("a", 1, 100, 8, false))),
+                endsNoIncarnation("a change", target -> target.announce(instance("a", 1, 100, 8, true))),
+                endsNoIncarnation("another address", target -> target.announce(instance("a", 3, 100, 8, false))),
+                endsNoIncarnation("an earlier start time", target -> target.announce(instance("a", 1, 50, 99, false))),
+                endsNoIncarnation(
+                        "an earlier holder of the address", target -> target.announce(instance("c", 1, 50, 9, false))),
+                endsNoIncarnation(
+                        "an announcement of a departed database",
+                        target -> target.announce(instance("b", 1, 100, 9, false))),
+                endsNoIncarnation("a late departure", target -> target.depart(new Departure("a", 99))),
+                endsNoIncarnation("a repeated departure", target -> target.depart(new Departure("b", 100))),
+                endsNoIncarnation(
+                        "a departure of an unregistered database", target -> target.depart(new Departure("c", 100))));
+    }
+
+    /** The latest by start time, since a late announcement may register an earlier incarnation again for a while. */
     @Test
-    void ofAllThatEndedAtAnAddressTheLatestIsKept() {
-        registry.announce(KNOWN);
+    void onlyTheLatestLostCopyOfAnAddressIsKept() {
+        registry.announce(REGISTERED);
         registry.announce(instance("b", 1, 200, 1, false));
         registry.announce(instance("b", 1, 300, 1, false));
-        assertThat(registry.lostCopies()).containsExactly(copy("b", 1, 200));
+        assertThat(registry.lostCopies()).containsExactly(lostCopy("b", 1, 200));
 
         registry.depart(new Departure("b", 300));
         registry.announce(instance("c", 1, 250, 1, false));
         registry.depart(new Departure("c", 250));
 
-        assertThat(registry.lostCopies()).containsExactly(copy("b", 1, 300));
+        assertThat(registry.lostCopies()).containsExactly(lostCopy("b", 1, 300));
     }
 
     @Test
-    void servicesLoseTheirCopiesApart() {
-        Address address = KNOWN.address();
-        registry.announce(KNOWN);
+    void lostCopiesOfDifferentServicesAreKeptSeparately() {
+        Address address = REGISTERED.address();
+        registry.announce(REGISTERED);
         registry.announce(new DatabaseInstance("b", "audit", address, "domain", 2, false, false, 200, 1));
         registry.depart(new Departure("b", 200));
 
         assertThat(registry.lostCopies())
-                .containsExactly(new LostCopy("audit", address, "b", 200), copy("a", 1, 100))
+                .containsExactly(new LostCopy("audit", address, "b", 200), lostCopy("a", 1, 100))
                 .inOrder();
     }
 
     @Test
-    void whatIsRecoveredIsDroppedUnlessALaterOneEndedThere() {
+    void aRecoveredCopyIsRemovedUnlessALaterIncarnationEndedAtItsAddress() {
         for (int port = 1; port <= 3; port++) {
             registry.announce(instance("d" + port, port, 100, 1, false));
             registry.announce(instance("d" + port, port, 200, 1, false));
         }
-        List<LostCopy> recovered = List.of(copy("d1", 1, 100), copy("d2", 2, 100));
+        List<LostCopy> recovered = List.of(lostCopy("d1", 1, 100), lostCopy("d2", 2, 100));
         registry.depart(new Departure("d2", 200));
-        registry.recover(recovered);
+        registry.markRecovered(recovered);
 
         assertThat(registry.lostCopies())
-                .containsExactly(copy("d2", 2, 200), copy("d3", 3, 100))
+                .containsExactly(lostCopy("d2", 2, 200), lostCopy("d3", 3, 100))
                 .inOrder();
     }
 
-    private static Arguments endsNothing(String name, Consumer<InstanceRegistry> calls) {
+    private static Arguments endsNoIncarnation(String name, Consumer<InstanceRegistry> calls) {
         return Arguments.of(name, calls);
     }
 
-    private static LostCopy copy(String id, int port, long bornMs) {
+    private static LostCopy lostCopy(String id, int port, long bornMs) {
         return new LostCopy("ledger", new Address("10.0.0.1", port), id, bornMs);
     }
 
--- a/core/src/test/java/org/hornbeamspread/core/route/RouteConfigurationTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/route/RouteConfigurationTest.java
@@ -16,28 +16,28 @@
     private static final RoutedService LEDGER = new RoutedService("ledger", 28, 1);
 
     @Test
-    void aValidConfigurationIsTaken() {
+    void aValidConfigurationIsAccepted() {
         new RouteConfiguration(1, List.of(route("topup", "ledger", 800)), List.of(LEDGER), 3_000).validate();
     }
 
     @ParameterizedTest
-    @MethodSource("invalid")
-    void anInvalidConfigurationIsRefused(String name, long version, List<Route> routes, List<RoutedService> services) {
+    @MethodSource("invalidConfigurations")
+    void anInvalidConfigurationIsRejected(String name, long version, List<Route> routes, List<RoutedService> services) {
         RouteConfiguration configuration = new RouteConfiguration(version, routes, services, 0);
 
         FailureException failure = assertThrows(FailureException.class, configuration::validate);
         assertThat(failure.type()).isEqualTo(FailureType.INVALID_CONFIGURATION);
     }
 
-    static Stream<Arguments> invalid() {
+    static Stream<Arguments> invalidConfigurations() {
         Route topup = route("topup", "ledger", 800);
         return Stream.of(
-                Arguments.of("no version", 0, List.of(topup), List.of(LEDGER)),
+                Arguments.of("version 0", 0, List.of(topup), List.of(LEDGER)),
                 Arguments.of("an unknown service", 1, List.of(route("topup", "stock", 800)), List.of(LEDGER)),
-                Arguments.of("no time", 1, List.of(route("topup", "ledger", 0)), List.of(LEDGER)),
-                Arguments.of("a database twice", 1, List.of(topup, topup), List.of(LEDGER)),
-                Arguments.of("no database", 1, List.of(route("", "ledger", 800)), List.of(LEDGER)),
-                Arguments.of("a service twice", 1, List.of(topup), List.of(LEDGER, LEDGER)));
+                Arguments.of("no statement timeout", 1, List.of(route("topup", "ledger", 0)), List.of(LEDGER)),
+                Arguments.of("two routes for one database", 1, List.of(topup, topup), List.of(LEDGER)),
+                Arguments.of("a route without a database", 1, List.of(route("", "ledger", 800)), List.of(LEDGER)),
+                Arguments.of("duplicate service names", 1, List.of(topup), List.of(LEDGER, LEDGER)));
     }
 
     private static Route route(String database, String service, long timeoutMs) {
