--- a/control/src/main/java/org/hornbeamspread/control/failover/ControlMetrics.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/ControlMetrics.java
@@ -70,31 +70,31 @@
     }
 
     @Override
-    public void started(String group, long term, PromotionReason reason, long silenceMs) {
+    public void onPromotionStarted(String group, long term, PromotionReason reason, long silenceMs) {
         promotions.labelValues(reason.name()).inc();
         steps.labelValues("detect").observe(silenceMs / MILLIS_PER_SECOND);
         LOG.log(Level.INFO, "group {0}: promotion to term {1}, {2}, silence {3} ms", group, term, reason, silenceMs);
     }
 
     @Override
-    public void chosen(String group, long term, String databaseId, long sinceStartMs) {
+    public void onPrimaryChosen(String group, long term, String databaseId, long sinceStartMs) {
         step("fence", sinceStartMs);
         LOG.log(Level.INFO, "group {0}: {1} chosen at term {2} after {3} ms", group, databaseId, term, sinceStartMs);
     }
 
     @Override
-    public void promoted(String group, long term, long sinceStartMs) {
+    public void onPrimaryPromoted(String group, long term, long sinceStartMs) {
         step("promote", sinceStartMs);
         LOG.log(Level.INFO, "group {0}: promoted at term {1} after {2} ms", group, term, sinceStartMs);
     }
 
     @Override
-    public void leasesOver(String group, long term, long sinceStartMs) {
+    public void onOldLeasesExpired(String group, long term, long sinceStartMs) {
         step("lease wait", sinceStartMs);
     }
 
     @Override
-    public void opened(String group, long term, long sinceStartMs) {
+    public void onWritable(String group, long term, long sinceStartMs) {
         step("open", sinceStartMs);
         LOG.log(Level.INFO, "group {0}: writable at term {1} after {2} ms", group, term, sinceStartMs);
     }
--- a/control/src/main/java/org/hornbeamspread/control/failover/Coordinator.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/Coordinator.java
@@ -198,7 +198,7 @@
         } else if (event instanceof ControlEvent.BecamePrimary promoted) {
             becamePrimary(promoted);
         } else if (event instanceof ControlEvent.Refused refused) {
-            detector.refused(refused.databaseId());
+            detector.recordConnectionFailure(refused.databaseId());
         } else if (event instanceof ControlEvent.AnnouncerClosed closed) {
             probe(closed.databaseId());
         } else if (session != null) {
@@ -213,14 +213,14 @@
             DatabaseStatus status = followed.status();
             session.group(followed.group())
                     .ifPresent(group ->
-                            group.failover().following(status.databaseId(), status.incarnation(), followed.term()));
+                            group.failover().onFollowing(status.databaseId(), status.incarnation(), followed.term()));
         } else if (event instanceof ControlEvent.PromoteRefused refused) {
-            session.group(refused.group()).ifPresent(group -> group.failover().promoteRefused(refused.term()));
+            session.group(refused.group()).ifPresent(group -> group.failover().onPromoteRefused(refused.term()));
         } else if (event instanceof ControlEvent.ProposalEnded ended && ended.leaderTerm() == leadership.term()) {
             session.update(state.get());
             ended.groups()
                     .forEach(name -> session.group(name)
-                            .ifPresent(group -> group.failover().proposalDone()));
+                            .ifPresent(group -> group.failover().onProposalCompleted()));
         }
     }
 
@@ -229,7 +229,7 @@
         if (!registry.isCurrent(database.status())) {
             return;
         }
-        detector.heard(database.databaseId());
+        detector.recordContact(database.databaseId());
         if (session != null && !changed.isEmpty()) {
             session.markChanged(changed);
             step();
@@ -239,7 +239,7 @@
     private void reported(DatabaseStatus status) {
         registry.report(status);
         if (registry.isCurrent(status)) {
-            detector.heard(status.databaseId());
+            detector.recordContact(status.databaseId());
         }
         registry.find(status.databaseId()).ifPresent(database -> {
             if (session != null) {
@@ -320,7 +320,7 @@
     }
 
     private void tick() {
-        detector.step();
+        detector.detectLocalPause();
         Set<String> changed = registry.expire();
         if (session != null) {
             session.markChanged(changed);
--- a/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
@@ -15,10 +15,10 @@
 import org.hornbeamspread.control.view.ViewMessages;
 import org.hornbeamspread.control.view.ViewPublisher;
 import org.hornbeamspread.core.failover.FailoverEffect;
+import org.hornbeamspread.core.failover.FailoverInput;
 import org.hornbeamspread.core.failover.FailoverTimings;
 import org.hornbeamspread.core.failover.FailureDetector;
 import org.hornbeamspread.core.failover.GroupFailover;
-import org.hornbeamspread.core.failover.GroupInput;
 import org.hornbeamspread.core.failover.GroupRecord;
 import org.hornbeamspread.core.failover.PromotionRules;
 import org.hornbeamspread.core.failover.Registration;
@@ -157,7 +157,7 @@
                     .filter(database -> database.status().incarnation() == observation.getIncarnation())
                     .isPresent();
             if (current) {
-                detector.observed(
+                detector.recordObservation(
                         proxy.proxyId(),
                         observation.getDatabaseId(),
                         observation.getReachable(),
@@ -214,7 +214,7 @@
 
     /** Primaries that have been silent for a while and were not asked lately. */
     List<AnnouncedDatabase> silentPrimaries() {
-        long limitMs = timings.silenceMs() * PROBE_NUMERATOR / PROBE_DIVISOR;
+        long limitMs = timings.heartbeatTimeoutMs() * PROBE_NUMERATOR / PROBE_DIVISOR;
         List<AnnouncedDatabase> silent = new ArrayList<>();
         for (GroupState group : groups.values()) {
             Optional<String> primaryId = group.record().primaryId();
@@ -281,7 +281,7 @@
         }
     }
 
-    private GroupInput input(GroupState group, long oldestVersion) {
+    private FailoverInput input(GroupState group, long oldestVersion) {
         List<AnnouncedDatabase> databases = group.databases(registry);
         int recent = group.failover().recentPromotions();
         Map<String, Long> suspected = new HashMap<>();
@@ -297,7 +297,7 @@
             }
         }
         long neededVersion = view.versionOfTerm(group.name(), group.record().term());
-        return new GroupInput(
+        return new FailoverInput(
                 group.record(),
                 group.declaredDatabases(),
                 statuses,
--- a/control/src/main/java/org/hornbeamspread/control/failover/ProposalSender.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/ProposalSender.java
@@ -36,8 +36,8 @@
     }
 
     void add(AppendRecord append) {
-        terms.addGroups(ViewMessages.wire(append.next(), append.expectedTerm()));
-        termGroups.add(append.next().group());
+        terms.addGroups(ViewMessages.wire(append.nextRecord(), append.expectedTerm()));
+        termGroups.add(append.nextRecord().group());
     }
 
     void add(String group, AppendRegistrations append) {
--- a/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
@@ -99,7 +99,7 @@
     void step() {
         clock.advance(STEP);
         steps++;
-        detector.step();
+        detector.detectLocalPause();
         announce();
         renew();
         session.markChanged(registry.expire());
@@ -155,7 +155,7 @@
             FakeDatabase database = databases.get(i);
             if (database.answers() && steps % ANNOUNCE_STEPS == i) {
                 session.markChanged(registry.announce(database.announcement(GROUP)));
-                detector.heard(database.id);
+                detector.recordContact(database.id);
             }
         }
     }
@@ -176,7 +176,7 @@
 
     private void probe(FakeDatabase database) {
         if (!database.running && !database.cut) {
-            detector.refused(database.id);
+            detector.recordConnectionFailure(database.id);
         } else if (database.answers()) {
             reported(database);
         }
@@ -184,10 +184,10 @@
 
     private void run(FailoverEffect effect) {
         if (effect instanceof FailoverEffect.AppendRecord append) {
-            appended.add(append.next());
+            appended.add(append.nextRecord());
             apply(ControlCommand.newBuilder()
                     .setSetGroupTerms(SetGroupTerms.newBuilder()
-                            .addGroups(ViewMessages.wire(append.next(), append.expectedTerm()))));
+                            .addGroups(ViewMessages.wire(append.nextRecord(), append.expectedTerm()))));
             proposalDone();
         } else if (effect instanceof FailoverEffect.AppendRegistrations append) {
             RegisterDatabases.Builder register = RegisterDatabases.newBuilder();
@@ -209,7 +209,7 @@
             if (database(promote.databaseId()).promote(promote.term())) {
                 reported(database(promote.databaseId()));
             } else {
-                session.group(GROUP).orElseThrow().failover().promoteRefused(promote.term());
+                session.group(GROUP).orElseThrow().failover().onPromoteRefused(promote.term());
             }
         } else if (effect instanceof FailoverEffect.Follow follow
                 && database(follow.databaseId()).answers()) {
@@ -219,7 +219,7 @@
                 session.group(GROUP)
                         .orElseThrow()
                         .failover()
-                        .following(database.id, database.incarnation, follow.term());
+                        .onFollowing(database.id, database.incarnation, follow.term());
             }
         } else if (effect instanceof FailoverEffect.Readmit readmit
                 && database(readmit.databaseId()).answers()) {
@@ -230,7 +230,7 @@
 
     private void reported(FakeDatabase database) {
         registry.report(database.status());
-        detector.heard(database.id);
+        detector.recordContact(database.id);
         session.markChanged(List.of(GROUP));
     }
 
@@ -247,7 +247,7 @@
 
     private void proposalDone() {
         session.update(log.state());
-        session.group(GROUP).orElseThrow().failover().proposalDone();
+        session.group(GROUP).orElseThrow().failover().onProposalCompleted();
     }
 
     private void checkInvariants() {
--- a/control/src/test/java/org/hornbeamspread/control/failover/ControlSlopes.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/ControlSlopes.java
@@ -166,7 +166,7 @@
         long startNs = System.nanoTime();
         for (int i = 0; i < RENEWALS; i++) {
             registry.announce(ViewMessages.announced(Envelope.parseFrom(push).getAnnounce()));
-            detector.heard("d0");
+            detector.recordContact("d0");
         }
         return micros(System.nanoTime() - startNs) / RENEWALS;
     }
@@ -213,7 +213,7 @@
     private void announceAll() {
         for (int i = 0; i < databases; i++) {
             registry.announce(ViewMessages.announced(announce(i)));
-            detector.heard("d" + i);
+            detector.recordContact("d" + i);
         }
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/failover/FailoverEffect.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FailoverEffect.java
@@ -10,7 +10,7 @@
      * @param next the group's next record
      * @param expectedTerm it applies only while the log's record has this term
      */
-    record AppendRecord(GroupRecord next, long expectedTerm) implements FailoverEffect {}
+    record AppendRecord(GroupRecord nextRecord, long expectedTerm) implements FailoverEffect {}
 
     /** Append members' registrations to the control log. */
     record AppendRegistrations(List<Registration> registrations) implements FailoverEffect {
--- a/core/src/main/java/org/hornbeamspread/core/failover/GroupInput.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FailoverInput.java
@@ -19,7 +19,7 @@
  * @param regions the region of each announced database, by name
  * @param oldLeasesOver whether no proxy acts on a view older than the one that shows the record's term
  */
-public record GroupInput(
+public record FailoverInput(
         GroupRecord record,
         int declaredDatabases,
         List<DatabaseStatus> statuses,
@@ -27,7 +27,7 @@
         Map<String, Long> suspected,
         Set<String> departing,
         Map<String, String> regions,
-        BooleanSupplier oldLeasesOver) {
+        BooleanSupplier oldLeasesExpired) {
     /** The latest status of the record's primary, if it is a member and announced. */
     public Optional<DatabaseStatus> primary() {
         return record.primaryId().flatMap(this::member);
@@ -48,7 +48,7 @@
     }
 
     /** How many members that are not taken for lost share a database's region, itself included; 0 when it is not known. */
-    public long regionMembers(String databaseId) {
+    public long liveMembersInRegion(String databaseId) {
         String region = regions.get(databaseId);
         return members().stream()
                 .map(DatabaseStatus::databaseId)
--- a/core/src/main/java/org/hornbeamspread/core/failover/FailoverListener.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FailoverListener.java
@@ -10,17 +10,17 @@
      *
      * @param silenceMs how long the old primary had been silent
      */
-    default void started(String group, long term, PromotionReason reason, long silenceMs) {}
+    default void onPromotionStarted(String group, long term, PromotionReason reason, long silenceMs) {}
 
     /** Enough databases are fenced, and one was chosen. */
-    default void chosen(String group, long term, String databaseId, long sinceStartMs) {}
+    default void onPrimaryChosen(String group, long term, String databaseId, long sinceStartMs) {}
 
     /** The chosen database is primary. */
-    default void promoted(String group, long term, long sinceStartMs) {}
+    default void onPrimaryPromoted(String group, long term, long sinceStartMs) {}
 
     /** No lease on an older view runs any longer, and the primary is promoted. */
-    default void leasesOver(String group, long term, long sinceStartMs) {}
+    default void onOldLeasesExpired(String group, long term, long sinceStartMs) {}
 
     /** The term is open to writes. */
-    default void opened(String group, long term, long sinceStartMs) {}
+    default void onWritable(String group, long term, long sinceStartMs) {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/failover/FailoverTimings.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FailoverTimings.java
@@ -15,14 +15,19 @@
  * @param calmMs how long after a promotion a repeated one needs more silence
  */
 public record FailoverTimings(
-        long silenceMs, long retryMs, long promoteTimeoutMs, long observationMs, long ownPauseMs, long calmMs) {
+        long heartbeatTimeoutMs,
+        long retryMs,
+        long promoteTimeoutMs,
+        long observationTtlMs,
+        long pauseThresholdMs,
+        long repeatPromotionWindowMs) {
     /** The times for databases that announce themselves each 300 ms. */
     public static final FailoverTimings DEFAULT = new FailoverTimings(600, 200, 1500, 1000, 250, 30_000);
 
     /** Checks that all are positive. */
     public FailoverTimings {
-        if (Math.min(Math.min(silenceMs, retryMs), Math.min(promoteTimeoutMs, observationMs)) <= 0
-                || Math.min(ownPauseMs, calmMs) <= 0) {
+        if (Math.min(Math.min(heartbeatTimeoutMs, retryMs), Math.min(promoteTimeoutMs, observationTtlMs)) <= 0
+                || Math.min(pauseThresholdMs, repeatPromotionWindowMs) <= 0) {
             throw new FailureException(FailureType.INVALID_SETTING, "failover times must be positive");
         }
     }
--- a/core/src/main/java/org/hornbeamspread/core/failover/FailureDetector.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FailureDetector.java
@@ -22,47 +22,47 @@
 public final class FailureDetector {
     private static final int MAX_OBSERVERS = 9;
     private static final int MAX_DOUBLINGS = 2;
-    private static final int ALONE_FACTOR = 2;
-    private static final int REFUSED_DIVISOR = 2;
+    private static final int NO_OBSERVER_FACTOR = 2;
+    private static final int CONNECTION_FAILURE_DIVISOR = 2;
 
     private final Clock clock;
     private final FailoverTimings timings;
-    private final Map<String, Signs> databases = new HashMap<>();
-    private Instant lastStepAt;
+    private final Map<String, DatabaseHealth> healthByDatabase = new HashMap<>();
+    private Instant lastPauseCheckAt;
 
     /** Nothing counted as silence before this time. */
-    private Instant silenceSince;
+    private Instant silenceCountedFrom;
 
     /** A detector that has heard nothing yet; silence counts from now. */
     public FailureDetector(Clock clock, FailoverTimings timings) {
         this.clock = clock;
         this.timings = timings;
-        this.lastStepAt = clock.instant();
-        this.silenceSince = lastStepAt;
+        this.lastPauseCheckAt = clock.instant();
+        this.silenceCountedFrom = lastPauseCheckAt;
     }
 
     /** To be called at each step of the owner, so that its own pauses are seen. Returns whether it stood still. */
-    public boolean step() {
+    public boolean detectLocalPause() {
         Instant now = clock.instant();
-        boolean stoodStill = Duration.between(lastStepAt, now).toMillis() > timings.ownPauseMs();
+        boolean stoodStill = Duration.between(lastPauseCheckAt, now).toMillis() > timings.pauseThresholdMs();
         if (stoodStill) {
-            silenceSince = now;
-            databases.values().forEach(signs -> signs.observations.clear());
+            silenceCountedFrom = now;
+            healthByDatabase.values().forEach(signs -> signs.observations.clear());
         }
-        lastStepAt = now;
+        lastPauseCheckAt = now;
         return stoodStill;
     }
 
     /** The database gave a sign of life. */
-    public void heard(String databaseId) {
-        Signs signs = signs(databaseId);
-        signs.heardAt = clock.instant();
-        signs.refused = false;
+    public void recordContact(String databaseId) {
+        DatabaseHealth signs = health(databaseId);
+        signs.lastContactAt = clock.instant();
+        signs.connectionFailed = false;
     }
 
     /** A connection to the database's address was refused or broken. */
-    public void refused(String databaseId) {
-        signs(databaseId).refused = true;
+    public void recordConnectionFailure(String databaseId) {
+        health(databaseId).connectionFailed = true;
     }
 
     /**
@@ -71,8 +71,8 @@
      * @param reachable whether it has an open connection
      * @param silentMs how long the database has sent it nothing
      */
-    public void observed(String proxyId, String databaseId, boolean reachable, long silentMs) {
-        Map<String, Observation> observations = signs(databaseId).observations;
+    public void recordObservation(String proxyId, String databaseId, boolean reachable, long silentMs) {
+        Map<String, Observation> observations = health(databaseId).observations;
         if (observations.size() < MAX_OBSERVERS || observations.containsKey(proxyId)) {
             observations.put(proxyId, new Observation(clock.instant(), reachable, silentMs));
         }
@@ -80,13 +80,13 @@
 
     /** Forgets a database that has expired. */
     public void remove(String databaseId) {
-        databases.remove(databaseId);
+        healthByDatabase.remove(databaseId);
     }
 
     /** How long the database has been silent, as far as this process can tell. */
     public Duration silence(String databaseId) {
-        Signs signs = signs(databaseId);
-        Instant since = signs.heardAt.isAfter(silenceSince) ? signs.heardAt : silenceSince;
+        DatabaseHealth signs = health(databaseId);
+        Instant since = signs.lastContactAt.isAfter(silenceCountedFrom) ? signs.lastContactAt : silenceCountedFrom;
         return Duration.between(since, clock.instant());
     }
 
@@ -96,46 +96,46 @@
      * @param recentPromotions how often its group was promoted lately
      */
     public boolean isSuspected(String databaseId, int recentPromotions) {
-        long neededMs = timings.silenceMs() << Math.min(recentPromotions, MAX_DOUBLINGS);
+        long neededMs = timings.heartbeatTimeoutMs() << Math.min(recentPromotions, MAX_DOUBLINGS);
         long silentMs = silence(databaseId).toMillis();
-        if (silentMs <= neededMs / REFUSED_DIVISOR) {
+        if (silentMs <= neededMs / CONNECTION_FAILURE_DIVISOR) {
             return false;
         }
-        Signs signs = signs(databaseId);
-        Instant oldest = clock.instant().minusMillis(timings.observationMs());
-        signs.observations.values().removeIf(observation -> observation.at.isBefore(oldest));
+        DatabaseHealth signs = health(databaseId);
+        Instant oldest = clock.instant().minusMillis(timings.observationTtlMs());
+        signs.observations.values().removeIf(observation -> observation.receivedAt.isBefore(oldest));
         int observers = signs.observations.size();
         long gone = signs.observations.values().stream()
-                .filter(observation -> observation.saysGone(timings.silenceMs()))
+                .filter(observation -> observation.reportsUnavailable(timings.heartbeatTimeoutMs()))
                 .count();
         if (observers > 0 && gone * 2 <= observers) {
             return false;
         }
-        if (signs.refused) {
-            return silentMs > neededMs / REFUSED_DIVISOR;
+        if (signs.connectionFailed) {
+            return silentMs > neededMs / CONNECTION_FAILURE_DIVISOR;
         }
-        return silentMs > (observers > 0 ? neededMs : neededMs * ALONE_FACTOR);
+        return silentMs > (observers > 0 ? neededMs : neededMs * NO_OBSERVER_FACTOR);
     }
 
-    private Signs signs(String databaseId) {
-        return databases.computeIfAbsent(databaseId, id -> new Signs(silenceSince));
+    private DatabaseHealth health(String databaseId) {
+        return healthByDatabase.computeIfAbsent(databaseId, id -> new DatabaseHealth(silenceCountedFrom));
     }
 
     /** What a proxy saw, and when it said so. */
-    private record Observation(Instant at, boolean reachable, long silentMs) {
-        boolean saysGone(long limitMs) {
+    private record Observation(Instant receivedAt, boolean reachable, long silentMs) {
+        boolean reportsUnavailable(long limitMs) {
             return !reachable || silentMs > limitMs;
         }
     }
 
     /** What is known of one database. */
-    private static final class Signs {
+    private static final class DatabaseHealth {
         private final Map<String, Observation> observations = new HashMap<>();
-        private Instant heardAt;
-        private boolean refused;
+        private Instant lastContactAt;
+        private boolean connectionFailed;
 
-        Signs(Instant heardAt) {
-            this.heardAt = heardAt;
+        DatabaseHealth(Instant heardAt) {
+            this.lastContactAt = heardAt;
         }
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
@@ -32,7 +32,7 @@
     }
 
     /** The registrations that the log should get next. */
-    Optional<FailoverEffect> register(GroupInput input) {
+    Optional<FailoverEffect> register(FailoverInput input) {
         if (input.registrations().size() < input.declaredDatabases()) {
             return input.record().term() == 0 ? registerFirst(input) : Optional.empty();
         }
@@ -50,14 +50,14 @@
     }
 
     /** Whether the log agrees with the trust in a database, so that commands may be sent to it. */
-    boolean isSettled(GroupInput input, DatabaseStatus status) {
+    boolean isSettled(FailoverInput input, DatabaseStatus status) {
         Optional<Registration> known = input.registration(status.databaseId());
         return rules.isTrusted(status, known, input.record())
                 || known.filter(Registration::trusted).isEmpty();
     }
 
     /** What brings the other members behind a primary that is promoted. */
-    List<FailoverEffect> follow(GroupInput input) {
+    List<FailoverEffect> follow(FailoverInput input) {
         long term = input.record().term();
         Optional<DatabaseStatus> primary = input.primary().filter(status -> status.isPrimaryAt(term));
         if (primary.isEmpty()) {
@@ -84,7 +84,7 @@
         following.clear();
     }
 
-    private Optional<FailoverEffect> next(GroupInput input, DatabaseStatus status, DatabaseStatus primary) {
+    private Optional<FailoverEffect> next(FailoverInput input, DatabaseStatus status, DatabaseStatus primary) {
         long term = input.record().term();
         String databaseId = status.databaseId();
         if (status.term() < term) {
@@ -99,7 +99,7 @@
         return readmitted ? Optional.of(new Readmit(databaseId, status.incarnation(), term)) : Optional.empty();
     }
 
-    private boolean mayReadmit(GroupInput input, DatabaseStatus status) {
+    private boolean mayReadmit(FailoverInput input, DatabaseStatus status) {
         return input.primary()
                 .filter(primary -> rules.isTrusted(primary, input.registration(primary.databaseId()), input.record()))
                 .filter(primary -> rules.mayReadmit(status, primary, input.record()))
@@ -107,7 +107,7 @@
     }
 
     /** The members of a group are the first that announce themselves; without control's log their own word counts. */
-    private Optional<FailoverEffect> registerFirst(GroupInput input) {
+    private Optional<FailoverEffect> registerFirst(FailoverInput input) {
         if (input.statuses().size() < input.declaredDatabases()) {
             return Optional.empty();
         }
--- a/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
@@ -45,31 +45,31 @@
     private final FailoverListener listener;
     private final Commands commands;
     private final Followers followers;
-    private final PrimaryChoice choice;
+    private final PrimarySelector selector;
 
     /** When this leader finished its latest promotions that replaced a lost primary, oldest first. */
-    private final Deque<Instant> promotions = new ArrayDeque<>();
+    private final Deque<Instant> recentPromotionTimes = new ArrayDeque<>();
 
     /** Whether the promotion under way replaces a lost primary. */
-    private boolean replacing;
+    private boolean replacingLostPrimary;
 
     /** The primary that was taken for lost when the promotion started; the promotion does not wait for it. */
-    private Optional<String> lostId = Optional.empty();
+    private Optional<String> lostPrimaryId = Optional.empty();
 
     /** When this leader first saw the term with a chosen database; null before. */
-    private Instant chosenSince;
+    private Instant primaryChosenAt;
 
     /** The term that the fields below are about. */
-    private long seenTerm = -1;
+    private long currentTerm = -1;
 
-    private Instant termSince;
+    private Instant termStartedAt;
 
     /** When an append was asked for whose end is not known; null for none. */
-    private Instant proposedAt;
+    private Instant proposalPendingSince;
 
     private boolean promoteRefused;
-    private boolean toldPromoted;
-    private boolean toldOpened;
+    private boolean promotionReported;
+    private boolean writableReported;
 
     /** Since when the record's primary has not reported to be one; null while it does. */
     private Instant notPrimarySince;
@@ -85,93 +85,94 @@
         this.listener = listener;
         this.commands = new Commands(clock, timings);
         this.followers = new Followers(rules, commands);
-        this.choice = new PrimaryChoice(rules);
-        this.termSince = clock.instant();
+        this.selector = new PrimarySelector(rules);
+        this.termStartedAt = clock.instant();
     }
 
     /** Decides the next effects. To be called after each change of the input and at each tick. */
-    public List<FailoverEffect> step(GroupInput input) {
-        observeTerm(input.record());
-        if (proposedAt != null && millisSince(proposedAt) <= timings.promoteTimeoutMs()) {
+    public List<FailoverEffect> step(FailoverInput input) {
+        observeRecord(input.record());
+        if (proposalPendingSince != null && millisSince(proposalPendingSince) <= timings.promoteTimeoutMs()) {
             return List.of();
         }
         Optional<FailoverEffect> registration = followers.register(input);
         if (registration.isPresent()) {
-            proposedAt = clock.instant();
+            proposalPendingSince = clock.instant();
             return List.of(registration.get());
         }
         if (input.registrations().isEmpty()) {
             return List.of();
         }
         if (input.record().term() == 0) {
-            return start(input, PromotionReason.FIRST);
+            return startPromotion(input, PromotionReason.FIRST);
         }
         if (input.record().primaryId().isEmpty()) {
-            return fence(input);
+            return advanceFencing(input);
         }
-        return input.record().writable() ? watch(input) : promote(input);
+        return input.record().writable() ? monitorPrimary(input) : advancePromotion(input);
     }
 
     /**
      * An append that was asked for has ended, in whatever way; the record tells how. One whose end is never told counts as
      * ended after a while; that it may still be committed does no harm, since the log takes one primary a term.
      */
-    public void proposalDone() {
-        proposedAt = null;
+    public void onProposalCompleted() {
+        proposalPendingSince = null;
     }
 
     /** The chosen database refused to become primary at this term. */
-    public void promoteRefused(long term) {
-        promoteRefused |= term == seenTerm;
+    public void onPromoteRefused(long term) {
+        promoteRefused |= term == currentTerm;
     }
 
     /** A database answered that it follows at this term. */
-    public void following(String databaseId, long incarnation, long term) {
-        if (term == seenTerm) {
+    public void onFollowing(String databaseId, long incarnation, long term) {
+        if (term == currentTerm) {
             followers.confirmed(databaseId, incarnation);
         }
     }
 
     /** Asks for another primary: a certain one, or the best that is not the present one. */
     public void requestHandover(Optional<String> databaseId) {
-        choice.request(databaseId);
+        selector.requestHandover(databaseId);
     }
 
     /** How many lost primaries this leader has replaced within the last calm time. */
     public int recentPromotions() {
-        Instant oldest = clock.instant().minusMillis(timings.calmMs());
-        while (!promotions.isEmpty() && promotions.peekFirst().isBefore(oldest)) {
-            promotions.removeFirst();
+        Instant oldest = clock.instant().minusMillis(timings.repeatPromotionWindowMs());
+        while (!recentPromotionTimes.isEmpty()
+                && recentPromotionTimes.peekFirst().isBefore(oldest)) {
+            recentPromotionTimes.removeFirst();
         }
-        return promotions.size();
+        return recentPromotionTimes.size();
     }
 
-    private void observeTerm(GroupRecord record) {
-        if (record.term() != seenTerm) {
-            seenTerm = record.term();
-            termSince = clock.instant();
-            chosenSince = null;
+    private void observeRecord(GroupRecord record) {
+        if (record.term() != currentTerm) {
+            currentTerm = record.term();
+            termStartedAt = clock.instant();
+            primaryChosenAt = null;
             promoteRefused = false;
-            toldPromoted = record.writable();
-            toldOpened = record.writable();
+            promotionReported = record.writable();
+            writableReported = record.writable();
             notPrimarySince = null;
             primaryIncarnation = 0;
             commands.clear();
             followers.clear();
         }
-        if (record.writable() && !toldOpened) {
-            toldOpened = true;
-            choice.done();
-            if (replacing) {
-                promotions.addLast(clock.instant());
-                replacing = false;
+        if (record.writable() && !writableReported) {
+            writableReported = true;
+            selector.onPromotionCompleted();
+            if (replacingLostPrimary) {
+                recentPromotionTimes.addLast(clock.instant());
+                replacingLostPrimary = false;
             }
-            lostId = Optional.empty();
-            listener.opened(record.group(), record.term(), sinceStartMs());
+            lostPrimaryId = Optional.empty();
+            listener.onWritable(record.group(), record.term(), millisSinceTermStart());
         }
     }
 
-    private List<FailoverEffect> start(GroupInput input, PromotionReason reason) {
+    private List<FailoverEffect> startPromotion(FailoverInput input, PromotionReason reason) {
         long highest =
                 input.members().stream().mapToLong(DatabaseStatus::term).max().orElse(0);
         long next = Math.max(highest, input.record().term()) + 1;
@@ -179,47 +180,48 @@
                 .primaryId()
                 .map(id -> input.suspected().getOrDefault(id, 0L))
                 .orElse(0L);
-        replacing |= reason.replacesLost();
+        replacingLostPrimary |= reason.replacesLostPrimary();
         if (reason == PromotionReason.LOST) {
-            lostId = input.record().primaryId();
+            lostPrimaryId = input.record().primaryId();
         }
-        proposedAt = clock.instant();
-        listener.started(input.record().group(), next, reason, silenceMs);
-        return List.of(
-                new AppendRecord(input.record().fencing(next), input.record().term()));
+        proposalPendingSince = clock.instant();
+        listener.onPromotionStarted(input.record().group(), next, reason, silenceMs);
+        return List.of(new AppendRecord(
+                input.record().withNewTerm(next), input.record().term()));
     }
 
-    private List<FailoverEffect> fence(GroupInput input) {
+    private List<FailoverEffect> advanceFencing(FailoverInput input) {
         long term = input.record().term();
         if (input.members().stream().anyMatch(status -> status.term() > term)) {
-            return start(input, PromotionReason.HIGHER_TERM);
+            return startPromotion(input, PromotionReason.HIGHER_TERM);
         }
         List<DatabaseStatus> fenced = input.members().stream()
                 .filter(status -> status.term() == term && isTrusted(input, status))
                 .toList();
         boolean enough = fenced.size() >= rules.fenceQuorum(input.declaredDatabases());
-        if (enough && (fenced.size() >= expected(input) || sinceStartMs() >= timings.retryMs())) {
-            Optional<DatabaseStatus> chosen = choice.choose(input, fenced);
+        if (enough && (fenced.size() >= expectedFencedMembers(input) || millisSinceTermStart() >= timings.retryMs())) {
+            Optional<DatabaseStatus> chosen = selector.choose(input, fenced);
             if (chosen.isPresent()) {
-                proposedAt = clock.instant();
+                proposalPendingSince = clock.instant();
                 String databaseId = chosen.get().databaseId();
-                listener.chosen(input.record().group(), term, databaseId, sinceStartMs());
-                return List.of(new AppendRecord(input.record().chosen(databaseId), term));
+                listener.onPrimaryChosen(input.record().group(), term, databaseId, millisSinceTermStart());
+                return List.of(new AppendRecord(input.record().withPrimary(databaseId), term));
             }
         }
-        return fenceAll(input);
+        return sendFences(input);
     }
 
     /** How many members can be expected to answer a fence soon. */
-    private long expected(GroupInput input) {
+    private long expectedFencedMembers(FailoverInput input) {
         return input.members().stream()
-                .filter(status -> isTrusted(input, status) && !isLost(input, status))
-                .filter(status -> lostId.filter(status.databaseId()::equals).isEmpty()
-                        || status.term() == input.record().term())
+                .filter(status -> isTrusted(input, status) && !isSuspected(input, status))
+                .filter(status ->
+                        lostPrimaryId.filter(status.databaseId()::equals).isEmpty()
+                                || status.term() == input.record().term())
                 .count();
     }
 
-    private List<FailoverEffect> fenceAll(GroupInput input) {
+    private List<FailoverEffect> sendFences(FailoverInput input) {
         long term = input.record().term();
         List<FailoverEffect> effects = new ArrayList<>();
         for (DatabaseStatus status : input.members()) {
@@ -230,40 +232,40 @@
         return effects;
     }
 
-    private List<FailoverEffect> promote(GroupInput input) {
+    private List<FailoverEffect> advancePromotion(FailoverInput input) {
         GroupRecord record = input.record();
         Optional<DatabaseStatus> primary = input.primary();
         if (primary.filter(status -> status.isPrimaryAt(record.term())).isEmpty()) {
             return promoteChosen(input, primary);
         }
         primaryIncarnation = primary.get().incarnation();
-        if (!toldPromoted) {
-            toldPromoted = true;
-            listener.promoted(record.group(), record.term(), sinceStartMs());
+        if (!promotionReported) {
+            promotionReported = true;
+            listener.onPrimaryPromoted(record.group(), record.term(), millisSinceTermStart());
         }
-        if (isLost(input, primary.get())) {
-            return start(input, PromotionReason.LOST);
+        if (isSuspected(input, primary.get())) {
+            return startPromotion(input, PromotionReason.LOST);
         }
         List<FailoverEffect> effects = new ArrayList<>(followers.follow(input));
-        if (input.oldLeasesOver().getAsBoolean()) {
-            proposedAt = clock.instant();
-            listener.leasesOver(record.group(), record.term(), sinceStartMs());
-            effects.add(new AppendRecord(record.opened(), record.term()));
+        if (input.oldLeasesExpired().getAsBoolean()) {
+            proposalPendingSince = clock.instant();
+            listener.onOldLeasesExpired(record.group(), record.term(), millisSinceTermStart());
+            effects.add(new AppendRecord(record.asWritable(), record.term()));
         }
         return effects;
     }
 
-    private List<FailoverEffect> promoteChosen(GroupInput input, Optional<DatabaseStatus> chosen) {
+    private List<FailoverEffect> promoteChosen(FailoverInput input, Optional<DatabaseStatus> chosen) {
         long term = input.record().term();
-        boolean lost = chosen.isEmpty() || isLost(input, chosen.get()) || !isTrusted(input, chosen.get());
-        if (chosenSince == null) {
-            chosenSince = clock.instant();
+        boolean lost = chosen.isEmpty() || isSuspected(input, chosen.get()) || !isTrusted(input, chosen.get());
+        if (primaryChosenAt == null) {
+            primaryChosenAt = clock.instant();
         }
-        boolean late = millisSince(chosenSince) > timings.promoteTimeoutMs();
+        boolean late = millisSince(primaryChosenAt) > timings.promoteTimeoutMs();
         boolean replaced =
                 primaryIncarnation != 0 && chosen.isPresent() && chosen.get().incarnation() != primaryIncarnation;
-        if ((lost || late || replaced || promoteRefused) && canFinish(input)) {
-            return start(input, PromotionReason.NOT_PROMOTED);
+        if ((lost || late || replaced || promoteRefused) && canReachFenceQuorum(input)) {
+            return startPromotion(input, PromotionReason.NOT_PROMOTED);
         }
         if (lost || replaced || promoteRefused || chosen.get().term() != term) {
             return List.of();
@@ -272,19 +274,19 @@
                 .toList();
     }
 
-    private List<FailoverEffect> watch(GroupInput input) {
-        Optional<PromotionReason> reason = reason(input);
-        if (reason.isPresent() && canFinish(input)) {
-            choice.starts(input.record(), reason.get());
-            return start(input, reason.get());
+    private List<FailoverEffect> monitorPrimary(FailoverInput input) {
+        Optional<PromotionReason> reason = promotionReason(input);
+        if (reason.isPresent() && canReachFenceQuorum(input)) {
+            selector.onPromotionStarted(input.record(), reason.get());
+            return startPromotion(input, reason.get());
         }
         return followers.follow(input);
     }
 
-    private Optional<PromotionReason> reason(GroupInput input) {
+    private Optional<PromotionReason> promotionReason(FailoverInput input) {
         Optional<DatabaseStatus> primary = input.primary();
         long term = input.record().term();
-        if (primary.isEmpty() || isLost(input, primary.get())) {
+        if (primary.isEmpty() || isSuspected(input, primary.get())) {
             return Optional.of(PromotionReason.LOST);
         }
         if (!isTrusted(input, primary.get())) {
@@ -296,7 +298,7 @@
         if (hasRestarted(primary.get(), term)) {
             return Optional.of(PromotionReason.RESTARTED);
         }
-        return choice.isHandoverDue(input) ? Optional.of(PromotionReason.HANDOVER) : Optional.empty();
+        return selector.isHandoverDue(input) ? Optional.of(PromotionReason.HANDOVER) : Optional.empty();
     }
 
     /** A status that is older than the promotion looks like a restart; only one that lasts is taken for it. */
@@ -312,29 +314,29 @@
         if (notPrimarySince == null) {
             notPrimarySince = clock.instant();
         }
-        return millisSince(notPrimarySince) > timings.silenceMs();
+        return millisSince(notPrimarySince) > timings.heartbeatTimeoutMs();
     }
 
-    private boolean canFinish(GroupInput input) {
-        return alive(input) >= rules.fenceQuorum(input.declaredDatabases());
+    private boolean canReachFenceQuorum(FailoverInput input) {
+        return countLiveTrustedMembers(input) >= rules.fenceQuorum(input.declaredDatabases());
     }
 
-    private long alive(GroupInput input) {
+    private long countLiveTrustedMembers(FailoverInput input) {
         return input.members().stream()
-                .filter(status -> isTrusted(input, status) && !isLost(input, status))
+                .filter(status -> isTrusted(input, status) && !isSuspected(input, status))
                 .count();
     }
 
-    private boolean isLost(GroupInput input, DatabaseStatus status) {
+    private boolean isSuspected(FailoverInput input, DatabaseStatus status) {
         return input.suspected().containsKey(status.databaseId());
     }
 
-    private boolean isTrusted(GroupInput input, DatabaseStatus status) {
+    private boolean isTrusted(FailoverInput input, DatabaseStatus status) {
         return rules.isTrusted(status, input.registration(status.databaseId()), input.record());
     }
 
-    private long sinceStartMs() {
-        return millisSince(termSince);
+    private long millisSinceTermStart() {
+        return millisSince(termStartedAt);
     }
 
     private long millisSince(Instant since) {
--- a/core/src/main/java/org/hornbeamspread/core/failover/GroupRecord.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/GroupRecord.java
@@ -27,17 +27,17 @@
     }
 
     /** The start of a promotion: a higher term without a primary. */
-    public GroupRecord fencing(long nextTerm) {
+    public GroupRecord withNewTerm(long nextTerm) {
         return new GroupRecord(group, nextTerm, Optional.empty(), false);
     }
 
     /** The choice of a primary at this term. */
-    public GroupRecord chosen(String databaseId) {
+    public GroupRecord withPrimary(String databaseId) {
         return new GroupRecord(group, term, Optional.of(databaseId), false);
     }
 
     /** The end of a promotion: the term is open to writes. */
-    public GroupRecord opened() {
+    public GroupRecord asWritable() {
         return new GroupRecord(group, term, primaryId, true);
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/failover/PrimaryChoice.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/PrimarySelector.java
@@ -17,52 +17,54 @@
  * regions, and the reads of the other failure domains have a replica near. What is equal still is spread by a hash of the
  * names, so that not all groups' primaries share a failure domain. Confined to one thread.
  */
-final class PrimaryChoice {
+final class PrimarySelector {
     private final PromotionRules rules;
 
     /** An operator's wish for another primary; null for none. */
-    private Wish wish;
+    private HandoverRequest handoverRequest;
 
-    PrimaryChoice(PromotionRules rules) {
+    PrimarySelector(PromotionRules rules) {
         this.rules = rules;
     }
 
     /** Keeps a wish: for a certain database, or for any other than the present primary. */
-    void request(Optional<String> databaseId) {
-        wish = new Wish(databaseId);
+    void requestHandover(Optional<String> databaseId) {
+        handoverRequest = new HandoverRequest(databaseId);
     }
 
     /** A promotion starts; one for a wish without a name is for another than the present primary. */
-    void starts(GroupRecord record, PromotionReason reason) {
-        if (reason == PromotionReason.HANDOVER && wish != null && wish.databaseId.isEmpty()) {
-            wish.replacedId = record.primaryId();
+    void onPromotionStarted(GroupRecord record, PromotionReason reason) {
+        if (reason == PromotionReason.HANDOVER && handoverRequest != null && handoverRequest.targetId.isEmpty()) {
+            handoverRequest.replacedPrimaryId = record.primaryId();
         }
     }
 
     /** A promotion is finished; the wish is served, or can't be. */
-    void done() {
-        wish = null;
+    void onPromotionCompleted() {
+        handoverRequest = null;
     }
 
     /** Whether the primary departs or another one is wished, and there is one to take over. */
-    boolean isHandoverDue(GroupInput input) {
+    boolean isHandoverDue(FailoverInput input) {
         Optional<String> primaryId = input.record().primaryId();
-        if (wish != null && wish.databaseId.isPresent() && wish.databaseId.equals(primaryId)) {
-            wish = null;
+        if (handoverRequest != null
+                && handoverRequest.targetId.isPresent()
+                && handoverRequest.targetId.equals(primaryId)) {
+            handoverRequest = null;
         }
         boolean departs = primaryId.filter(input.departing()::contains).isPresent();
-        return (departs || wish != null) && hasCandidate(input);
+        return (departs || handoverRequest != null) && hasCandidate(input);
     }
 
     /** The best of the fenced databases that may be chosen; absent when none may. */
-    Optional<DatabaseStatus> choose(GroupInput input, List<DatabaseStatus> fenced) {
+    Optional<DatabaseStatus> choose(FailoverInput input, List<DatabaseStatus> fenced) {
         Comparator<DatabaseStatus> order = rules.promotionOrder();
         int quorum = rules.fenceQuorum(input.declaredDatabases());
-        Comparator<DatabaseStatus> preference = Comparator.comparing(this::isWished)
+        Comparator<DatabaseStatus> preference = Comparator.comparing(this::isRequested)
                 .thenComparing(status -> !isAvoided(input, status))
                 .thenComparing(order)
-                .thenComparing(status -> input.regionMembers(status.databaseId()))
-                .thenComparing(PrimaryChoice::spread)
+                .thenComparing(status -> input.liveMembersInRegion(status.databaseId()))
+                .thenComparing(PrimarySelector::tieBreakHash)
                 .thenComparing(DatabaseStatus::databaseId, Comparator.reverseOrder());
         return fenced.stream()
                 .filter(candidate -> fenced.stream()
@@ -73,7 +75,7 @@
     }
 
     /** Whether a trusted live replica could take over from the present primary. */
-    private boolean hasCandidate(GroupInput input) {
+    private boolean hasCandidate(FailoverInput input) {
         return input.members().stream()
                 .filter(status -> input.record()
                         .primaryId()
@@ -83,33 +85,36 @@
                 .anyMatch(status -> rules.isTrusted(status, input.registration(status.databaseId()), input.record()));
     }
 
-    private static long spread(DatabaseStatus status) {
+    private static long tieBreakHash(DatabaseStatus status) {
         return Hashing.murmur3_128().hashUnencodedChars(status.databaseId()).asLong();
     }
 
-    private boolean isWished(DatabaseStatus status) {
-        return wish != null
-                && wish.databaseId.filter(status.databaseId()::equals).isPresent();
+    private boolean isRequested(DatabaseStatus status) {
+        return handoverRequest != null
+                && handoverRequest.targetId.filter(status.databaseId()::equals).isPresent();
     }
 
-    private boolean isAvoided(GroupInput input, DatabaseStatus status) {
-        boolean replaced = wish != null
-                && wish.replacedId.filter(status.databaseId()::equals).isPresent();
+    private boolean isAvoided(FailoverInput input, DatabaseStatus status) {
+        boolean replaced = handoverRequest != null
+                && handoverRequest
+                        .replacedPrimaryId
+                        .filter(status.databaseId()::equals)
+                        .isPresent();
         return replaced
                 || input.departing().contains(status.databaseId())
                 || input.suspected().containsKey(status.databaseId());
     }
 
     /** An operator's wish. */
-    private static final class Wish {
+    private static final class HandoverRequest {
         /** The wished primary; empty for any other than the present one. */
-        private final Optional<String> databaseId;
+        private final Optional<String> targetId;
 
         /** The primary that is to be replaced; empty until the promotion starts. */
-        private Optional<String> replacedId = Optional.empty();
+        private Optional<String> replacedPrimaryId = Optional.empty();
 
-        Wish(Optional<String> databaseId) {
-            this.databaseId = databaseId;
+        HandoverRequest(Optional<String> databaseId) {
+            this.targetId = databaseId;
         }
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/failover/PromotionReason.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/PromotionReason.java
@@ -18,7 +18,7 @@
     HANDOVER;
 
     /** Whether a primary was lost, rather than replaced on purpose or never there. */
-    boolean replacesLost() {
+    boolean replacesLostPrimary() {
         return this == LOST || this == DISK_LOST || this == RESTARTED;
     }
 }
--- a/core/src/test/java/org/hornbeamspread/core/failover/FailureDetectorTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/FailureDetectorTest.java
@@ -36,18 +36,18 @@
         "2350, false, 3, 3, 2, false",
         "2450, false, 3, 3, 9, true"
     })
-    void severalSignsDecide(
+    void suspicionDependsOnSilenceConnectionsAndObservers(
             long silentMs, boolean refused, int gone, int observers, int recentPromotions, boolean suspected) {
-        detector.heard(DATABASE);
+        detector.recordContact(DATABASE);
         for (long passedMs = 0; passedMs < silentMs; passedMs += STEP.toMillis()) {
             clock.advance(STEP);
-            detector.step();
+            detector.detectLocalPause();
         }
         for (int i = 0; i < observers; i++) {
-            detector.observed("p" + i, DATABASE, i >= gone, 5);
+            detector.recordObservation("p" + i, DATABASE, i >= gone, 5);
         }
         if (refused) {
-            detector.refused(DATABASE);
+            detector.recordConnectionFailure(DATABASE);
         }
         assertThat(detector.isSuspected(DATABASE, recentPromotions)).isEqualTo(suspected);
     }
--- a/core/src/test/java/org/hornbeamspread/core/failover/ModelDatabase.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/ModelDatabase.java
@@ -28,11 +28,11 @@
     private static final int ENTRY_BITS = 4;
     private static final int ENTRY_MASK = 15;
 
-    static ModelDatabase first(boolean primary) {
-        return new ModelDatabase(1, primary, 1, true, 1, 1, true, 1, entry(1, 0));
+    static ModelDatabase initial(boolean primary) {
+        return new ModelDatabase(1, primary, 1, true, 1, 1, true, 1, encodeEntry(1, 0));
     }
 
-    static int entry(int term, int write) {
+    static int encodeEntry(int term, int write) {
         return term * WRITES + write;
     }
 
@@ -65,7 +65,7 @@
         return logBits >> (index * ENTRY_BITS) & ENTRY_MASK;
     }
 
-    boolean holds(int write) {
+    boolean holdsWrite(int write) {
         for (int i = 0; i < length; i++) {
             if (entryAt(i) % WRITES == write) {
                 return true;
@@ -79,7 +79,7 @@
     }
 
     /** Takes the primary's next entry, after the entries that differ are set aside; follows its term from then on. */
-    ModelDatabase copyFrom(ModelDatabase source) {
+    ModelDatabase replicateFrom(ModelDatabase source) {
         int same = 0;
         while (same < Math.min(length, source.length) && entryAt(same) == source.entryAt(same)) {
             same++;
@@ -98,7 +98,7 @@
                 source.logBits & mask);
     }
 
-    ModelDatabase fenced(int newTerm) {
+    ModelDatabase withFence(int newTerm) {
         return new ModelDatabase(
                 newTerm,
                 false,
@@ -111,8 +111,8 @@
                 logBits);
     }
 
-    ModelDatabase promoted() {
-        ModelDatabase longer = append(entry(term, 0));
+    ModelDatabase withPromotion() {
+        ModelDatabase longer = append(encodeEntry(term, 0));
         return new ModelDatabase(
                 term,
                 true,
@@ -125,11 +125,11 @@
                 longer.logBits);
     }
 
-    ModelDatabase diskLost() {
+    ModelDatabase withDiskLost() {
         return new ModelDatabase(0, false, 0, false, incarnation + 1, registeredIncarnation, registeredTrusted, 0, 0);
     }
 
-    ModelDatabase registered(Registration registration) {
+    ModelDatabase withRegistration(Registration registration) {
         return new ModelDatabase(
                 term,
                 primary,
@@ -163,7 +163,7 @@
 
     private Optional<LogPosition> marker() {
         for (int i = 0; primary && i < length; i++) {
-            if (entryAt(i) == entry(term, 0)) {
+            if (entryAt(i) == encodeEntry(term, 0)) {
                 return Optional.of(position(i + 1));
             }
         }
--- a/core/src/test/java/org/hornbeamspread/core/failover/ModelState.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/ModelState.java
@@ -27,17 +27,17 @@
         int acknowledged,
         int writes,
         int promotions,
-        int losses,
-        int lateTerm,
-        int lateIndex) {
+        int diskLosses,
+        int delayedPromotionTerm,
+        int delayedPromotionIndex) {
     static final int DATABASES = 3;
     static final int NONE = -1;
-    private static final long SPREAD = 0x9e3779b97f4a7c15L;
+    private static final long HASH_MULTIPLIER = 0x9e3779b97f4a7c15L;
     private static final String GROUP = "g";
 
-    static ModelState start() {
-        long replica = ModelDatabase.first(false).pack();
-        return new ModelState(ModelDatabase.first(true).pack(), replica, replica, 1, 0, true, 0, 0, 0, 0, 0, 0);
+    static ModelState initial() {
+        long replica = ModelDatabase.initial(false).pack();
+        return new ModelState(ModelDatabase.initial(true).pack(), replica, replica, 1, 0, true, 0, 0, 0, 0, 0, 0);
     }
 
     ModelDatabase database(int index) {
@@ -56,9 +56,9 @@
                 acknowledged,
                 writes,
                 promotions,
-                losses,
-                lateTerm,
-                lateIndex);
+                diskLosses,
+                delayedPromotionTerm,
+                delayedPromotionIndex);
     }
 
     ModelState withRecord(GroupRecord record) {
@@ -74,9 +74,9 @@
                 acknowledged,
                 writes,
                 started,
-                losses,
-                lateTerm,
-                lateIndex);
+                diskLosses,
+                delayedPromotionTerm,
+                delayedPromotionIndex);
     }
 
     ModelState withAcknowledged(int write) {
@@ -90,12 +90,12 @@
                 acknowledged | 1 << write,
                 writes,
                 promotions,
-                losses,
-                lateTerm,
-                lateIndex);
+                diskLosses,
+                delayedPromotionTerm,
+                delayedPromotionIndex);
     }
 
-    ModelState withCounts(int newWrites, int newLosses) {
+    ModelState withCounters(int newWrites, int newLosses) {
         return new ModelState(
                 first,
                 second,
@@ -107,11 +107,11 @@
                 newWrites,
                 promotions,
                 newLosses,
-                lateTerm,
-                lateIndex);
+                delayedPromotionTerm,
+                delayedPromotionIndex);
     }
 
-    ModelState withLate(int newTerm, int newIndex) {
+    ModelState withDelayedPromotion(int newTerm, int newIndex) {
         return new ModelState(
                 first,
                 second,
@@ -122,12 +122,12 @@
                 acknowledged,
                 writes,
                 promotions,
-                losses,
+                diskLosses,
                 newTerm,
                 newIndex);
     }
 
-    ModelState withoutCounts() {
+    ModelState withoutCounters() {
         return new ModelState(first, second, third, term, primaryIndex, writable, 0, 0, 0, 0, 0, 0);
     }
 
@@ -137,30 +137,34 @@
         return new GroupRecord(GROUP, term, primaryId, writable);
     }
 
-    GroupInput input(Map<String, Long> suspected) {
+    FailoverInput input(Map<String, Long> suspected) {
         List<DatabaseStatus> statuses = new ArrayList<>();
         Map<String, Registration> registrations = new HashMap<>();
         for (int i = 0; i < DATABASES; i++) {
             statuses.add(database(i).status(i));
             registrations.put(ModelDatabase.name(i), database(i).registration(i));
         }
-        return new GroupInput(record(), DATABASES, statuses, registrations, suspected, Set.of(), Map.of(), () -> true);
+        return new FailoverInput(
+                record(), DATABASES, statuses, registrations, suspected, Set.of(), Map.of(), () -> true);
     }
 
     /** Spreads the packed databases, whose bits a record's own hash code would let collide. */
     @Override
     public int hashCode() {
-        long hash = first * SPREAD;
-        hash = (hash ^ (hash >>> 32) ^ second) * SPREAD;
-        hash = (hash ^ (hash >>> 32) ^ third) * SPREAD;
+        long hash = first * HASH_MULTIPLIER;
+        hash = (hash ^ (hash >>> 32) ^ second) * HASH_MULTIPLIER;
+        hash = (hash ^ (hash >>> 32) ^ third) * HASH_MULTIPLIER;
         int rest = (((term * 4 + primaryIndex) * 2 + (writable ? 1 : 0)) * 8 + acknowledged) * 4 + writes;
-        hash = (hash ^ (hash >>> 32) ^ ((((rest * 8L + promotions) * 8L + losses) * 8L + lateTerm) * 4L + lateIndex))
-                * SPREAD;
+        hash = (hash
+                        ^ (hash >>> 32)
+                        ^ ((((rest * 8L + promotions) * 8L + diskLosses) * 8L + delayedPromotionTerm) * 4L
+                                + delayedPromotionIndex))
+                * HASH_MULTIPLIER;
         return (int) (hash >>> 32);
     }
 
     /** Whether the record's primary acts as one and lacks an acknowledged write. */
-    boolean lost() {
+    boolean lacksAcknowledgedWrite() {
         if (primaryIndex == NONE) {
             return false;
         }
@@ -169,7 +173,7 @@
             return false;
         }
         for (int write = 1; write < ModelDatabase.WRITES; write++) {
-            if ((acknowledged & 1 << write) != 0 && !primary.holds(write)) {
+            if ((acknowledged & 1 << write) != 0 && !primary.holdsWrite(write)) {
                 return true;
             }
         }
--- a/core/src/test/java/org/hornbeamspread/core/failover/PrimaryChoiceTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PrimarySelectorTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-final class PrimaryChoiceTest {
+final class PrimarySelectorTest {
     private static final long TERM = 5;
 
     /** Databases a, b and c: their last entries at term 4, their regions, who of them is lost. */
@@ -28,7 +28,7 @@
         "7 9 9, east west west, '', b c",
         "7 8 9, '', '', c",
     })
-    void theLastLogGoesFirstThenTheRegionWithMostMembers(
+    void mostAdvancedLogIsPreferredThenTheRegionWithMostMembers(
             String positions, String regions, String lost, String expected) {
         String[] entries = positions.split(" ", -1);
         List<DatabaseStatus> statuses = new ArrayList<>();
@@ -39,7 +39,7 @@
             registrations.put(status.databaseId(), new Registration(status.databaseId(), 1, true));
         }
         Map<String, Long> suspected = lost.isEmpty() ? Map.of() : Map.of(lost, 700L);
-        GroupInput input = new GroupInput(
+        FailoverInput input = new FailoverInput(
                 new GroupRecord("g", TERM, Optional.empty(), false),
                 entries.length,
                 statuses,
@@ -48,7 +48,7 @@
                 Set.of(),
                 regions(regions),
                 () -> true);
-        Optional<DatabaseStatus> chosen = new PrimaryChoice(new SafePromotionRules()).choose(input, statuses);
+        Optional<DatabaseStatus> chosen = new PrimarySelector(new SafePromotionRules()).choose(input, statuses);
         assertThat(expected.split(" ", -1))
                 .asList()
                 .contains(chosen.orElseThrow().databaseId());
--- a/core/src/test/java/org/hornbeamspread/core/failover/PromotionSearch.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelChecker.java
@@ -24,54 +24,54 @@
  * may: a primary, also a replaced one, writes and goes on replicating to any database that is not at a higher term. The
  * command to become primary may arrive after control has given that promotion up.
  */
-final class PromotionSearch {
+final class PromotionModelChecker {
     private final PromotionRules rules;
     private final Acknowledgement acknowledgement;
     private final int maxWrites;
     private final int maxPromotions;
-    private final int maxLosses;
+    private final int maxDiskLosses;
 
     /** Every state that was reached, with the state and the step before it. */
-    private final Map<ModelState, Step> reached = new HashMap<>();
+    private final Map<ModelState, Step> visited = new HashMap<>();
 
     /** What control decides does not depend on what is counted, so it is asked once for each record and databases. */
     private final Map<ModelState, Set<FailoverEffect>> decisions = new HashMap<>();
 
-    private final Deque<ModelState> open = new ArrayDeque<>();
+    private final Deque<ModelState> frontier = new ArrayDeque<>();
 
-    PromotionSearch(
+    PromotionModelChecker(
             PromotionRules rules, Acknowledgement acknowledgement, int maxWrites, int maxPromotions, int maxLosses) {
         this.rules = rules;
         this.acknowledgement = acknowledgement;
         this.maxWrites = maxWrites;
         this.maxPromotions = maxPromotions;
-        this.maxLosses = maxLosses;
+        this.maxDiskLosses = maxLosses;
     }
 
     /** The steps to the first state that lacks an acknowledged write; empty when there is none. */
-    List<String> firstLoss() {
-        reach(ModelState.start(), null, "start");
-        while (!open.isEmpty()) {
-            ModelState state = open.removeFirst();
-            if (state.lost()) {
-                return history(state);
+    List<String> findLossTrace() {
+        visit(ModelState.initial(), null, "start");
+        while (!frontier.isEmpty()) {
+            ModelState state = frontier.removeFirst();
+            if (state.lacksAcknowledgedWrite()) {
+                return traceTo(state);
             }
-            databaseSteps(state);
-            controlSteps(state);
+            exploreDatabaseSteps(state);
+            exploreControlSteps(state);
         }
         return List.of();
     }
 
-    int states() {
-        return reached.size();
+    int visitedStates() {
+        return visited.size();
     }
 
-    private void databaseSteps(ModelState state) {
+    private void exploreDatabaseSteps(ModelState state) {
         for (int i = 0; i < ModelState.DATABASES; i++) {
             ModelDatabase database = state.database(i);
-            if (state.losses() < maxLosses) {
-                reach(
-                        state.with(i, database.diskLost()).withCounts(state.writes(), state.losses() + 1),
+            if (state.diskLosses() < maxDiskLosses) {
+                visit(
+                        state.with(i, database.withDiskLost()).withCounters(state.writes(), state.diskLosses() + 1),
                         state,
                         "disk of " + i + " lost");
             }
@@ -80,9 +80,9 @@
             }
             if (state.writes() < maxWrites) {
                 int write = state.writes() + 1;
-                ModelDatabase written = database.append(ModelDatabase.entry(database.term(), write));
-                reach(
-                        state.with(i, written).withCounts(write, state.losses()),
+                ModelDatabase written = database.append(ModelDatabase.encodeEntry(database.term(), write));
+                visit(
+                        state.with(i, written).withCounters(write, state.diskLosses()),
                         state,
                         "write " + write + " at " + i + " term " + database.term());
             }
@@ -97,7 +97,7 @@
             boolean accepts = to != from
                     && (replica.term() < primary.term() || (replica.term() == primary.term() && !replica.primary()));
             if (accepts) {
-                reach(state.with(to, replica.copyFrom(primary)), state, "copy " + from + " to " + to);
+                visit(state.with(to, replica.replicateFrom(primary)), state, "copy " + from + " to " + to);
             }
         }
     }
@@ -115,7 +115,7 @@
             int write = primary.entryAt(i) % ModelDatabase.WRITES;
             boolean waiting = write != 0 && (state.acknowledged() & 1 << write) == 0;
             if (waiting && acknowledgement.isAllowed(primary.position(i + 1), report(primary.status(index)), trusted)) {
-                reach(
+                visit(
                         state.withAcknowledged(write),
                         state,
                         "acknowledge " + write + " by " + index + " term " + primary.term());
@@ -133,43 +133,47 @@
                 status.synced());
     }
 
-    private void controlSteps(ModelState state) {
-        if (state.lateTerm() != 0) {
-            promote(state, state.lateTerm(), state.lateIndex(), "late promotion of " + state.lateIndex());
+    private void exploreControlSteps(ModelState state) {
+        if (state.delayedPromotionTerm() != 0) {
+            promote(
+                    state,
+                    state.delayedPromotionTerm(),
+                    state.delayedPromotionIndex(),
+                    "late promotion of " + state.delayedPromotionIndex());
         }
-        for (FailoverEffect effect : decisions.computeIfAbsent(state.withoutCounts(), this::decide)) {
+        for (FailoverEffect effect : decisions.computeIfAbsent(state.withoutCounters(), this::decide)) {
             if (effect instanceof AppendRecord append) {
-                boolean starts = append.next().term() > state.term();
+                boolean starts = append.nextRecord().term() > state.term();
                 if (!starts || state.promotions() < maxPromotions) {
-                    reach(withLate(state, append.next()), state, String.valueOf(append.next()));
+                    visit(withDelayedPromotion(state, append.nextRecord()), state, String.valueOf(append.nextRecord()));
                 }
             } else if (effect instanceof AppendRegistrations append) {
                 ModelState next = state;
                 for (Registration registration : append.registrations()) {
                     int index = ModelState.indexOf(registration.databaseId());
-                    next = next.with(index, next.database(index).registered(registration));
+                    next = next.with(index, next.database(index).withRegistration(registration));
                 }
-                reach(next, state, String.valueOf(append));
+                visit(next, state, String.valueOf(append));
             } else if (effect instanceof Fence fence) {
                 int index = ModelState.indexOf(fence.databaseId());
-                ModelDatabase fenced = state.database(index).fenced((int) fence.term());
-                reach(state.with(index, fenced), state, String.valueOf(fence));
+                ModelDatabase fenced = state.database(index).withFence((int) fence.term());
+                visit(state.with(index, fenced), state, String.valueOf(fence));
             } else if (effect instanceof Promote promote) {
                 promote(state, (int) promote.term(), ModelState.indexOf(promote.databaseId()), String.valueOf(promote));
             }
         }
     }
 
-    private ModelState withLate(ModelState state, GroupRecord next) {
+    private ModelState withDelayedPromotion(ModelState state, GroupRecord next) {
         ModelState appended = state.withRecord(next);
         boolean chosen = next.primaryId().isPresent() && !next.writable();
-        return chosen ? appended.withLate((int) next.term(), appended.primaryIndex()) : appended;
+        return chosen ? appended.withDelayedPromotion((int) next.term(), appended.primaryIndex()) : appended;
     }
 
     private void promote(ModelState state, int term, int index, String step) {
         ModelDatabase database = state.database(index);
         if (database.term() == term && !database.primary() && database.followedTerm() != term) {
-            reach(state.withLate(0, 0).with(index, database.promoted()), state, step);
+            visit(state.withDelayedPromotion(0, 0).with(index, database.withPromotion()), state, step);
         }
     }
 
@@ -183,34 +187,34 @@
         return effects;
     }
 
-    private void collect(Set<FailoverEffect> effects, GroupInput input) {
+    private void collect(Set<FailoverEffect> effects, FailoverInput input) {
         PausedClock clock = new PausedClock();
         GroupFailover failover = new GroupFailover(clock, rules, FailoverTimings.DEFAULT, FailoverListener.NONE);
         effects.addAll(failover.step(input));
-        failover.proposalDone();
+        failover.onProposalCompleted();
         clock.advance(FailoverTimings.DEFAULT.retry());
         effects.addAll(failover.step(input));
     }
 
-    private void reach(ModelState state, ModelState before, String step) {
-        if (!reached.containsKey(state)) {
-            reached.put(state, new Step(before, step));
-            open.addLast(state);
+    private void visit(ModelState state, ModelState before, String step) {
+        if (!visited.containsKey(state)) {
+            visited.put(state, new Step(before, step));
+            frontier.addLast(state);
         }
     }
 
-    private List<String> history(ModelState end) {
+    private List<String> traceTo(ModelState end) {
         List<String> steps = new ArrayList<>();
         ModelState state = end;
         while (state != null) {
-            Step step = reached.get(state);
-            steps.add(step.name);
-            state = step.before;
+            Step step = visited.get(state);
+            steps.add(step.description);
+            state = step.previous;
         }
         Collections.reverse(steps);
         return steps;
     }
 
     /** How a state was reached. */
-    private record Step(ModelState before, String name) {}
+    private record Step(ModelState previous, String description) {}
 }
--- a/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelTest.java
@@ -21,13 +21,13 @@
     @ParameterizedTest
     @CsvSource({"3, 0, 286390", "2, 1, 355034"})
     void noHistoryLosesAnAcknowledgedWrite(int promotions, int lostDisks, int states) {
-        PromotionSearch search = new PromotionSearch(
+        PromotionModelChecker search = new PromotionModelChecker(
                 new SafePromotionRules(), Acknowledgement.byQuorumTracker(), WRITES, promotions, lostDisks);
-        assertThat(search.firstLoss()).isEmpty();
-        assertThat(search.states()).isEqualTo(states);
+        assertThat(search.findLossTrace()).isEmpty();
+        assertThat(search.visitedStates()).isEqualTo(states);
     }
 
-    static Stream<Arguments> rulesLeftOut() {
+    static Stream<Arguments> omittedRules() {
         return Stream.of(
                 Arguments.of(
                         Named.of("2: a quorum of fenced databases", new DelegatingRules() {
@@ -68,11 +68,11 @@
 
     @ParameterizedTest
     @MethodSource("rulesLeftOut")
-    void aHistoryWithoutOneRuleLosesAnAcknowledgedWrite(PromotionRules rules, int lostDisks) {
-        assertLoses(new PromotionSearch(rules, Acknowledgement.byQuorumTracker(), WRITES, 3, lostDisks));
+    void omittingOneRuleLosesAnAcknowledgedWrite(PromotionRules rules, int lostDisks) {
+        assertFindsLoss(new PromotionModelChecker(rules, Acknowledgement.byQuorumTracker(), WRITES, 3, lostDisks));
     }
 
-    static Stream<Arguments> acknowledgementsTooEarly() {
+    static Stream<Arguments> prematureAcknowledgements() {
         return Stream.of(
                 Arguments.of(Named.of("1: a quorum of holders", Acknowledgement.byQuorumTracker(1))),
                 Arguments.of(Named.of("4: the marker", Acknowledgement.withoutMarker())));
@@ -80,12 +80,12 @@
 
     @ParameterizedTest
     @MethodSource("acknowledgementsTooEarly")
-    void aHistoryOfEarlyAcknowledgementsLosesOne(Acknowledgement acknowledgement) {
-        assertLoses(new PromotionSearch(new SafePromotionRules(), acknowledgement, WRITES, 3, 0));
+    void prematureAcknowledgementLosesAnAcknowledgedWrite(Acknowledgement acknowledgement) {
+        assertFindsLoss(new PromotionModelChecker(new SafePromotionRules(), acknowledgement, WRITES, 3, 0));
     }
 
-    private static void assertLoses(PromotionSearch search) {
-        List<String> loss = search.firstLoss();
+    private static void assertFindsLoss(PromotionModelChecker search) {
+        List<String> loss = search.findLossTrace();
         assertWithMessage("steps to a loss").that(loss).isNotEmpty();
     }
 
