--- a/core/src/main/java/org/hornbeamspread/core/failover/FailoverEffect.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FailoverEffect.java
@@ -2,33 +2,36 @@
 
 import java.util.List;
 
-/** What a group's failover asks of its surroundings. Answers come back as database statuses or as a later log record. */
+/**
+ * An action that {@link GroupFailover} requests from its caller. The result is reported as a database status or as a
+ * later record of the control log.
+ */
 public sealed interface FailoverEffect {
     /**
-     * Append to the control log.
+     * Appends the group's next record to the control log.
      *
-     * @param next the group's next record
-     * @param expectedTerm it applies only while the log's record has this term
+     * @param nextRecord the group's next record
+     * @param expectedTerm the append applies only while the record in the log has this term
      */
     record AppendRecord(GroupRecord nextRecord, long expectedTerm) implements FailoverEffect {}
 
-    /** Append members' registrations to the control log. */
+    /** Appends registrations of members to the control log. */
     record AppendRegistrations(List<Registration> registrations) implements FailoverEffect {
-        /** Keeps a copy. */
+        /** Copies the list. */
         public AppendRegistrations {
             registrations = List.copyOf(registrations);
         }
     }
 
-    /** Raise a database's term, so that it takes nothing of lower terms. */
+    /** Raises a database's term, so that the database rejects commands and log entries of lower terms. */
     record Fence(String databaseId, long term) implements FailoverEffect {}
 
-    /** Make a fenced database the primary of its term. */
+    /** Makes a fenced database the primary of its term. */
     record Promote(String databaseId, long term) implements FailoverEffect {}
 
-    /** Make a database a replica of the primary. */
+    /** Makes a database a replica of the primary. */
     record Follow(String databaseId, long incarnation, long term, String primaryId) implements FailoverEffect {}
 
-    /** Tell a database that it counts again. */
+    /** Notifies a database that lost its disk that it is trusted again and counts in quorums. */
     record Readmit(String databaseId, long incarnation, long term) implements FailoverEffect {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/failover/FailoverInput.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FailoverInput.java
@@ -8,16 +8,16 @@
 import org.hornbeamspread.core.membership.DatabaseStatus;
 
 /**
- * All that a group's failover decides from.
+ * The state of one group from which {@link GroupFailover} computes its next effects.
  *
  * @param record the group's record in the control log
- * @param declaredDatabases how many databases the configuration declares
+ * @param declaredDatabases the number of databases that the configuration declares
  * @param statuses the latest status of each announced database of the group
- * @param registrations the members as the log holds them, by name
- * @param suspected the databases that are taken for lost, and for how many milliseconds each has been silent
- * @param departing the databases that should hold no office
- * @param regions the region of each announced database, by name
- * @param oldLeasesOver whether no proxy acts on a view older than the one that shows the record's term
+ * @param registrations the group's members in the control log, by database id
+ * @param suspected the databases suspected to have failed, with their silence in milliseconds
+ * @param departing the databases that are departing and should not be primary
+ * @param regions the region of each announced database, by database id
+ * @param oldLeasesExpired whether no proxy can act on a view older than the one that shows the record's term
  */
 public record FailoverInput(
         GroupRecord record,
@@ -28,7 +28,7 @@
         Set<String> departing,
         Map<String, String> regions,
         BooleanSupplier oldLeasesExpired) {
-    /** The latest status of the record's primary, if it is a member and announced. */
+    /** The latest status of the record's primary, if the primary is a member and announced. */
     public Optional<DatabaseStatus> primary() {
         return record.primaryId().flatMap(this::member);
     }
@@ -40,14 +40,14 @@
                 .findFirst();
     }
 
-    /** The latest statuses of those databases that the log holds as members. */
+    /** The latest statuses of the databases that are registered as members. */
     public List<DatabaseStatus> members() {
         return statuses.stream()
                 .filter(status -> registrations.containsKey(status.databaseId()))
                 .toList();
     }
 
-    /** How many members that are not taken for lost share a database's region, itself included; 0 when it is not known. */
+    /** The number of unsuspected members in the region of a database, including that database; 0 for an unknown region. */
     public long liveMembersInRegion(String databaseId) {
         String region = regions.get(databaseId);
         return members().stream()
@@ -57,7 +57,7 @@
                 .count();
     }
 
-    /** What the log holds of a database. */
+    /** The registration of a database in the control log. */
     public Optional<Registration> registration(String databaseId) {
         return Optional.ofNullable(registrations.get(databaseId));
     }
--- a/core/src/main/java/org/hornbeamspread/core/failover/FailoverListener.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FailoverListener.java
@@ -1,26 +1,29 @@
 package org.hornbeamspread.core.failover;
 
-/** Told of each step of a promotion, for counters and logs. Times are those that this leader saw. */
+/**
+ * Receives each step of a promotion, for metrics and logs. {@code sinceStartMs} is the time since this leader first
+ * processed the promotion's term.
+ */
 public interface FailoverListener {
-    /** Tells nobody. */
+    /** A listener that ignores all steps. */
     FailoverListener NONE = new FailoverListener() {};
 
     /**
-     * A higher term was asked for.
+     * A promotion started: a higher term was proposed to the control log.
      *
-     * @param silenceMs how long the old primary had been silent
+     * @param silenceMs how long the old primary had been silent; 0 when it was not suspected
      */
     default void onPromotionStarted(String group, long term, PromotionReason reason, long silenceMs) {}
 
-    /** Enough databases are fenced, and one was chosen. */
+    /** A fence quorum was reached, and a primary was chosen among the fenced databases. */
     default void onPrimaryChosen(String group, long term, String databaseId, long sinceStartMs) {}
 
-    /** The chosen database is primary. */
+    /** The chosen database reported to be the primary. */
     default void onPrimaryPromoted(String group, long term, long sinceStartMs) {}
 
-    /** No lease on an older view runs any longer, and the primary is promoted. */
+    /** The primary is promoted, and every lease on an older view has expired. */
     default void onOldLeasesExpired(String group, long term, long sinceStartMs) {}
 
-    /** The term is open to writes. */
+    /** The term was committed as writable. */
     default void onWritable(String group, long term, long sinceStartMs) {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/failover/FailoverTimings.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FailoverTimings.java
@@ -5,14 +5,14 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * The times of detection and promotion.
+ * Timeouts of failure detection and promotion.
  *
- * @param silenceMs how long a primary is silent before it is suspected
- * @param retryMs how long before an unanswered command is sent again
- * @param promoteTimeoutMs how long a chosen database may take before another promotion starts
- * @param observationMs how long a proxy's observation counts
- * @param ownPauseMs a gap between two steps that means that control itself stood still
- * @param calmMs how long after a promotion a repeated one needs more silence
+ * @param heartbeatTimeoutMs silence after which a primary is suspected, when proxies confirm the failure
+ * @param retryMs interval after which an unanswered command is sent again
+ * @param promoteTimeoutMs time that a chosen database has to become primary before another promotion starts
+ * @param observationTtlMs time for which a proxy's observation is used
+ * @param pauseThresholdMs gap between two steps above which the control process itself is assumed to have been paused
+ * @param repeatPromotionWindowMs time after a promotion in which a further promotion requires a longer silence
  */
 public record FailoverTimings(
         long heartbeatTimeoutMs,
@@ -21,14 +21,14 @@
         long observationTtlMs,
         long pauseThresholdMs,
         long repeatPromotionWindowMs) {
-    /** The times for databases that announce themselves each 300 ms. */
+    /** The timings for databases that announce themselves every 300 ms. */
     public static final FailoverTimings DEFAULT = new FailoverTimings(600, 200, 1500, 1000, 250, 30_000);
 
-    /** Checks that all are positive. */
+    /** Validates that all values are positive. */
     public FailoverTimings {
         if (Math.min(Math.min(heartbeatTimeoutMs, retryMs), Math.min(promoteTimeoutMs, observationTtlMs)) <= 0
                 || Math.min(pauseThresholdMs, repeatPromotionWindowMs) <= 0) {
-            throw new FailureException(FailureType.INVALID_SETTING, "failover times must be positive");
+            throw new FailureException(FailureType.INVALID_SETTING, "failover timings must be positive");
         }
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/failover/FailureDetector.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FailureDetector.java
@@ -7,20 +7,23 @@
 import java.util.Map;
 
 /**
- * Tells whether a database should be taken for lost.
+ * Failure detector for databases: decides whether a database is suspected to have failed.
  *
- * <p>One observer is not enough: its own link may be cut, or it may have stood still. So control's own silence is only
- * the first condition. While half of the proxies that saw a database lately say that it lives, it is not suspected.
- * Without any such proxy the silence must last twice as long, unless the database's address refuses connections: then
- * its process is gone, and half the silence is enough.
+ * <p>A single observer is not reliable: its own network link may be cut, or its process may have been paused. The time
+ * since the control leader last received a message from the database (the silence) is therefore only the first
+ * condition. A database is not suspected while at least half of the proxies with a recent observation report it as
+ * available. Without any recent observation the required silence is twice as long. When the database's address refuses
+ * connections, its process has ended, and half the silence is sufficient.
  *
- * <p>A frozen observer wakes with every database silent. When two steps lie further apart than a bound, the silence that
- * was counted meanwhile is void and counts anew. A link that flaps would have its group promoted again and again, so
- * each promotion of a group in the last while doubles the silence it takes, up to a factor of four. Confined to one
- * thread.
+ * <p>After a pause of the observer's own process every database appears silent. When two checks are further apart than
+ * {@link FailoverTimings#pauseThresholdMs}, the silence counted so far is discarded and counting restarts. An unstable
+ * link could cause repeated promotions of one group, so each recent promotion of the group doubles the required
+ * silence, up to a factor of four. Confined to one thread.
  */
 public final class FailureDetector {
+    /** Bounds the observations that are stored for one database. */
     private static final int MAX_OBSERVERS = 9;
+
     private static final int MAX_DOUBLINGS = 2;
     private static final int NO_OBSERVER_FACTOR = 2;
     private static final int CONNECTION_FAILURE_DIVISOR = 2;
@@ -30,10 +33,10 @@
     private final Map<String, DatabaseHealth> healthByDatabase = new HashMap<>();
     private Instant lastPauseCheckAt;
 
-    /** Nothing counted as silence before this time. */
+    /** Time before this instant does not count as silence. */
     private Instant silenceCountedFrom;
 
-    /** A detector that has heard nothing yet; silence counts from now. */
+    /** Creates a detector without any contacts; silence is counted from now. */
     public FailureDetector(Clock clock, FailoverTimings timings) {
         this.clock = clock;
         this.timings = timings;
@@ -41,35 +44,35 @@
         this.silenceCountedFrom = lastPauseCheckAt;
     }
 
-    /** To be called at each step of the owner, so that its own pauses are seen. Returns whether it stood still. */
+    /** Must be called at each step of the owner. Returns whether the process was paused since the previous call. */
     public boolean detectLocalPause() {
         Instant now = clock.instant();
-        boolean stoodStill = Duration.between(lastPauseCheckAt, now).toMillis() > timings.pauseThresholdMs();
-        if (stoodStill) {
+        boolean paused = Duration.between(lastPauseCheckAt, now).toMillis() > timings.pauseThresholdMs();
+        if (paused) {
             silenceCountedFrom = now;
-            healthByDatabase.values().forEach(signs -> signs.observations.clear());
+            healthByDatabase.values().forEach(health -> health.observations.clear());
         }
         lastPauseCheckAt = now;
-        return stoodStill;
+        return paused;
     }
 
-    /** The database gave a sign of life. */
+    /** Records a message received from the database. */
     public void recordContact(String databaseId) {
-        DatabaseHealth signs = health(databaseId);
-        signs.lastContactAt = clock.instant();
-        signs.connectionFailed = false;
+        DatabaseHealth health = health(databaseId);
+        health.lastContactAt = clock.instant();
+        health.connectionFailed = false;
     }
 
-    /** A connection to the database's address was refused or broken. */
+    /** Records that a connection to the database's address was refused or broken. */
     public void recordConnectionFailure(String databaseId) {
         health(databaseId).connectionFailed = true;
     }
 
     /**
-     * A proxy told what it sees.
+     * Records a proxy's observation of a database.
      *
-     * @param reachable whether it has an open connection
-     * @param silentMs how long the database has sent it nothing
+     * @param reachable whether the proxy has an open connection to the database
+     * @param silentMs time since the proxy last received a message from the database
      */
     public void recordObservation(String proxyId, String databaseId, boolean reachable, long silentMs) {
         Map<String, Observation> observations = health(databaseId).observations;
@@ -78,57 +81,57 @@
         }
     }
 
-    /** Forgets a database that has expired. */
+    /** Removes the state of a database that has expired. */
     public void remove(String databaseId) {
         healthByDatabase.remove(databaseId);
     }
 
-    /** How long the database has been silent, as far as this process can tell. */
+    /** Time since the last contact with the database, not counting time before this process last resumed from a pause. */
     public Duration silence(String databaseId) {
-        DatabaseHealth signs = health(databaseId);
-        Instant since = signs.lastContactAt.isAfter(silenceCountedFrom) ? signs.lastContactAt : silenceCountedFrom;
+        DatabaseHealth health = health(databaseId);
+        Instant since = health.lastContactAt.isAfter(silenceCountedFrom) ? health.lastContactAt : silenceCountedFrom;
         return Duration.between(since, clock.instant());
     }
 
     /**
-     * Whether the database should be taken for lost.
+     * Whether the database is suspected to have failed.
      *
-     * @param recentPromotions how often its group was promoted lately
+     * @param recentPromotions the number of recent promotions of the database's group
      */
     public boolean isSuspected(String databaseId, int recentPromotions) {
-        long neededMs = timings.heartbeatTimeoutMs() << Math.min(recentPromotions, MAX_DOUBLINGS);
+        long requiredMs = timings.heartbeatTimeoutMs() << Math.min(recentPromotions, MAX_DOUBLINGS);
         long silentMs = silence(databaseId).toMillis();
-        if (silentMs <= neededMs / CONNECTION_FAILURE_DIVISOR) {
+        if (silentMs <= requiredMs / CONNECTION_FAILURE_DIVISOR) {
             return false;
         }
-        DatabaseHealth signs = health(databaseId);
+        DatabaseHealth health = health(databaseId);
         Instant oldest = clock.instant().minusMillis(timings.observationTtlMs());
-        signs.observations.values().removeIf(observation -> observation.receivedAt.isBefore(oldest));
-        int observers = signs.observations.size();
-        long gone = signs.observations.values().stream()
+        health.observations.values().removeIf(observation -> observation.receivedAt.isBefore(oldest));
+        int observers = health.observations.size();
+        long unavailableReports = health.observations.values().stream()
                 .filter(observation -> observation.reportsUnavailable(timings.heartbeatTimeoutMs()))
                 .count();
-        if (observers > 0 && gone * 2 <= observers) {
+        if (observers > 0 && unavailableReports * 2 <= observers) {
             return false;
         }
-        if (signs.connectionFailed) {
-            return silentMs > neededMs / CONNECTION_FAILURE_DIVISOR;
+        if (health.connectionFailed) {
+            return silentMs > requiredMs / CONNECTION_FAILURE_DIVISOR;
         }
-        return silentMs > (observers > 0 ? neededMs : neededMs * NO_OBSERVER_FACTOR);
+        return silentMs > (observers > 0 ? requiredMs : requiredMs * NO_OBSERVER_FACTOR);
     }
 
     private DatabaseHealth health(String databaseId) {
         return healthByDatabase.computeIfAbsent(databaseId, id -> new DatabaseHealth(silenceCountedFrom));
     }
 
-    /** What a proxy saw, and when it said so. */
+    /** A proxy's latest observation of a database, and when it was received. */
     private record Observation(Instant receivedAt, boolean reachable, long silentMs) {
         boolean reportsUnavailable(long limitMs) {
             return !reachable || silentMs > limitMs;
         }
     }
 
-    /** What is known of one database. */
+    /** The health information of one database. */
     private static final class DatabaseHealth {
         private final Map<String, Observation> observations = new HashMap<>();
         private Instant lastContactAt;
--- a/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
@@ -14,29 +14,31 @@
 import org.hornbeamspread.core.membership.DatabaseStatus;
 
 /**
- * Decides when one group's primary is replaced, and by which database.
+ * Decides when the primary of one database group is replaced, and by which database.
  *
- * <p>Replication is asynchronous and nobody else orders promotions, so three things can lose an acknowledged write: a
- * new primary that lacks it, an old primary that goes on gathering acknowledgements, and a proxy that acknowledges under
- * an old view. The steps of a promotion exclude them in this order:
+ * <p>Replication is asynchronous, and only this class orders promotions. Three faults can lose an acknowledged write: a
+ * new primary that lacks the write, an old primary that still collects acknowledgements, and a proxy that acknowledges
+ * writes under an outdated view. The steps of a promotion exclude these faults in this order:
  *
  * <ol>
- *   <li>The next term is committed to the control log, without a primary. From here on no other control leader can use
- *       that term for something else.
- *   <li>The members are fenced at the term. Enough of them are fenced once any acknowledged write has a holder among
- *       them; the old primary can gather no acknowledgement without one of them.
- *   <li>Of the fenced ones, one whose log comes last in the order of {@link PromotionRules} is committed to the log as
- *       the primary.
- *   <li>It is promoted. The others follow.
- *   <li>Once no lease on an older view runs, the term is committed as writable, and the view that says so is published.
+ *   <li>The next term is committed to the control log, without a primary. From then on no other control leader can use
+ *       that term for a different promotion.
+ *   <li>The members are fenced at the new term. A fence quorum contains a holder of every acknowledged write, and the
+ *       old primary cannot get a write acknowledged without a database of that quorum.
+ *   <li>A fenced database whose log is at least as advanced, in the order of {@link PromotionRules}, as the logs of a
+ *       quorum of fenced databases is committed to the control log as the primary.
+ *   <li>The chosen database is promoted. The other members follow it.
+ *   <li>When every lease on an older view has expired, the term is committed as writable, and the view that shows the
+ *       term as writable is published.
  * </ol>
  *
- * <p>Every step is decided from the record in the log and the latest statuses of the databases, not from what was sent
- * before. So a lost answer only costs a repetition, and a new leader resumes a half-done promotion at the step where it
- * stands: a database that reports the record's term while the record has no primary is fenced, however that came about.
+ * <p>Each step is computed from the record in the control log and the latest database statuses, not from the commands
+ * sent earlier. A lost response therefore only causes a retry, and a new leader resumes an unfinished promotion at its
+ * current step: a database that reports the record's term while the record has no primary counts as fenced, regardless
+ * of which leader fenced it.
  *
- * <p>A promotion starts only while enough members are alive to finish it; with fewer there is nothing to gain, and the
- * old primary, if it lives, could at least serve reads. Confined to one thread.
+ * <p>A promotion starts only while enough members are available to complete it. With fewer members a promotion could
+ * not finish, and the old primary, if still running, can at least serve reads. Confined to one thread.
  */
 public final class GroupFailover {
     private final Clock clock;
@@ -47,37 +49,37 @@
     private final Followers followers;
     private final PrimarySelector selector;
 
-    /** When this leader finished its latest promotions that replaced a lost primary, oldest first. */
+    /** Completion times of this leader's recent promotions that replaced a lost primary, oldest first. */
     private final Deque<Instant> recentPromotionTimes = new ArrayDeque<>();
 
-    /** Whether the promotion under way replaces a lost primary. */
+    /** Whether the promotion in progress replaces a lost primary. */
     private boolean replacingLostPrimary;
 
-    /** The primary that was taken for lost when the promotion started; the promotion does not wait for it. */
+    /** The primary that was suspected when the promotion started; fencing does not wait for this database. */
     private Optional<String> lostPrimaryId = Optional.empty();
 
-    /** When this leader first saw the term with a chosen database; null before. */
+    /** When this leader first processed the current term with a chosen primary; null before. */
     private Instant primaryChosenAt;
 
-    /** The term that the fields below are about. */
+    /** The term to which the fields below apply; -1 before the first record. */
     private long currentTerm = -1;
 
     private Instant termStartedAt;
 
-    /** When an append was asked for whose end is not known; null for none. */
+    /** When the pending append to the control log was proposed; null when no append is pending. */
     private Instant proposalPendingSince;
 
     private boolean promoteRefused;
     private boolean promotionReported;
     private boolean writableReported;
 
-    /** Since when the record's primary has not reported to be one; null while it does. */
+    /** Since when the record's primary has reported another role or term; null while it reports to be the primary. */
     private Instant notPrimarySince;
 
-    /** The incarnation that was seen as primary of this term; 0 for none yet. */
+    /** The incarnation that reported to be primary of the current term; 0 before such a report. */
     private long primaryIncarnation;
 
-    /** A group's failover, with nothing known yet. */
+    /** Creates the failover of one group, without any state from earlier steps. */
     public GroupFailover(Clock clock, PromotionRules rules, FailoverTimings timings, FailoverListener listener) {
         this.clock = clock;
         this.rules = rules;
@@ -89,7 +91,7 @@
         this.termStartedAt = clock.instant();
     }
 
-    /** Decides the next effects. To be called after each change of the input and at each tick. */
+    /** Returns the next effects. Must be called after each change of the input and at each tick. */
     public List<FailoverEffect> step(FailoverInput input) {
         observeRecord(input.record());
         if (proposalPendingSince != null && millisSince(proposalPendingSince) <= timings.promoteTimeoutMs()) {
@@ -113,31 +115,32 @@
     }
 
     /**
-     * An append that was asked for has ended, in whatever way; the record tells how. One whose end is never told counts as
-     * ended after a while; that it may still be committed does no harm, since the log takes one primary a term.
+     * Called when the pending append has completed, successfully or not; the record in the log shows the result. An
+     * append without a reported result counts as completed after {@link FailoverTimings#promoteTimeoutMs}. Such an
+     * append may still be committed later, which is safe because the log accepts only one primary per term.
      */
     public void onProposalCompleted() {
         proposalPendingSince = null;
     }
 
-    /** The chosen database refused to become primary at this term. */
+    /** Called when the chosen database refused to become primary at a term. */
     public void onPromoteRefused(long term) {
         promoteRefused |= term == currentTerm;
     }
 
-    /** A database answered that it follows at this term. */
+    /** Called when a database confirmed that it follows the primary at a term. */
     public void onFollowing(String databaseId, long incarnation, long term) {
         if (term == currentTerm) {
             followers.confirmed(databaseId, incarnation);
         }
     }
 
-    /** Asks for another primary: a certain one, or the best that is not the present one. */
+    /** Requests a handover to the given database, or to the best candidate other than the current primary. */
     public void requestHandover(Optional<String> databaseId) {
         selector.requestHandover(databaseId);
     }
 
-    /** How many lost primaries this leader has replaced within the last calm time. */
+    /** The number of lost primaries that this leader replaced within {@link FailoverTimings#repeatPromotionWindowMs}. */
     public int recentPromotions() {
         Instant oldest = clock.instant().minusMillis(timings.repeatPromotionWindowMs());
         while (!recentPromotionTimes.isEmpty()
@@ -173,9 +176,9 @@
     }
 
     private List<FailoverEffect> startPromotion(FailoverInput input, PromotionReason reason) {
-        long highest =
+        long highestTerm =
                 input.members().stream().mapToLong(DatabaseStatus::term).max().orElse(0);
-        long next = Math.max(highest, input.record().term()) + 1;
+        long nextTerm = Math.max(highestTerm, input.record().term()) + 1;
         long silenceMs = input.record()
                 .primaryId()
                 .map(id -> input.suspected().getOrDefault(id, 0L))
@@ -185,9 +188,9 @@
             lostPrimaryId = input.record().primaryId();
         }
         proposalPendingSince = clock.instant();
-        listener.onPromotionStarted(input.record().group(), next, reason, silenceMs);
+        listener.onPromotionStarted(input.record().group(), nextTerm, reason, silenceMs);
         return List.of(new AppendRecord(
-                input.record().withNewTerm(next), input.record().term()));
+                input.record().withNewTerm(nextTerm), input.record().term()));
     }
 
     private List<FailoverEffect> advanceFencing(FailoverInput input) {
@@ -198,8 +201,9 @@
         List<DatabaseStatus> fenced = input.members().stream()
                 .filter(status -> status.term() == term && isTrusted(input, status))
                 .toList();
-        boolean enough = fenced.size() >= rules.fenceQuorum(input.declaredDatabases());
-        if (enough && (fenced.size() >= expectedFencedMembers(input) || millisSinceTermStart() >= timings.retryMs())) {
+        boolean hasQuorum = fenced.size() >= rules.fenceQuorum(input.declaredDatabases());
+        if (hasQuorum
+                && (fenced.size() >= expectedFencedMembers(input) || millisSinceTermStart() >= timings.retryMs())) {
             Optional<DatabaseStatus> chosen = selector.choose(input, fenced);
             if (chosen.isPresent()) {
                 proposalPendingSince = clock.instant();
@@ -211,7 +215,7 @@
         return sendFences(input);
     }
 
-    /** How many members can be expected to answer a fence soon. */
+    /** The number of members that are expected to be fenced soon; a lost primary counts only once it is fenced. */
     private long expectedFencedMembers(FailoverInput input) {
         return input.members().stream()
                 .filter(status -> isTrusted(input, status) && !isSuspected(input, status))
@@ -257,17 +261,17 @@
 
     private List<FailoverEffect> promoteChosen(FailoverInput input, Optional<DatabaseStatus> chosen) {
         long term = input.record().term();
-        boolean lost = chosen.isEmpty() || isSuspected(input, chosen.get()) || !isTrusted(input, chosen.get());
+        boolean unavailable = chosen.isEmpty() || isSuspected(input, chosen.get()) || !isTrusted(input, chosen.get());
         if (primaryChosenAt == null) {
             primaryChosenAt = clock.instant();
         }
-        boolean late = millisSince(primaryChosenAt) > timings.promoteTimeoutMs();
-        boolean replaced =
+        boolean timedOut = millisSince(primaryChosenAt) > timings.promoteTimeoutMs();
+        boolean restarted =
                 primaryIncarnation != 0 && chosen.isPresent() && chosen.get().incarnation() != primaryIncarnation;
-        if ((lost || late || replaced || promoteRefused) && canReachFenceQuorum(input)) {
+        if ((unavailable || timedOut || restarted || promoteRefused) && canReachFenceQuorum(input)) {
             return startPromotion(input, PromotionReason.NOT_PROMOTED);
         }
-        if (lost || replaced || promoteRefused || chosen.get().term() != term) {
+        if (unavailable || restarted || promoteRefused || chosen.get().term() != term) {
             return List.of();
         }
         return commands.send(new Promote(chosen.get().databaseId(), term)).stream()
@@ -301,7 +305,10 @@
         return selector.isHandoverDue(input) ? Optional.of(PromotionReason.HANDOVER) : Optional.empty();
     }
 
-    /** A status that is older than the promotion looks like a restart; only one that lasts is taken for it. */
+    /**
+     * Whether the primary restarted. A status sent before the promotion also shows no primary, so an unchanged
+     * incarnation counts as restarted only after {@link FailoverTimings#heartbeatTimeoutMs} without a primary's status.
+     */
     private boolean hasRestarted(DatabaseStatus primary, long term) {
         if (primary.isPrimaryAt(term)) {
             notPrimarySince = null;
--- a/core/src/main/java/org/hornbeamspread/core/failover/PrimarySelector.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/PrimarySelector.java
@@ -8,43 +8,52 @@
 import org.hornbeamspread.core.membership.DatabaseStatus;
 
 /**
- * Chooses a primary among fenced databases, and keeps an operator's wish for one.
+ * Selects the primary among the fenced databases, and stores an operator's handover request.
  *
- * <p>Any fenced database may be chosen whose log comes before none of a quorum of fenced ones: that quorum includes a
- * holder of every acknowledged write, so the candidate holds them all. Among these a wished one goes first, then one that
- * is not departing, lost or to be replaced, then the one whose log comes last, so that little is set aside. Of equals, as in
- * a new group, one in the region with most members: there a quorum holds a write without a message over the link between
- * regions, and the reads of the other failure domains have a replica near. What is equal still is spread by a hash of the
- * names, so that not all groups' primaries share a failure domain. Confined to one thread.
+ * <p>A fenced database is eligible when its log is at least as advanced as the logs of a quorum of fenced databases.
+ * That quorum includes a holder of every acknowledged write, so an eligible database holds all of them. Eligible
+ * databases are ranked in this order:
+ *
+ * <ol>
+ *   <li>the database that the operator requested;
+ *   <li>databases that are not departing, suspected or to be replaced;
+ *   <li>the most advanced log, so that few log entries are discarded;
+ *   <li>the region with the most members. This decides when logs are equal, as in a new group. In that region a quorum
+ *       can acknowledge a write without a message between regions, and reads from the region's other failure domains
+ *       have a nearby replica;
+ *   <li>a hash of the database id, so that the primaries of the groups are spread over the failure domains.
+ * </ol>
+ *
+ * <p>Confined to one thread.
  */
 final class PrimarySelector {
     private final PromotionRules rules;
 
-    /** An operator's wish for another primary; null for none. */
+    /** The operator's pending handover request; null for none. */
     private HandoverRequest handoverRequest;
 
     PrimarySelector(PromotionRules rules) {
         this.rules = rules;
     }
 
-    /** Keeps a wish: for a certain database, or for any other than the present primary. */
+    /** Stores a handover request, to the given database or to any database other than the current primary. */
     void requestHandover(Optional<String> databaseId) {
         handoverRequest = new HandoverRequest(databaseId);
     }
 
-    /** A promotion starts; one for a wish without a name is for another than the present primary. */
+    /** Called when a promotion starts. A handover without a named target must not select the current primary again. */
     void onPromotionStarted(GroupRecord record, PromotionReason reason) {
         if (reason == PromotionReason.HANDOVER && handoverRequest != null && handoverRequest.targetId.isEmpty()) {
             handoverRequest.replacedPrimaryId = record.primaryId();
         }
     }
 
-    /** A promotion is finished; the wish is served, or can't be. */
+    /** Called when a promotion is completed. Drops the handover request, whether or not the promotion satisfied it. */
     void onPromotionCompleted() {
         handoverRequest = null;
     }
 
-    /** Whether the primary departs or another one is wished, and there is one to take over. */
+    /** Whether the primary departs or a handover was requested, and a replica can take over. */
     boolean isHandoverDue(FailoverInput input) {
         Optional<String> primaryId = input.record().primaryId();
         if (handoverRequest != null
@@ -52,11 +61,11 @@
                 && handoverRequest.targetId.equals(primaryId)) {
             handoverRequest = null;
         }
-        boolean departs = primaryId.filter(input.departing()::contains).isPresent();
-        return (departs || handoverRequest != null) && hasCandidate(input);
+        boolean departing = primaryId.filter(input.departing()::contains).isPresent();
+        return (departing || handoverRequest != null) && hasCandidate(input);
     }
 
-    /** The best of the fenced databases that may be chosen; absent when none may. */
+    /** The highest ranked eligible database among the fenced ones; absent when none is eligible. */
     Optional<DatabaseStatus> choose(FailoverInput input, List<DatabaseStatus> fenced) {
         Comparator<DatabaseStatus> order = rules.promotionOrder();
         int quorum = rules.fenceQuorum(input.declaredDatabases());
@@ -74,7 +83,7 @@
                 .max(preference);
     }
 
-    /** Whether a trusted live replica could take over from the present primary. */
+    /** Whether a trusted replica that is neither suspected nor departing could take over from the current primary. */
     private boolean hasCandidate(FailoverInput input) {
         return input.members().stream()
                 .filter(status -> input.record()
@@ -95,22 +104,22 @@
     }
 
     private boolean isAvoided(FailoverInput input, DatabaseStatus status) {
-        boolean replaced = handoverRequest != null
+        boolean toBeReplaced = handoverRequest != null
                 && handoverRequest
                         .replacedPrimaryId
                         .filter(status.databaseId()::equals)
                         .isPresent();
-        return replaced
+        return toBeReplaced
                 || input.departing().contains(status.databaseId())
                 || input.suspected().containsKey(status.databaseId());
     }
 
-    /** An operator's wish. */
+    /** An operator's request to replace the primary. */
     private static final class HandoverRequest {
-        /** The wished primary; empty for any other than the present one. */
+        /** The requested primary; empty for any database other than the current primary. */
         private final Optional<String> targetId;
 
-        /** The primary that is to be replaced; empty until the promotion starts. */
+        /** The primary to be replaced; empty until the promotion starts, or when a target is named. */
         private Optional<String> replacedPrimaryId = Optional.empty();
 
         HandoverRequest(Optional<String> databaseId) {
--- a/core/src/main/java/org/hornbeamspread/core/failover/PromotionReason.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/PromotionReason.java
@@ -1,10 +1,10 @@
 package org.hornbeamspread.core.failover;
 
-/** Why a promotion was started. */
+/** The reason for which a promotion was started. */
 public enum PromotionReason {
-    /** The group has its databases and never had a primary. */
+    /** All databases of the group are registered, and the group never had a primary. */
     FIRST,
-    /** The primary is taken for lost. */
+    /** The primary is suspected to have failed. */
     LOST,
     /** The primary lost its disk. */
     DISK_LOST,
@@ -14,10 +14,10 @@
     HIGHER_TERM,
     /** The chosen database did not become primary in time. */
     NOT_PROMOTED,
-    /** The primary departs, or an operator asked for another one. */
+    /** The primary departs, or an operator requested a handover. */
     HANDOVER;
 
-    /** Whether a primary was lost, rather than replaced on purpose or never there. */
+    /** Whether the promotion replaces a primary that failed, as opposed to a first promotion or a handover. */
     boolean replacesLostPrimary() {
         return this == LOST || this == DISK_LOST || this == RESTARTED;
     }
--- a/core/src/main/java/org/hornbeamspread/core/failover/Registration.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/Registration.java
@@ -4,17 +4,17 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * What the control log holds of a member of a group.
+ * The registration of a group's member in the control log.
  *
- * @param databaseId its name
- * @param incarnation the process that {@code trusted} was decided for
- * @param trusted whether that process counts as a holder and for a fence
+ * @param databaseId the database's id
+ * @param incarnation the incarnation of the process to which {@code trusted} applies
+ * @param trusted whether that process counts as a holder of writes and towards a fence quorum
  */
 public record Registration(String databaseId, long incarnation, boolean trusted) {
-    /** Checks that the name is set. */
+    /** Validates that the database id is not empty. */
     public Registration {
         if (databaseId.isEmpty()) {
-            throw new FailureException(FailureType.INVALID_REQUEST, "a database without a name");
+            throw new FailureException(FailureType.INVALID_REQUEST, "database id is empty");
         }
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/failover/SafePromotionRules.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/SafePromotionRules.java
@@ -5,13 +5,14 @@
 import org.hornbeamspread.core.membership.DatabaseStatus;
 
 /**
- * The rules with which no history of promotions, stale primaries and lost disks loses an acknowledged write.
+ * The rules under which no sequence of promotions, stale primaries and lost disks loses an acknowledged write.
  *
- * <p>Majorities meet: the databases that a promotion fences include a holder of every acknowledged write. The order by
- * the term of the last entry, then its index, finds that holder among them; an index alone would prefer a longer tail of
- * an older term that nobody acknowledged. The marker of a term makes its log the greatest in that order before
- * anything older is acknowledged under it. A database that lost its disk has forgotten both its entries and its fences,
- * so it joins no majority until its new incarnation holds all of the current primary's log at the current term.
+ * <p>Any two majorities intersect, so the databases that a promotion fences include a holder of every acknowledged
+ * write. The order by the term of the last entry, then by its index, selects such a holder; an order by index alone
+ * would prefer a longer, unacknowledged tail of an older term. The marker that starts a term makes the log of that term
+ * the greatest in this order before any older entry is acknowledged under the term. A database that lost its disk has
+ * lost both its log entries and its fences, so the database counts in no majority until its new incarnation holds the
+ * complete log of the current primary at the current term.
  */
 public final class SafePromotionRules implements PromotionRules {
     private static final Comparator<DatabaseStatus> ORDER = Comparator.comparing(DatabaseStatus::synced);
@@ -32,10 +33,11 @@
             return false;
         }
         if (registration.get().incarnation() == status.incarnation()) {
-            boolean wiped = status.isEmpty() && record.term() > 0 && !status.trusted();
-            return registration.get().trusted() && !wiped;
+            boolean diskLost = status.isEmpty() && record.term() > 0 && !status.trusted();
+            return registration.get().trusted() && !diskLost;
         }
-        // A restart with its disk keeps the term and the trust; without its disk it reports either nothing or false.
+        // A database that restarts with its disk keeps its term and its trust. After a restart without the disk the
+        // database reports term 0 or is not trusted.
         return registration.get().trusted() && status.trusted() && status.term() > 0;
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/failover/package-info.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/package-info.java
@@ -1,2 +1,2 @@
-/** When a group's primary is replaced, by which database, and when the new term is opened to writes. */
+/** Failover of database groups: failure detection, fencing, selection and promotion of a primary, opening of a new term. */
 package org.hornbeamspread.core.failover;
