--- a/core/src/main/java/org/hornbeamspread/core/failover/FailoverInput.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FailoverInput.java
@@ -47,7 +47,7 @@
                 .toList();
     }
 
-    /** The number of unsuspected members in the region of a database, including that database; 0 for an unknown region. */
+    /** The number of members in a database's region that are not suspected; 0 when the region is unknown. */
     public long liveMembersInRegion(String databaseId) {
         String region = regions.get(databaseId);
         return members().stream()
--- a/core/src/main/java/org/hornbeamspread/core/failover/FailureDetector.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FailureDetector.java
@@ -86,7 +86,7 @@
         healthByDatabase.remove(databaseId);
     }
 
-    /** Time since the last contact with the database, not counting time before this process last resumed from a pause. */
+    /** Time since the last contact with the database, excluding time before this process's last pause ended. */
     public Duration silence(String databaseId) {
         DatabaseHealth health = health(databaseId);
         Instant since = health.lastContactAt.isAfter(silenceCountedFrom) ? health.lastContactAt : silenceCountedFrom;
--- a/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
@@ -140,7 +140,7 @@
         selector.requestHandover(databaseId);
     }
 
-    /** The number of lost primaries that this leader replaced within {@link FailoverTimings#repeatPromotionWindowMs}. */
+    /** The number of lost primaries replaced by this leader within the window for repeated promotions. */
     public int recentPromotions() {
         Instant oldest = clock.instant().minusMillis(timings.repeatPromotionWindowMs());
         while (!recentPromotionTimes.isEmpty()
--- a/core/src/main/java/org/hornbeamspread/core/failover/package-info.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/package-info.java
@@ -1,2 +1,2 @@
-/** Failover of database groups: failure detection, fencing, selection and promotion of a primary, opening of a new term. */
+/** Failover of database groups: failure detection, fencing, and selection and promotion of a new primary. */
 package org.hornbeamspread.core.failover;
--- a/core/src/test/java/org/hornbeamspread/core/failover/FailureDetectorTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/FailureDetectorTest.java
@@ -7,6 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Guards against false suspicions, which cause needless promotions: the observer's own link may be cut while most
+ * proxies still reach the database, and an unstable link may interrupt contact again soon after a promotion.
+ */
 final class FailureDetectorTest {
     private static final String DATABASE = "d1";
     private static final Duration STEP = Duration.ofMillis(50);
@@ -15,8 +19,9 @@
     private final FailureDetector detector = new FailureDetector(clock, FailoverTimings.DEFAULT);
 
     /**
-     * @param gone how many of the observers say that the database is gone
-     * @param observers how many proxies reported on it just now
+     * @param refused whether a connection to the database failed
+     * @param unreachableReports how many of the observers report the database as unreachable
+     * @param observers how many proxies sent a current observation
      */
     @ParameterizedTest
     @CsvSource({
@@ -37,14 +42,19 @@
         "2450, false, 3, 3, 9, true"
     })
     void suspicionDependsOnSilenceConnectionsAndObservers(
-            long silentMs, boolean refused, int gone, int observers, int recentPromotions, boolean suspected) {
+            long silentMs,
+            boolean refused,
+            int unreachableReports,
+            int observers,
+            int recentPromotions,
+            boolean suspected) {
         detector.recordContact(DATABASE);
-        for (long passedMs = 0; passedMs < silentMs; passedMs += STEP.toMillis()) {
+        for (long elapsedMs = 0; elapsedMs < silentMs; elapsedMs += STEP.toMillis()) {
             clock.advance(STEP);
             detector.detectLocalPause();
         }
         for (int i = 0; i < observers; i++) {
-            detector.recordObservation("p" + i, DATABASE, i >= gone, 5);
+            detector.recordObservation("p" + i, DATABASE, i >= unreachableReports, 5);
         }
         if (refused) {
             detector.recordConnectionFailure(DATABASE);
--- a/core/src/test/java/org/hornbeamspread/core/failover/ModelDatabase.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/ModelDatabase.java
@@ -6,13 +6,13 @@
 import org.hornbeamspread.core.misc.LogPosition;
 
 /**
- * One database of a searched history, packed into a long. An entry of its log is four bits: the term, and which write it
- * is, with 0 for a marker.
+ * One database in the model checker, which can be packed into a long. A log entry takes four bits and combines its term
+ * with the number of the write; write 0 is the marker that starts a term.
  *
- * @param incarnation raised by a lost disk
- * @param registeredIncarnation what the control log holds of it
- * @param registeredTrusted what the control log holds of it
- * @param logBits four bits an entry, the first entry lowest
+ * @param incarnation incremented by the loss of the disk
+ * @param registeredIncarnation the incarnation registered in the control log
+ * @param registeredTrusted whether the control log registers the database as trusted
+ * @param logBits the log, four bits per entry, the first entry in the lowest bits
  */
 record ModelDatabase(
         int term,
@@ -78,14 +78,15 @@
         return withLog(length + 1, logBits | entry << (length * ENTRY_BITS));
     }
 
-    /** Takes the primary's next entry, after the entries that differ are set aside; follows its term from then on. */
+    /** Truncates entries that differ from the primary's log, appends its next entry and follows the primary's term. */
     ModelDatabase replicateFrom(ModelDatabase source) {
-        int same = 0;
-        while (same < Math.min(length, source.length) && entryAt(same) == source.entryAt(same)) {
-            same++;
+        int commonLength = 0;
+        while (commonLength < Math.min(length, source.length)
+                && entryAt(commonLength) == source.entryAt(commonLength)) {
+            commonLength++;
         }
-        int kept = Math.min(same + 1, source.length);
-        int mask = (1 << (kept * ENTRY_BITS)) - 1;
+        int newLength = Math.min(commonLength + 1, source.length);
+        int mask = (1 << (newLength * ENTRY_BITS)) - 1;
         return new ModelDatabase(
                 source.term,
                 false,
@@ -94,7 +95,7 @@
                 incarnation,
                 registeredIncarnation,
                 registeredTrusted,
-                kept,
+                newLength,
                 source.logBits & mask);
     }
 
@@ -112,7 +113,7 @@
     }
 
     ModelDatabase withPromotion() {
-        ModelDatabase longer = append(encodeEntry(term, 0));
+        ModelDatabase withMarker = append(encodeEntry(term, 0));
         return new ModelDatabase(
                 term,
                 true,
@@ -121,8 +122,8 @@
                 incarnation,
                 registeredIncarnation,
                 registeredTrusted,
-                longer.length,
-                longer.logBits);
+                withMarker.length,
+                withMarker.logBits);
     }
 
     ModelDatabase withDiskLost() {
@@ -152,7 +153,7 @@
         return new Registration(name(index), registeredIncarnation, registeredTrusted);
     }
 
-    /** The position of the entry that is the given one of the log, counted from 1. */
+    /** The position of the last of the given number of entries; NONE for 0. */
     LogPosition position(int count) {
         return count == 0 ? LogPosition.NONE : new LogPosition(entryAt(count - 1) / WRITES, count);
     }
--- a/core/src/test/java/org/hornbeamspread/core/failover/ModelState.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/ModelState.java
@@ -9,13 +9,15 @@
 import org.hornbeamspread.core.membership.DatabaseStatus;
 
 /**
- * A state of a searched history: three packed databases, the group's record in the control log, and what happened.
+ * A state of the model checker: three packed databases, the group's record in the control log, and counters of past
+ * events.
  *
  * @param primaryIndex the record's primary; {@link #NONE} for none
  * @param acknowledged a bit for each acknowledged write
- * @param promotions how many promotions were started
- * @param lateTerm the term of a promotion whose command is still on its way, though control may have gone on; 0 for none
- * @param lateIndex the database that the late command is for
+ * @param promotions the number of promotions started
+ * @param delayedPromotionTerm the term of a promote command that is still in flight, possibly after control abandoned
+ *     that promotion; 0 for none
+ * @param delayedPromotionIndex the database to which the command in flight is addressed
  */
 record ModelState(
         long first,
@@ -62,7 +64,7 @@
     }
 
     ModelState withRecord(GroupRecord record) {
-        int started = record.term() > term ? promotions + 1 : promotions;
+        int newPromotions = record.term() > term ? promotions + 1 : promotions;
         int index = record.primaryId().map(ModelState::indexOf).orElse(NONE);
         return new ModelState(
                 first,
@@ -73,7 +75,7 @@
                 record.writable(),
                 acknowledged,
                 writes,
-                started,
+                newPromotions,
                 diskLosses,
                 delayedPromotionTerm,
                 delayedPromotionIndex);
@@ -148,22 +150,22 @@
                 record(), DATABASES, statuses, registrations, suspected, Set.of(), Map.of(), () -> true);
     }
 
-    /** Spreads the packed databases, whose bits a record's own hash code would let collide. */
+    /** Mixes the packed databases; the default hash code of records collides often for packed bits. */
     @Override
     public int hashCode() {
         long hash = first * HASH_MULTIPLIER;
         hash = (hash ^ (hash >>> 32) ^ second) * HASH_MULTIPLIER;
         hash = (hash ^ (hash >>> 32) ^ third) * HASH_MULTIPLIER;
-        int rest = (((term * 4 + primaryIndex) * 2 + (writable ? 1 : 0)) * 8 + acknowledged) * 4 + writes;
+        int scalars = (((term * 4 + primaryIndex) * 2 + (writable ? 1 : 0)) * 8 + acknowledged) * 4 + writes;
         hash = (hash
                         ^ (hash >>> 32)
-                        ^ ((((rest * 8L + promotions) * 8L + diskLosses) * 8L + delayedPromotionTerm) * 4L
+                        ^ ((((scalars * 8L + promotions) * 8L + diskLosses) * 8L + delayedPromotionTerm) * 4L
                                 + delayedPromotionIndex))
                 * HASH_MULTIPLIER;
         return (int) (hash >>> 32);
     }
 
-    /** Whether the record's primary acts as one and lacks an acknowledged write. */
+    /** Whether the record's primary acts as primary at the record's term and lacks an acknowledged write. */
     boolean lacksAcknowledgedWrite() {
         if (primaryIndex == NONE) {
             return false;
--- a/core/src/test/java/org/hornbeamspread/core/failover/PrimarySelectorTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PrimarySelectorTest.java
@@ -14,10 +14,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** The most advanced log must be selected; among equal logs, a database in the region with the most live members. */
 final class PrimarySelectorTest {
     private static final long TERM = 5;
 
-    /** Databases a, b and c: their last entries at term 4, their regions, who of them is lost. */
+    /** Per row, for databases a, b and c: the last log index at term 4, the regions, the suspected one, valid choices. */
     @ParameterizedTest
     @CsvSource({
         "7 7 7, west east east, '', b c",
@@ -29,19 +30,19 @@
         "7 8 9, '', '', c",
     })
     void mostAdvancedLogIsPreferredThenTheRegionWithMostMembers(
-            String positions, String regions, String lost, String expected) {
-        String[] entries = positions.split(" ", -1);
+            String positions, String regions, String suspectedId, String expected) {
+        String[] indexes = positions.split(" ", -1);
         List<DatabaseStatus> statuses = new ArrayList<>();
         Map<String, Registration> registrations = new HashMap<>();
-        for (int i = 0; i < entries.length; i++) {
-            DatabaseStatus status = status("abc".substring(i, i + 1), Long.parseLong(entries[i]));
+        for (int i = 0; i < indexes.length; i++) {
+            DatabaseStatus status = status("abc".substring(i, i + 1), Long.parseLong(indexes[i]));
             statuses.add(status);
             registrations.put(status.databaseId(), new Registration(status.databaseId(), 1, true));
         }
-        Map<String, Long> suspected = lost.isEmpty() ? Map.of() : Map.of(lost, 700L);
+        Map<String, Long> suspected = suspectedId.isEmpty() ? Map.of() : Map.of(suspectedId, 700L);
         FailoverInput input = new FailoverInput(
                 new GroupRecord("g", TERM, Optional.empty(), false),
-                entries.length,
+                indexes.length,
                 statuses,
                 registrations,
                 suspected,
--- a/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelChecker.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelChecker.java
@@ -19,10 +19,11 @@
 import org.hornbeamspread.core.misc.PausedClock;
 
 /**
- * Walks every history of one group of three databases, breadth first. What control does is asked of a fresh {@link
- * GroupFailover} at each state, so that each step is also the first of a new leader. The databases do what a database
- * may: a primary, also a replaced one, writes and goes on replicating to any database that is not at a higher term. The
- * command to become primary may arrive after control has given that promotion up.
+ * Explicit-state model checker: explores every history of one group of three databases breadth first. Control's steps
+ * are computed by a new {@link GroupFailover} for each state, so that each step is also tested as the first step of a
+ * new leader. The databases take every step that a database may take: a primary, including a replaced one, writes and
+ * replicates to any database that is not at a higher term. The command to become primary may arrive after control has
+ * abandoned that promotion.
  */
 final class PromotionModelChecker {
     private final PromotionRules rules;
@@ -31,10 +32,10 @@
     private final int maxPromotions;
     private final int maxDiskLosses;
 
-    /** Every state that was reached, with the state and the step before it. */
+    /** Every visited state, with the previous state and the step that led to it. */
     private final Map<ModelState, Step> visited = new HashMap<>();
 
-    /** What control decides does not depend on what is counted, so it is asked once for each record and databases. */
+    /** Control's effects by state without counters: the counters do not affect the decisions of control. */
     private final Map<ModelState, Set<FailoverEffect>> decisions = new HashMap<>();
 
     private final Deque<ModelState> frontier = new ArrayDeque<>();
@@ -48,7 +49,7 @@
         this.maxDiskLosses = maxLosses;
     }
 
-    /** The steps to the first state that lacks an acknowledged write; empty when there is none. */
+    /** The shortest trace to a state that lacks an acknowledged write; empty when no such state is reachable. */
     List<String> findLossTrace() {
         visit(ModelState.initial(), null, "start");
         while (!frontier.isEmpty()) {
@@ -73,7 +74,7 @@
                 visit(
                         state.with(i, database.withDiskLost()).withCounters(state.writes(), state.diskLosses() + 1),
                         state,
-                        "disk of " + i + " lost");
+                        "disk loss at " + i);
             }
             if (!database.primary()) {
                 continue;
@@ -97,7 +98,7 @@
             boolean accepts = to != from
                     && (replica.term() < primary.term() || (replica.term() == primary.term() && !replica.primary()));
             if (accepts) {
-                visit(state.with(to, replica.replicateFrom(primary)), state, "copy " + from + " to " + to);
+                visit(state.with(to, replica.replicateFrom(primary)), state, "replicate from " + from + " to " + to);
             }
         }
     }
@@ -113,8 +114,9 @@
         }
         for (int i = 0; i < primary.length(); i++) {
             int write = primary.entryAt(i) % ModelDatabase.WRITES;
-            boolean waiting = write != 0 && (state.acknowledged() & 1 << write) == 0;
-            if (waiting && acknowledgement.isAllowed(primary.position(i + 1), report(primary.status(index)), trusted)) {
+            boolean unacknowledged = write != 0 && (state.acknowledged() & 1 << write) == 0;
+            if (unacknowledged
+                    && acknowledgement.isAllowed(primary.position(i + 1), report(primary.status(index)), trusted)) {
                 visit(
                         state.withAcknowledged(write),
                         state,
@@ -139,12 +141,12 @@
                     state,
                     state.delayedPromotionTerm(),
                     state.delayedPromotionIndex(),
-                    "late promotion of " + state.delayedPromotionIndex());
+                    "delayed promotion of " + state.delayedPromotionIndex());
         }
         for (FailoverEffect effect : decisions.computeIfAbsent(state.withoutCounters(), this::decide)) {
             if (effect instanceof AppendRecord append) {
-                boolean starts = append.nextRecord().term() > state.term();
-                if (!starts || state.promotions() < maxPromotions) {
+                boolean startsPromotion = append.nextRecord().term() > state.term();
+                if (!startsPromotion || state.promotions() < maxPromotions) {
                     visit(withDelayedPromotion(state, append.nextRecord()), state, String.valueOf(append.nextRecord()));
                 }
             } else if (effect instanceof AppendRegistrations append) {
@@ -177,7 +179,7 @@
         }
     }
 
-    /** What control may do now: at once or after a wait, and with or without a suspicion of the record's primary. */
+    /** Control's possible effects: immediate or after the retry interval, with or without suspecting the primary. */
     private Set<FailoverEffect> decide(ModelState state) {
         Set<FailoverEffect> effects = new LinkedHashSet<>();
         collect(effects, state.input(Map.of()));
@@ -196,9 +198,9 @@
         effects.addAll(failover.step(input));
     }
 
-    private void visit(ModelState state, ModelState before, String step) {
+    private void visit(ModelState state, ModelState previous, String step) {
         if (!visited.containsKey(state)) {
-            visited.put(state, new Step(before, step));
+            visited.put(state, new Step(previous, step));
             frontier.addLast(state);
         }
     }
@@ -215,6 +217,6 @@
         return steps;
     }
 
-    /** How a state was reached. */
+    /** The step by which a state was first reached. */
     private record Step(ModelState previous, String description) {}
 }
--- a/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelTest.java
@@ -14,23 +14,26 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** With all five rules no small history loses an acknowledged write; without any one of them some history does. */
+/**
+ * Model check of the promotion rules: with all five rules no history within the bounds loses an acknowledged write, and
+ * omitting any one rule produces a history that does.
+ */
 final class PromotionModelTest {
     private static final int WRITES = 2;
 
     @ParameterizedTest
     @CsvSource({"3, 0, 286390", "2, 1, 355034"})
     void noHistoryLosesAnAcknowledgedWrite(int promotions, int lostDisks, int states) {
-        PromotionModelChecker search = new PromotionModelChecker(
+        PromotionModelChecker checker = new PromotionModelChecker(
                 new SafePromotionRules(), Acknowledgement.byQuorumTracker(), WRITES, promotions, lostDisks);
-        assertThat(search.findLossTrace()).isEmpty();
-        assertThat(search.visitedStates()).isEqualTo(states);
+        assertThat(checker.findLossTrace()).isEmpty();
+        assertThat(checker.visitedStates()).isEqualTo(states);
     }
 
     static Stream<Arguments> omittedRules() {
         return Stream.of(
                 Arguments.of(
-                        Named.of("2: a quorum of fenced databases", new DelegatingRules() {
+                        Named.of("rule 2, a quorum of fenced databases", new DelegatingRules() {
                             @Override
                             public int fenceQuorum(int databases) {
                                 return 1;
@@ -38,7 +41,7 @@
                         }),
                         0),
                 Arguments.of(
-                        Named.of("3: the order by term, then index", new DelegatingRules() {
+                        Named.of("rule 3, log order by term, then by index", new DelegatingRules() {
                             @Override
                             public Comparator<DatabaseStatus> promotionOrder() {
                                 return Comparator.comparing(
@@ -47,7 +50,7 @@
                         }),
                         0),
                 Arguments.of(
-                        Named.of("5: no trust after a lost disk", new DelegatingRules() {
+                        Named.of("rule 5, no trust after a disk loss", new DelegatingRules() {
                             @Override
                             public boolean isTrusted(
                                     DatabaseStatus status, Optional<Registration> registration, GroupRecord record) {
@@ -56,7 +59,7 @@
                         }),
                         1),
                 Arguments.of(
-                        Named.of("5: caught up before it is readmitted", new DelegatingRules() {
+                        Named.of("rule 5, catch-up before readmission", new DelegatingRules() {
                             @Override
                             public boolean mayReadmit(
                                     DatabaseStatus replica, DatabaseStatus primary, GroupRecord record) {
@@ -74,8 +77,8 @@
 
     static Stream<Arguments> prematureAcknowledgements() {
         return Stream.of(
-                Arguments.of(Named.of("1: a quorum of holders", Acknowledgement.byQuorumTracker(1))),
-                Arguments.of(Named.of("4: the marker", Acknowledgement.withoutMarker())));
+                Arguments.of(Named.of("rule 1, a quorum of holders", Acknowledgement.byQuorumTracker(1))),
+                Arguments.of(Named.of("rule 4, the marker of a term", Acknowledgement.withoutMarker())));
     }
 
     @ParameterizedTest
@@ -84,12 +87,12 @@
         assertFindsLoss(new PromotionModelChecker(new SafePromotionRules(), acknowledgement, WRITES, 3, 0));
     }
 
-    private static void assertFindsLoss(PromotionModelChecker search) {
-        List<String> loss = search.findLossTrace();
-        assertWithMessage("steps to a loss").that(loss).isNotEmpty();
+    private static void assertFindsLoss(PromotionModelChecker checker) {
+        List<String> trace = checker.findLossTrace();
+        assertWithMessage("trace to a lost acknowledged write").that(trace).isNotEmpty();
     }
 
-    /** The safe rules, for one to be left out. */
+    /** Delegates to the safe rules, so that a subclass can omit one of them. */
     private abstract static class DelegatingRules implements PromotionRules {
         private final SafePromotionRules safe = new SafePromotionRules();
 
