--- a/core/src/test/java/org/hornbeamspread/core/failover/PrimarySelectorTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PrimarySelectorTest.java
@@ -18,7 +18,7 @@
 final class PrimarySelectorTest {
     private static final long TERM = 5;
 
-    /** Per row, for databases a, b and c: the last log index at term 4, the regions, the suspected one, valid choices. */
+    /** For databases a, b and c: the last log index at term 4, the regions, the suspected one, the valid choices. */
     @ParameterizedTest
     @CsvSource({
         "7 7 7, west east east, '', b c",
--- a/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelChecker.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelChecker.java
@@ -41,12 +41,16 @@
     private final Deque<ModelState> frontier = new ArrayDeque<>();
 
     PromotionModelChecker(
-            PromotionRules rules, Acknowledgement acknowledgement, int maxWrites, int maxPromotions, int maxLosses) {
+            PromotionRules rules,
+            Acknowledgement acknowledgement,
+            int maxWrites,
+            int maxPromotions,
+            int maxDiskLosses) {
         this.rules = rules;
         this.acknowledgement = acknowledgement;
         this.maxWrites = maxWrites;
         this.maxPromotions = maxPromotions;
-        this.maxDiskLosses = maxLosses;
+        this.maxDiskLosses = maxDiskLosses;
     }
 
     /** The shortest trace to a state that lacks an acknowledged write; empty when no such state is reachable. */
@@ -74,7 +78,7 @@
                 visit(
                         state.with(i, database.withDiskLost()).withCounters(state.writes(), state.diskLosses() + 1),
                         state,
-                        "disk loss at " + i);
+                        "disk of " + i + " lost");
             }
             if (!database.primary()) {
                 continue;
--- a/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelTest.java
@@ -59,7 +59,7 @@
                         }),
                         1),
                 Arguments.of(
-                        Named.of("rule 5, catch-up before readmission", new DelegatingRules() {
+                        Named.of("rule 5, caught up before it is readmitted", new DelegatingRules() {
                             @Override
                             public boolean mayReadmit(
                                     DatabaseStatus replica, DatabaseStatus primary, GroupRecord record) {
