--- a/core/src/main/java/org/hornbeamspread/core/acknowledgement/HolderReport.java
+++ b/core/src/main/java/org/hornbeamspread/core/acknowledgement/LogStatusReport.java
@@ -12,5 +12,5 @@
  * @param trusted false from a lost disk until it is readmitted
  * @param synced its last synced entry
  */
-public record HolderReport(
+public record LogStatusReport(
         String databaseId, long incarnation, long term, long followedTerm, boolean trusted, LogPosition synced) {}
--- a/core/src/main/java/org/hornbeamspread/core/acknowledgement/QuorumTracker.java
+++ b/core/src/main/java/org/hornbeamspread/core/acknowledgement/QuorumTracker.java
@@ -38,13 +38,14 @@
     /** 0 until the first view. */
     private long term;
 
-    private int quorumDatabases = Integer.MAX_VALUE;
+    private int quorumSize = Integer.MAX_VALUE;
     private Set<String> members = Set.of();
-    private final Map<String, Holder> holders = new HashMap<>();
-    private final PriorityQueue<Waiting> waiting = new PriorityQueue<>(Comparator.comparing(Waiting::position));
+    private final Map<String, DatabaseLogStatus> statusByDatabase = new HashMap<>();
+    private final PriorityQueue<WaitingWrite> waitingWrites =
+            new PriorityQueue<>(Comparator.comparing(WaitingWrite::position));
 
     /** The highest position held by a majority; NONE until there is one of this term. */
-    private LogPosition held = LogPosition.NONE;
+    private LogPosition quorumPosition = LogPosition.NONE;
 
     /**
      * Takes over the group's state from a view.
@@ -53,28 +54,28 @@
      * @param newMembers the databases that may count
      * @param groupDatabases how many databases the group has, of which a majority is needed
      */
-    public void view(long newTerm, Set<String> newMembers, int groupDatabases) {
+    public void updateView(long newTerm, Set<String> newMembers, int groupDatabases) {
         if (newTerm < term) {
             return;
         }
         members = Set.copyOf(newMembers);
-        quorumDatabases = groupDatabases / 2 + 1;
+        quorumSize = groupDatabases / 2 + 1;
         if (newTerm > term) {
             term = newTerm;
-            held = LogPosition.NONE;
-            failWaiting();
+            quorumPosition = LogPosition.NONE;
+            failWaitingWrites();
         }
-        advance();
+        advanceQuorumPosition();
     }
 
     /** Takes a report in. */
-    public void report(HolderReport report) {
-        Holder known = holders.get(report.databaseId());
+    public void onReport(LogStatusReport report) {
+        DatabaseLogStatus known = statusByDatabase.get(report.databaseId());
         if (known != null && report.incarnation() < known.incarnation) {
             return;
         }
-        holders.put(report.databaseId(), Holder.of(report, known));
-        advance();
+        statusByDatabase.put(report.databaseId(), DatabaseLogStatus.updated(report, known));
+        advanceQuorumPosition();
     }
 
     /**
@@ -85,54 +86,54 @@
      * @param primaryId the primary, which synced the write before it answered
      * @return completes when the write is safe; fails with TERM_CHANGED_AFTER_SEND
      */
-    public CompletableFuture<Void> await(long writeTerm, LogPosition position, String primaryId) {
+    public CompletableFuture<Void> awaitQuorum(long writeTerm, LogPosition position, String primaryId) {
         if (writeTerm != term) {
             return CompletableFuture.failedFuture(termChanged(writeTerm));
         }
-        Holder primary = holders.get(primaryId);
-        if (primary != null && position.term() == term && primary.countsAt(term)) {
-            primary.raise(position);
-            advance();
+        DatabaseLogStatus primary = statusByDatabase.get(primaryId);
+        if (primary != null && position.term() == term && primary.isCountedAt(term)) {
+            primary.advanceTo(position);
+            advanceQuorumPosition();
         }
-        if (held.covers(position)) {
+        if (quorumPosition.covers(position)) {
             return CompletableFuture.completedFuture(null);
         }
-        Waiting write = new Waiting(position, new CompletableFuture<>());
-        waiting.add(write);
-        return write.held;
+        WaitingWrite write = new WaitingWrite(position, new CompletableFuture<>());
+        waitingWrites.add(write);
+        return write.quorumReached;
     }
 
     /** Forgets a waiting write, after its deadline. */
-    public void forget(CompletableFuture<Void> write) {
-        waiting.removeIf(entry -> entry.held == write);
+    public void cancel(CompletableFuture<Void> write) {
+        waitingWrites.removeIf(entry -> entry.quorumReached == write);
     }
 
     /** Writes that wait for a majority. */
-    public int waitingWrites() {
-        return waiting.size();
+    public int waitingWriteCount() {
+        return waitingWrites.size();
     }
 
-    private void advance() {
-        LogPosition[] positions = holders.entrySet().stream()
+    private void advanceQuorumPosition() {
+        LogPosition[] positions = statusByDatabase.entrySet().stream()
                 .filter(entry ->
-                        members.contains(entry.getKey()) && entry.getValue().countsAt(term))
+                        members.contains(entry.getKey()) && entry.getValue().isCountedAt(term))
                 .map(entry -> entry.getValue().synced)
                 .filter(synced -> synced.term() == term)
                 .toArray(LogPosition[]::new);
-        if (positions.length < quorumDatabases) {
+        if (positions.length < quorumSize) {
             return;
         }
         Arrays.sort(positions);
-        held = LogPosition.max(held, positions[positions.length - quorumDatabases]);
-        while (!waiting.isEmpty() && held.covers(waiting.peek().position)) {
-            waiting.poll().held.complete(null);
+        quorumPosition = LogPosition.max(quorumPosition, positions[positions.length - quorumSize]);
+        while (!waitingWrites.isEmpty() && quorumPosition.covers(waitingWrites.peek().position)) {
+            waitingWrites.poll().quorumReached.complete(null);
         }
     }
 
-    private void failWaiting() {
-        while (!waiting.isEmpty()) {
-            Waiting write = waiting.poll();
-            write.held.completeExceptionally(termChanged(write.position.term()));
+    private void failWaitingWrites() {
+        while (!waitingWrites.isEmpty()) {
+            WaitingWrite write = waitingWrites.poll();
+            write.quorumReached.completeExceptionally(termChanged(write.position.term()));
         }
     }
 
@@ -141,10 +142,10 @@
                 FailureType.TERM_CHANGED_AFTER_SEND, "written at term " + writeTerm + ", now " + term);
     }
 
-    private record Waiting(LogPosition position, CompletableFuture<Void> held) {}
+    private record WaitingWrite(LogPosition position, CompletableFuture<Void> quorumReached) {}
 
     /** The latest state of one database. */
-    private static final class Holder {
+    private static final class DatabaseLogStatus {
         private final long incarnation;
         private final long term;
         private final long followedTerm;
@@ -152,7 +153,7 @@
 
         private LogPosition synced;
 
-        private Holder(HolderReport report, LogPosition synced) {
+        private DatabaseLogStatus(LogStatusReport report, LogPosition synced) {
             this.incarnation = report.incarnation();
             this.term = report.term();
             this.followedTerm = report.followedTerm();
@@ -161,22 +162,23 @@
         }
 
         /** Within one incarnation and term a log only grows, so that an older report can't lower what is known. */
-        static Holder of(HolderReport report, Holder known) {
+        static DatabaseLogStatus updated(LogStatusReport report, DatabaseLogStatus known) {
             if (known == null || known.incarnation < report.incarnation()) {
-                return new Holder(report, report.synced());
+                return new DatabaseLogStatus(report, report.synced());
             }
             if (report.term() < known.term || report.followedTerm() < known.followedTerm) {
                 return known;
             }
             boolean sameLog = report.followedTerm() == known.followedTerm;
-            return new Holder(report, sameLog ? LogPosition.max(known.synced, report.synced()) : report.synced());
+            return new DatabaseLogStatus(
+                    report, sameLog ? LogPosition.max(known.synced, report.synced()) : report.synced());
         }
 
-        boolean countsAt(long viewTerm) {
+        boolean isCountedAt(long viewTerm) {
             return trusted && term == viewTerm && followedTerm == viewTerm;
         }
 
-        void raise(LogPosition position) {
+        void advanceTo(LogPosition position) {
             synced = LogPosition.max(synced, position);
         }
     }
--- a/core/src/main/java/org/hornbeamspread/core/acknowledgement/ViewLeaseState.java
+++ b/core/src/main/java/org/hornbeamspread/core/acknowledgement/ViewLeaseState.java
@@ -13,20 +13,20 @@
  *
  * @param freshUntil exclusive end of the lease
  */
-public record ViewLeaseState(Instant freshUntil) {
+public record ViewLeaseState(Instant validUntil) {
     /** Before the first lease. */
     public static final ViewLeaseState NONE = new ViewLeaseState(Instant.EPOCH);
 
-    private static final int MARGIN_DIVISOR = 20;
+    private static final int CLOCK_DRIFT_MARGIN_DIVISOR = 20;
 
     /** The state after a renewal was granted. A lease that was granted earlier but runs longer stays. */
-    public ViewLeaseState granted(Instant sentAt, Duration lease) {
-        Instant end = sentAt.plus(lease).minus(lease.dividedBy(MARGIN_DIVISOR));
-        return end.isAfter(freshUntil) ? new ViewLeaseState(end) : this;
+    public ViewLeaseState renewed(Instant sentAt, Duration lease) {
+        Instant end = sentAt.plus(lease).minus(lease.dividedBy(CLOCK_DRIFT_MARGIN_DIVISOR));
+        return end.isAfter(validUntil) ? new ViewLeaseState(end) : this;
     }
 
     /** Whether the view may be trusted at a moment. */
-    public boolean isFreshAt(Instant moment) {
-        return moment.isBefore(freshUntil);
+    public boolean isValidAt(Instant moment) {
+        return moment.isBefore(validUntil);
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/session/SessionPosition.java
+++ b/core/src/main/java/org/hornbeamspread/core/session/SessionPosition.java
@@ -13,7 +13,7 @@
     public static final SessionPosition NONE = new SessionPosition(LogPosition.NONE, LogPosition.NONE);
 
     /** The position that a database must have applied to serve the session's next read. */
-    public LogPosition floor() {
+    public LogPosition minReadPosition() {
         return LogPosition.max(lastWrite, lastRead);
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/session/SessionToken.java
+++ b/core/src/main/java/org/hornbeamspread/core/session/SessionToken.java
@@ -50,7 +50,7 @@
     private static final int HEADER_BYTES = 3;
     private static final int VARINT_BITS = 7;
     private static final int VARINT_MASK = (1 << VARINT_BITS) - 1;
-    private static final BaseEncoding TEXT = BaseEncoding.base64Url().omitPadding();
+    private static final BaseEncoding BASE64 = BaseEncoding.base64Url().omitPadding();
 
     /** Copies the positions and checks their number and the names' lengths. */
     public SessionToken {
@@ -76,7 +76,7 @@
         }
         byte[] bytes;
         try {
-            bytes = TEXT.decode(text);
+            bytes = BASE64.decode(text);
         } catch (IllegalArgumentException e) {
             throw invalid("not base64url");
         }
@@ -109,11 +109,11 @@
         byte[] body = out.toByteArray();
         ByteBuffer whole = ByteBuffer.allocate(body.length + CHECKSUM_BYTES);
         whole.put(body).putInt(checksum(body, body.length));
-        return TEXT.encode(whole.array());
+        return BASE64.encode(whole.array());
     }
 
     /** What the session has seen of a group; empty when the token can't tell, because it is incomplete. */
-    public Optional<SessionPosition> seen(String group) {
+    public Optional<SessionPosition> positionOf(String group) {
         SessionPosition position = positions.get(group);
         if (position == null && incomplete) {
             return Optional.empty();
@@ -123,24 +123,24 @@
 
     /** This token after an acknowledged write. */
     public SessionToken withWrite(String group, LogPosition position) {
-        return with(group, new SessionPosition(position, LogPosition.NONE));
+        return withPosition(group, new SessionPosition(position, LogPosition.NONE));
     }
 
     /** This token after a read of a state. */
     public SessionToken withRead(String group, LogPosition position) {
-        return with(group, new SessionPosition(LogPosition.NONE, position));
+        return withPosition(group, new SessionPosition(LogPosition.NONE, position));
     }
 
     /** The later of both tokens, group by group. */
     public SessionToken merge(SessionToken other) {
         SessionToken merged = new SessionToken(positions, incomplete || other.incomplete);
         for (Map.Entry<String, SessionPosition> entry : other.positions.entrySet()) {
-            merged = merged.with(entry.getKey(), entry.getValue());
+            merged = merged.withPosition(entry.getKey(), entry.getValue());
         }
         return merged;
     }
 
-    private SessionToken with(String group, SessionPosition seen) {
+    private SessionToken withPosition(String group, SessionPosition seen) {
         SortedMap<String, SessionPosition> next = new TreeMap<>(positions);
         next.merge(group, seen, SessionPosition::merge);
         boolean dropped = next.size() > MAX_GROUPS;
--- a/core/src/test/java/org/hornbeamspread/core/acknowledgement/QuorumTrackerTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/acknowledgement/QuorumTrackerTest.java
@@ -30,68 +30,71 @@
         "still follows the old primary, 2, 1, true, 2, 7, false",
         "lost its disk, 2, 2, false, 2, 7, false",
     })
-    void aWriteIsHeldOnlyByReplicasOfItsOwnTerm(
+    void onlyTrustedReplicasOfTheCurrentTermCountTowardsTheQuorum(
             String fault, long term, long followed, boolean trusted, long syncedTerm, long syncedIndex, boolean held) {
-        CompletableFuture<Void> write = tracker.await(2, new LogPosition(2, 7), "a");
+        CompletableFuture<Void> write = tracker.awaitQuorum(2, new LogPosition(2, 7), "a");
         assertThat(write.isDone()).isFalse();
-        tracker.report(new HolderReport("b", 1, term, followed, trusted, new LogPosition(syncedTerm, syncedIndex)));
+        tracker.onReport(
+                new LogStatusReport("b", 1, term, followed, trusted, new LogPosition(syncedTerm, syncedIndex)));
         assertThat(write.isDone()).isEqualTo(held);
     }
 
     @Test
-    void aReplayedWriteOfAnEarlierTermWaitsForTheMarker() {
-        tracker.report(new HolderReport("b", 1, 2, 2, true, new LogPosition(1, 4)));
-        CompletableFuture<Void> replayed = tracker.await(2, new LogPosition(1, 3), "a");
+    void replayedWriteOfAnEarlierTermWaitsForTheMarker() {
+        tracker.onReport(new LogStatusReport("b", 1, 2, 2, true, new LogPosition(1, 4)));
+        CompletableFuture<Void> replayed = tracker.awaitQuorum(2, new LogPosition(1, 3), "a");
         assertThat(replayed.isDone()).isFalse();
-        tracker.report(new HolderReport("b", 1, 2, 2, true, new LogPosition(2, 5)));
+        tracker.onReport(new LogStatusReport("b", 1, 2, 2, true, new LogPosition(2, 5)));
         assertThat(replayed.isDone()).isTrue();
     }
 
     @Test
-    void aNewIncarnationNoLongerHoldsWhatTheOldOneHeld() {
-        tracker.report(new HolderReport("b", 1, 2, 2, true, new LogPosition(2, 5)));
-        tracker.report(new HolderReport("b", 2, 2, 2, true, new LogPosition(2, 5)));
-        tracker.report(new HolderReport("b", 1, 2, 2, true, new LogPosition(2, 7)));
-        assertThat(tracker.await(2, new LogPosition(2, 7), "a").isDone()).isFalse();
+    void entriesOfAnEarlierIncarnationDoNotCount() {
+        tracker.onReport(new LogStatusReport("b", 1, 2, 2, true, new LogPosition(2, 5)));
+        tracker.onReport(new LogStatusReport("b", 2, 2, 2, true, new LogPosition(2, 5)));
+        tracker.onReport(new LogStatusReport("b", 1, 2, 2, true, new LogPosition(2, 7)));
+        assertThat(tracker.awaitQuorum(2, new LogPosition(2, 7), "a").isDone()).isFalse();
     }
 
     @Test
-    void databasesOutsideTheViewDoNotCount() {
-        tracker.report(new HolderReport("x", 1, 2, 2, true, new LogPosition(2, 7)));
-        assertThat(tracker.await(2, new LogPosition(2, 7), "a").isDone()).isFalse();
+    void databasesThatAreNotInTheViewDoNotCount() {
+        tracker.onReport(new LogStatusReport("x", 1, 2, 2, true, new LogPosition(2, 7)));
+        assertThat(tracker.awaitQuorum(2, new LogPosition(2, 7), "a").isDone()).isFalse();
     }
 
     @Test
-    void aChangeOfTermFailsWhatWaitsAsUnknown() {
-        CompletableFuture<Void> write = tracker.await(2, new LogPosition(2, 7), "a");
-        tracker.view(3, MEMBERS, 3);
-        assertThat(typeOf(write)).isEqualTo(FailureType.TERM_CHANGED_AFTER_SEND);
-        tracker.report(new HolderReport("b", 1, 3, 3, true, new LogPosition(3, 9)));
-        assertThat(typeOf(tracker.await(2, new LogPosition(2, 7), "a"))).isEqualTo(FailureType.TERM_CHANGED_AFTER_SEND);
-        tracker.view(2, MEMBERS, 3);
-        assertThat(typeOf(tracker.await(2, new LogPosition(2, 7), "a"))).isEqualTo(FailureType.TERM_CHANGED_AFTER_SEND);
+    void termChangeFailsWaitingWritesWithUnknownOutcome() {
+        CompletableFuture<Void> write = tracker.awaitQuorum(2, new LogPosition(2, 7), "a");
+        tracker.updateView(3, MEMBERS, 3);
+        assertThat(failureTypeOf(write)).isEqualTo(FailureType.TERM_CHANGED_AFTER_SEND);
+        tracker.onReport(new LogStatusReport("b", 1, 3, 3, true, new LogPosition(3, 9)));
+        assertThat(failureTypeOf(tracker.awaitQuorum(2, new LogPosition(2, 7), "a")))
+                .isEqualTo(FailureType.TERM_CHANGED_AFTER_SEND);
+        tracker.updateView(2, MEMBERS, 3);
+        assertThat(failureTypeOf(tracker.awaitQuorum(2, new LogPosition(2, 7), "a")))
+                .isEqualTo(FailureType.TERM_CHANGED_AFTER_SEND);
     }
 
     @Test
-    void writesCompleteInOrderAndALateReportChangesNothing() {
-        CompletableFuture<Void> second = tracker.await(2, new LogPosition(2, 8), "a");
-        CompletableFuture<Void> first = tracker.await(2, new LogPosition(2, 7), "a");
-        tracker.report(new HolderReport("b", 1, 2, 2, true, new LogPosition(2, 7)));
-        tracker.report(new HolderReport("a", 1, 2, 2, true, new LogPosition(2, 5)));
+    void writesCompleteInLogOrderAndOutdatedReportsAreIgnored() {
+        CompletableFuture<Void> second = tracker.awaitQuorum(2, new LogPosition(2, 8), "a");
+        CompletableFuture<Void> first = tracker.awaitQuorum(2, new LogPosition(2, 7), "a");
+        tracker.onReport(new LogStatusReport("b", 1, 2, 2, true, new LogPosition(2, 7)));
+        tracker.onReport(new LogStatusReport("a", 1, 2, 2, true, new LogPosition(2, 5)));
         assertThat(first.isDone()).isTrue();
         assertThat(second.isDone()).isFalse();
-        tracker.forget(second);
-        assertThat(tracker.waitingWrites()).isEqualTo(0);
+        tracker.cancel(second);
+        assertThat(tracker.waitingWriteCount()).isEqualTo(0);
     }
 
     private static QuorumTracker tracker() {
         QuorumTracker tracker = new QuorumTracker();
-        tracker.view(2, MEMBERS, 3);
-        tracker.report(new HolderReport("a", 1, 2, 2, true, new LogPosition(2, 5)));
+        tracker.updateView(2, MEMBERS, 3);
+        tracker.onReport(new LogStatusReport("a", 1, 2, 2, true, new LogPosition(2, 5)));
         return tracker;
     }
 
-    private static FailureType typeOf(CompletableFuture<Void> write) {
+    private static FailureType failureTypeOf(CompletableFuture<Void> write) {
         return FailureException.of(assertThrows(CompletionException.class, write::join))
                 .type();
     }
--- a/core/src/test/java/org/hornbeamspread/core/acknowledgement/ViewLeaseStateTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/acknowledgement/ViewLeaseStateTest.java
@@ -14,13 +14,13 @@
     /** The renewal is sent, answered after a while, and checked later still. */
     @ParameterizedTest
     @CsvSource({"0, 949, true", "0, 950, false", "900, 49, true", "900, 50, false", "2000, 0, false"})
-    void theLeaseRunsFromTheMomentTheRenewalWasSent(long answeredAfterMs, long checkedAfterMs, boolean fresh) {
+    void leaseStartsWhenTheRenewalIsSent(long answeredAfterMs, long checkedAfterMs, boolean fresh) {
         Instant sentAt = clock.instant();
-        assertThat(ViewLeaseState.NONE.isFreshAt(sentAt)).isFalse();
+        assertThat(ViewLeaseState.NONE.isValidAt(sentAt)).isFalse();
         clock.advance(Duration.ofMillis(answeredAfterMs));
-        ViewLeaseState lease = ViewLeaseState.NONE.granted(sentAt, Duration.ofSeconds(1));
+        ViewLeaseState lease = ViewLeaseState.NONE.renewed(sentAt, Duration.ofSeconds(1));
         clock.advance(Duration.ofMillis(checkedAfterMs));
-        assertThat(lease.isFreshAt(clock.instant())).isEqualTo(fresh);
-        assertThat(lease.granted(sentAt.minusMillis(1), Duration.ofSeconds(1))).isEqualTo(lease);
+        assertThat(lease.isValidAt(clock.instant())).isEqualTo(fresh);
+        assertThat(lease.renewed(sentAt.minusMillis(1), Duration.ofSeconds(1))).isEqualTo(lease);
     }
 }
--- a/core/src/test/java/org/hornbeamspread/core/configuration/ConfigurationValidatorTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/configuration/ConfigurationValidatorTest.java
@@ -16,12 +16,12 @@
     private static final DatabaseGroup GROUP = new DatabaseGroup("g1", 3, 5, 35);
     private static final Service SERVICE = new Service("ledger", List.of("g1"), 2_000, 1_000);
 
-    static Stream<Arguments> configurations() {
+    static Stream<Arguments> expectedErrors() {
         return Stream.of(
-                Arguments.of("", of(List.of(URGENT), List.of(GROUP), List.of(SERVICE))),
-                Arguments.of("ranks: is empty", of(List.of(), List.of(GROUP), List.of(SERVICE))),
-                Arguments.of("groups: is empty", of(List.of(URGENT), List.of(), List.of(SERVICE))),
-                Arguments.of("services: is empty", of(List.of(URGENT), List.of(GROUP), List.of())),
+                Arguments.of("", configurationOf(List.of(URGENT), List.of(GROUP), List.of(SERVICE))),
+                Arguments.of("ranks: is empty", configurationOf(List.of(), List.of(GROUP), List.of(SERVICE))),
+                Arguments.of("groups: is empty", configurationOf(List.of(URGENT), List.of(), List.of(SERVICE))),
+                Arguments.of("services: is empty", configurationOf(List.of(URGENT), List.of(GROUP), List.of())),
                 Arguments.of("ranks[1].name: 'urgent' is declared twice", ranks(URGENT, URGENT)),
                 Arguments.of("ranks[0].name: 'Urgent!' does not match", ranks(new Rank("Urgent!", 300, 1, 1))),
                 Arguments.of("ranks[0].name: '' does not match", ranks(new Rank("", 300, 1, 1))),
@@ -48,7 +48,7 @@
 
     @ParameterizedTest
     @MethodSource("configurations")
-    void eachRefusalNamesPlaceAndReason(String refusal, DeclaredConfiguration configuration) {
+    void eachErrorNamesTheFieldAndTheReason(String refusal, DeclaredConfiguration configuration) {
         Optional<FailureException> failure = ConfigurationValidator.check(configuration);
         assertThat(failure.isPresent()).isEqualTo(!refusal.isEmpty());
         failure.ifPresent(refused -> {
@@ -57,19 +57,21 @@
         });
     }
 
-    private static DeclaredConfiguration of(List<Rank> ranks, List<DatabaseGroup> groups, List<Service> services) {
+    private static DeclaredConfiguration configurationOf(
+            List<Rank> ranks, List<DatabaseGroup> groups, List<Service> services) {
         return new DeclaredConfiguration(0, ranks, groups, services);
     }
 
     private static DeclaredConfiguration ranks(Rank... ranks) {
-        return of(List.of(ranks), List.of(GROUP), List.of(SERVICE));
+        return configurationOf(List.of(ranks), List.of(GROUP), List.of(SERVICE));
     }
 
     private static DeclaredConfiguration groups(DatabaseGroup... groups) {
-        return of(List.of(URGENT), List.of(groups), List.of(SERVICE));
+        return configurationOf(List.of(URGENT), List.of(groups), List.of(SERVICE));
     }
 
     private static DeclaredConfiguration services(List<String> groups, int allowanceMs, int timeoutMs) {
-        return of(List.of(URGENT), List.of(GROUP), List.of(new Service("a", groups, allowanceMs, timeoutMs)));
+        return configurationOf(
+                List.of(URGENT), List.of(GROUP), List.of(new Service("a", groups, allowanceMs, timeoutMs)));
     }
 }
--- a/core/src/test/java/org/hornbeamspread/core/failover/Acknowledgement.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/Acknowledgement.java
@@ -3,7 +3,7 @@
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.Set;
-import org.hornbeamspread.core.acknowledgement.HolderReport;
+import org.hornbeamspread.core.acknowledgement.LogStatusReport;
 import org.hornbeamspread.core.acknowledgement.QuorumTracker;
 import org.hornbeamspread.core.misc.LogPosition;
 
@@ -16,7 +16,7 @@
      * @param primary the primary, at the term of the proxy's view
      * @param trusted latest reports of the databases that control's record trusts, the primary among them
      */
-    boolean isAllowed(LogPosition commit, HolderReport primary, Collection<HolderReport> trusted);
+    boolean isAllowed(LogPosition commit, LogStatusReport primary, Collection<LogStatusReport> trusted);
 
     /** What proxies do. */
     static Acknowledgement byQuorumTracker() {
@@ -29,9 +29,10 @@
             QuorumTracker tracker = new QuorumTracker();
             Set<String> members = new HashSet<>();
             trusted.forEach(report -> members.add(report.databaseId()));
-            tracker.view(primary.term(), members, databases);
-            trusted.forEach(tracker::report);
-            return tracker.await(primary.term(), commit, primary.databaseId()).isDone();
+            tracker.updateView(primary.term(), members, databases);
+            trusted.forEach(tracker::onReport);
+            return tracker.awaitQuorum(primary.term(), commit, primary.databaseId())
+                    .isDone();
         };
     }
 
--- a/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelChecker.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelChecker.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.hornbeamspread.core.acknowledgement.HolderReport;
+import org.hornbeamspread.core.acknowledgement.LogStatusReport;
 import org.hornbeamspread.core.failover.FailoverEffect.AppendRecord;
 import org.hornbeamspread.core.failover.FailoverEffect.AppendRegistrations;
 import org.hornbeamspread.core.failover.FailoverEffect.Fence;
@@ -108,7 +108,7 @@
     }
 
     private void acknowledge(ModelState state, int index, ModelDatabase primary) {
-        List<HolderReport> trusted = new ArrayList<>();
+        List<LogStatusReport> trusted = new ArrayList<>();
         for (int i = 0; i < ModelState.DATABASES; i++) {
             DatabaseStatus status = state.database(i).status(i);
             Optional<Registration> registration = Optional.of(state.database(i).registration(i));
@@ -129,8 +129,8 @@
         }
     }
 
-    private static HolderReport report(DatabaseStatus status) {
-        return new HolderReport(
+    private static LogStatusReport report(DatabaseStatus status) {
+        return new LogStatusReport(
                 status.databaseId(),
                 status.incarnation(),
                 status.term(),
--- a/core/src/test/java/org/hornbeamspread/core/session/SessionTokenTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/session/SessionTokenTest.java
@@ -24,7 +24,7 @@
             .withRead("rental-core-2", new LogPosition(1, 128));
 
     @Property(tries = 200, seed = "20261204")
-    void everyPositionSurvivesItsText(
+    void everyPositionIsUnchangedAfterEncodingAndDecoding(
             @ForAll @LongRange(max = Long.MAX_VALUE) long term, @ForAll @LongRange(max = Long.MAX_VALUE) long index) {
         SessionToken token = SAMPLE.withRead("g", new LogPosition(term, index));
         assertThat(SessionToken.decode(token.encode())).isEqualTo(token);
@@ -32,8 +32,8 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"!", "A", "AAAA", "AAAAAAAAAAAA", "not base64 at all", "AQAAAAAAAA=="})
-    void malformedTextIsRefused(String text) {
-        assertRefused(text);
+    void malformedTextIsRejected(String text) {
+        assertRejected(text);
     }
 
     /** Bodies with a right checksum and a wrong content: hex of version, flags, count, names, positions. */
@@ -49,50 +49,50 @@
         "group named twice, 01000201610101010101610101 0101",
         "trailing bytes, 01000000",
     })
-    void aWrongBodyIsRefused(String fault, String hex) {
+    void invalidBodyWithValidChecksumIsRejected(String fault, String hex) {
         byte[] body = BaseEncoding.base16().lowerCase().decode(hex.replace(" ", ""));
         byte[] checksum = Ints.toByteArray(Hashing.crc32c().hashBytes(body).asInt());
-        assertRefused(BaseEncoding.base64Url().omitPadding().encode(Bytes.concat(body, checksum)));
+        assertRejected(BaseEncoding.base64Url().omitPadding().encode(Bytes.concat(body, checksum)));
     }
 
     @Test
-    void everyChangedCharacterAndEveryCutIsRefused() {
+    void everyAlteredOrTruncatedTextIsRejected() {
         String text = SAMPLE.encode();
         for (int i = 0; i < text.length() - 1; i++) {
             char other = text.charAt(i) == 'A' ? 'B' : 'A';
-            assertRefused(text.substring(0, i) + other + text.substring(i + 1));
+            assertRejected(text.substring(0, i) + other + text.substring(i + 1));
             if (i > 0) {
-                assertRefused(text.substring(0, i));
+                assertRejected(text.substring(0, i));
             }
         }
-        assertRefused("A".repeat(SessionToken.MAX_TEXT_CHARACTERS + 1));
+        assertRejected("A".repeat(SessionToken.MAX_TEXT_CHARACTERS + 1));
     }
 
     @Test
-    void mergeTakesTheLaterPositionOfEachGroup() {
+    void mergeKeepsTheLaterPositionOfEachGroup() {
         SessionToken left = SAMPLE.withWrite("g", new LogPosition(1, 9)).withRead("g", new LogPosition(2, 1));
         SessionToken right =
                 SessionToken.EMPTY.withWrite("g", new LogPosition(2, 2)).withRead("g", new LogPosition(1, 99));
-        SessionPosition merged = left.merge(right).seen("g").orElseThrow();
+        SessionPosition merged = left.merge(right).positionOf("g").orElseThrow();
         assertThat(merged).isEqualTo(new SessionPosition(new LogPosition(2, 2), new LogPosition(2, 1)));
-        assertThat(merged.floor()).isEqualTo(new LogPosition(2, 2));
+        assertThat(merged.minReadPosition()).isEqualTo(new LogPosition(2, 2));
         assertThat(left.merge(right)).isEqualTo(right.merge(left));
     }
 
     @Test
-    void aTokenThatDroppedAGroupDoesNotClaimToKnowIt() {
+    void incompleteTokenReturnsNoPositionForADroppedGroup() {
         SessionToken token = SessionToken.EMPTY;
         for (int i = 0; i <= SessionToken.MAX_GROUPS; i++) {
             token = token.withWrite(String.format("g%02d", i), new LogPosition(1, i + 1));
         }
-        assertThat(token.seen("g00").isEmpty()).isTrue();
-        assertThat(token.seen("g32").isPresent()).isTrue();
+        assertThat(token.positionOf("g00").isEmpty()).isTrue();
+        assertThat(token.positionOf("g32").isPresent()).isTrue();
         assertThat(SessionToken.decode(token.encode())).isEqualTo(token);
         assertThat(token.encode().length()).isLessThan(SessionToken.MAX_TEXT_CHARACTERS);
-        assertThat(SAMPLE.seen("g00")).hasValue(SessionPosition.NONE);
+        assertThat(SAMPLE.positionOf("g00")).hasValue(SessionPosition.NONE);
     }
 
-    private static void assertRefused(String text) {
+    private static void assertRejected(String text) {
         FailureException failure = assertThrows(FailureException.class, () -> SessionToken.decode(text), text);
         assertThat(failure.type()).isEqualTo(FailureType.INVALID_TOKEN);
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/GroupState.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/GroupState.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
-import org.hornbeamspread.core.acknowledgement.HolderReport;
+import org.hornbeamspread.core.acknowledgement.LogStatusReport;
 import org.hornbeamspread.core.acknowledgement.QuorumTracker;
 import org.hornbeamspread.core.misc.LogPosition;
 import org.hornbeamspread.core.routing.ReplicaAge;
@@ -38,14 +38,14 @@
                 trusted.add(database.getDatabaseId());
             }
         }
-        quorum.view(group.getTerm(), trusted, groupDatabases);
+        quorum.updateView(group.getTerm(), trusted, groupDatabases);
     }
 
     /** Takes a database's report in. */
     void report(PositionReport report, Instant now) {
         LogPosition synced = Envelopes.position(report.getSynced());
         LogPosition appliedNow = Envelopes.position(report.getApplied());
-        quorum.report(new HolderReport(
+        quorum.onReport(new LogStatusReport(
                 report.getDatabaseId(),
                 report.getIncarnation(),
                 report.getTerm(),
--- a/proxy/src/main/java/org/hornbeamspread/proxy/LeasedView.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/LeasedView.java
@@ -17,7 +17,7 @@
 
     /** Whether the view may be trusted at a moment. */
     boolean isFreshAt(Instant moment) {
-        return lease.isFreshAt(moment);
+        return lease.isValidAt(moment);
     }
 
     /** Whether a write of a term may be acknowledged at a moment. */
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
@@ -82,7 +82,7 @@
                     && !request.request().getSessionId().isEmpty();
             this.floor = lostToken
                     ? Optional.empty()
-                    : request.token().seen(request.group()).map(SessionPosition::floor);
+                    : request.token().positionOf(request.group()).map(SessionPosition::minReadPosition);
         }
 
         /** Makes one attempt. Completes on the dispatcher's thread. */
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ViewPublisher.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ViewPublisher.java
@@ -43,7 +43,7 @@
             return false;
         }
         ViewSnapshot next = before.view().apply(lease);
-        current = new LeasedView(next, before.lease().granted(sentAt, Duration.ofMillis(lease.getLeaseMs())));
+        current = new LeasedView(next, before.lease().renewed(sentAt, Duration.ofMillis(lease.getLeaseMs())));
         return next != before.view();
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
@@ -121,9 +121,9 @@
             return result;
         }
         GroupState state = databases.group(group.getGroup());
-        CompletableFuture<Void> held = state.quorum().await(group.getTerm(), position, group.getPrimaryId());
+        CompletableFuture<Void> held = state.quorum().awaitQuorum(group.getTerm(), position, group.getPrimaryId());
         Dispatcher.Timer timer = dispatcher.schedule(remaining(order), () -> {
-            state.quorum().forget(held);
+            state.quorum().cancel(held);
             result.completeExceptionally(new FailureException(FailureType.NO_QUORUM_IN_TIME, group.getGroup()));
         });
         held.whenComplete((nothing, error) -> {
--- a/proxy/src/test/java/org/hornbeamspread/proxy/HotPathBenchmark.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/HotPathBenchmark.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.IntConsumer;
-import org.hornbeamspread.core.acknowledgement.HolderReport;
+import org.hornbeamspread.core.acknowledgement.LogStatusReport;
 import org.hornbeamspread.core.acknowledgement.QuorumTracker;
 import org.hornbeamspread.core.misc.LogPosition;
 import org.hornbeamspread.core.routing.GroupRouting;
@@ -104,18 +104,18 @@
         long[] index = new long[groups];
         for (int i = 0; i < groups; i++) {
             QuorumTracker tracker = new QuorumTracker();
-            tracker.view(1, MEMBERS, 3);
-            tracker.report(new HolderReport("a", 1, 1, 1, true, new LogPosition(1, 1)));
+            tracker.updateView(1, MEMBERS, 3);
+            tracker.onReport(new LogStatusReport("a", 1, 1, 1, true, new LogPosition(1, 1)));
             trackers.add(tracker);
         }
         report("write: wait, three reports, acknowledged", groups, i -> {
             int group = i % groups;
             LogPosition position = new LogPosition(1, ++index[group] + 1);
             QuorumTracker tracker = trackers.get(group);
-            sink = tracker.await(1, position, "a");
-            tracker.report(new HolderReport("a", 1, 1, 1, true, position));
-            tracker.report(new HolderReport("b", 1, 1, 1, true, position));
-            tracker.report(new HolderReport("c", 1, 1, 1, true, position));
+            sink = tracker.awaitQuorum(1, position, "a");
+            tracker.onReport(new LogStatusReport("a", 1, 1, 1, true, position));
+            tracker.onReport(new LogStatusReport("b", 1, 1, 1, true, position));
+            tracker.onReport(new LogStatusReport("c", 1, 1, 1, true, position));
         });
     }
 
--- a/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
@@ -65,7 +65,7 @@
         report("b", 7);
         assertThat(write.join().getEffect().name()).isEqualTo("DONE");
         SessionToken token = SessionToken.decode(write.join().getSessionToken());
-        assertThat(token.seen(TestViews.GROUP).orElseThrow().lastWrite().indexEntries())
+        assertThat(token.positionOf(TestViews.GROUP).orElseThrow().lastWrite().indexEntries())
                 .isEqualTo(7);
     }
 
