--- a/core/src/main/java/org/hornbeamspread/core/acknowledgement/LogStatusReport.java
+++ b/core/src/main/java/org/hornbeamspread/core/acknowledgement/LogStatusReport.java
@@ -3,14 +3,14 @@
 import org.hornbeamspread.core.misc.LogPosition;
 
 /**
- * What a database says of the log that it holds.
+ * A database's report about its replicated log.
  *
- * @param databaseId its id
- * @param incarnation raised whenever it may have lost its disk
- * @param term the highest term it was fenced, promoted or told to follow at
- * @param followedTerm the last term whose log it accepted
- * @param trusted false from a lost disk until it is readmitted
- * @param synced its last synced entry
+ * @param databaseId the database's id
+ * @param incarnation increased whenever the database may have lost its disk
+ * @param term the highest term at which the database was fenced, promoted or told to follow
+ * @param followedTerm the last term whose log the database accepted
+ * @param trusted false from the loss of the disk until the database is readmitted
+ * @param synced the position of the last synced log entry
  */
 public record LogStatusReport(
         String databaseId, long incarnation, long term, long followedTerm, boolean trusted, LogPosition synced) {}
--- a/core/src/main/java/org/hornbeamspread/core/acknowledgement/QuorumTracker.java
+++ b/core/src/main/java/org/hornbeamspread/core/acknowledgement/QuorumTracker.java
@@ -12,30 +12,30 @@
 import org.hornbeamspread.core.misc.LogPosition;
 
 /**
- * Decides when a write of one group is held by enough databases to survive every promotion that can follow.
+ * Decides when enough databases of a group hold a write for it to survive every later promotion.
  *
- * <p>Replication is asynchronous, so a primary's commit alone proves nothing: the primary may die with it. A promotion
- * fences a majority of the group and takes the fenced database with the highest last entry. A write survives when a
- * majority holds it, because every fenced majority then contains a holder, and the holder's last entry is at least the
- * write. Three things would break that argument, and each has a rule:
+ * <p>Replication is asynchronous, so a commit on the primary alone is not sufficient: the only copy may be lost with
+ * the primary. A promotion fences a majority of the group and selects the fenced database with the highest last entry. A
+ * write that a majority holds survives, because every fenced majority contains a holder, and the holder's last entry is
+ * at or after the write. Three cases would invalidate this argument, and each is excluded by a rule:
  *
  * <ul>
- *   <li>A database that was fenced at a later term, or follows another term's log, may have its tail cut back. It
- *       counts only while its own term and the followed term are both the term of the view.
- *   <li>An entry of an earlier term can be held by a majority and still lose against a later term's shorter tail. So a
- *       database counts only when its last entry is of the current term: it then holds the term's marker too, and an
- *       older entry (a replayed write) is acknowledged only once the marker has a majority.
- *   <li>A database that lost its disk has forgotten what it promised. It counts only while it is trusted, and what an
- *       earlier incarnation held no longer counts.
+ *   <li>The log of a database that was fenced at a later term, or that follows the log of another term, may be
+ *       truncated. A database counts only while its own term and its followed term both equal the term of the view.
+ *   <li>An entry of an earlier term can be held by a majority and still be replaced by a shorter log with a last entry
+ *       of a later term. A database therefore counts only when its last entry is of the current term. Its log then also
+ *       contains the marker that starts the term, so an older entry (a replayed write) is acknowledged only after a
+ *       majority holds the marker.
+ *   <li>A database that lost its disk no longer holds the entries that it reported before. A database counts only while
+ *       it is trusted, and entries reported by an earlier incarnation do not count.
  * </ul>
  *
- * <p>With each report the tracker computes the highest position that a majority covers and completes every waiting
- * write up to it, so that the cost does not grow with the number of waiting writes. When the term changes, the waiting
- * writes fail with TERM_CHANGED_AFTER_SEND: they may survive in the new primary's log or not. Not safe for use by
- * several threads.
+ * <p>For each report the tracker computes the highest position that a majority holds and completes every waiting write
+ * up to that position, so the cost does not grow with the number of waiting writes. When the term changes, the waiting
+ * writes fail with TERM_CHANGED_AFTER_SEND: the new primary's log may or may not contain them. Not thread-safe.
  */
 public final class QuorumTracker {
-    /** 0 until the first view. */
+    /** The term of the current view; 0 before the first view. */
     private long term;
 
     private int quorumSize = Integer.MAX_VALUE;
@@ -44,22 +44,22 @@
     private final PriorityQueue<WaitingWrite> waitingWrites =
             new PriorityQueue<>(Comparator.comparing(WaitingWrite::position));
 
-    /** The highest position held by a majority; NONE until there is one of this term. */
+    /** The highest position held by a majority; NONE until a majority holds an entry of the current term. */
     private LogPosition quorumPosition = LogPosition.NONE;
 
     /**
-     * Takes over the group's state from a view.
+     * Applies the group's state from a view. A view with a lower term is ignored.
      *
-     * @param newTerm the group's term; a lower one is ignored
-     * @param newMembers the databases that may count
-     * @param groupDatabases how many databases the group has, of which a majority is needed
+     * @param newTerm the group's term
+     * @param newMembers the databases that may count towards a quorum
+     * @param groupSize the number of databases in the group, of which a majority forms a quorum
      */
-    public void updateView(long newTerm, Set<String> newMembers, int groupDatabases) {
+    public void updateView(long newTerm, Set<String> newMembers, int groupSize) {
         if (newTerm < term) {
             return;
         }
         members = Set.copyOf(newMembers);
-        quorumSize = groupDatabases / 2 + 1;
+        quorumSize = groupSize / 2 + 1;
         if (newTerm > term) {
             term = newTerm;
             quorumPosition = LogPosition.NONE;
@@ -68,23 +68,23 @@
         advanceQuorumPosition();
     }
 
-    /** Takes a report in. */
+    /** Processes a database's report; a report of an earlier incarnation is ignored. */
     public void onReport(LogStatusReport report) {
-        DatabaseLogStatus known = statusByDatabase.get(report.databaseId());
-        if (known != null && report.incarnation() < known.incarnation) {
+        DatabaseLogStatus previous = statusByDatabase.get(report.databaseId());
+        if (previous != null && report.incarnation() < previous.incarnation) {
             return;
         }
-        statusByDatabase.put(report.databaseId(), DatabaseLogStatus.updated(report, known));
+        statusByDatabase.put(report.databaseId(), DatabaseLogStatus.updated(report, previous));
         advanceQuorumPosition();
     }
 
     /**
      * Waits until a majority holds a position.
      *
-     * @param writeTerm the term that the primary executed the write at
-     * @param position the write's position, or for a replayed write its first position
-     * @param primaryId the primary, which synced the write before it answered
-     * @return completes when the write is safe; fails with TERM_CHANGED_AFTER_SEND
+     * @param writeTerm the term at which the primary executed the write
+     * @param position the write's position; for a replayed write, its original position
+     * @param primaryId the primary, which synced the write before it responded
+     * @return a future that completes when a majority holds the write, or fails with TERM_CHANGED_AFTER_SEND
      */
     public CompletableFuture<Void> awaitQuorum(long writeTerm, LogPosition position, String primaryId) {
         if (writeTerm != term) {
@@ -103,12 +103,12 @@
         return write.quorumReached;
     }
 
-    /** Forgets a waiting write, after its deadline. */
+    /** Stops waiting for a write whose deadline has passed. */
     public void cancel(CompletableFuture<Void> write) {
         waitingWrites.removeIf(entry -> entry.quorumReached == write);
     }
 
-    /** Writes that wait for a majority. */
+    /** The number of writes that wait for a quorum. */
     public int waitingWriteCount() {
         return waitingWrites.size();
     }
@@ -139,12 +139,12 @@
 
     private FailureException termChanged(long writeTerm) {
         return new FailureException(
-                FailureType.TERM_CHANGED_AFTER_SEND, "written at term " + writeTerm + ", now " + term);
+                FailureType.TERM_CHANGED_AFTER_SEND, "written at term " + writeTerm + ", current term is " + term);
     }
 
     private record WaitingWrite(LogPosition position, CompletableFuture<Void> quorumReached) {}
 
-    /** The latest state of one database. */
+    /** The latest log status of one database. */
     private static final class DatabaseLogStatus {
         private final long incarnation;
         private final long term;
@@ -161,17 +161,20 @@
             this.synced = synced;
         }
 
-        /** Within one incarnation and term a log only grows, so that an older report can't lower what is known. */
-        static DatabaseLogStatus updated(LogStatusReport report, DatabaseLogStatus known) {
-            if (known == null || known.incarnation < report.incarnation()) {
+        /**
+         * The status after a report. Within one incarnation and term a log only grows, so an outdated report must not
+         * lower the synced position.
+         */
+        static DatabaseLogStatus updated(LogStatusReport report, DatabaseLogStatus previous) {
+            if (previous == null || previous.incarnation < report.incarnation()) {
                 return new DatabaseLogStatus(report, report.synced());
             }
-            if (report.term() < known.term || report.followedTerm() < known.followedTerm) {
-                return known;
+            if (report.term() < previous.term || report.followedTerm() < previous.followedTerm) {
+                return previous;
             }
-            boolean sameLog = report.followedTerm() == known.followedTerm;
+            boolean sameLog = report.followedTerm() == previous.followedTerm;
             return new DatabaseLogStatus(
-                    report, sameLog ? LogPosition.max(known.synced, report.synced()) : report.synced());
+                    report, sameLog ? LogPosition.max(previous.synced, report.synced()) : report.synced());
         }
 
         boolean isCountedAt(long viewTerm) {
--- a/core/src/main/java/org/hornbeamspread/core/acknowledgement/package-info.java
+++ b/core/src/main/java/org/hornbeamspread/core/acknowledgement/package-info.java
@@ -1,2 +1,2 @@
-/** When a write may be acknowledged to its caller. */
+/** Quorum tracking and view leases, which decide when a write may be acknowledged to its caller. */
 package org.hornbeamspread.core.acknowledgement;
--- a/core/src/main/java/org/hornbeamspread/core/configuration/ConfigurationStore.java
+++ b/core/src/main/java/org/hornbeamspread/core/configuration/ConfigurationStore.java
@@ -5,19 +5,19 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * Holds the configuration in force and decides on each change of it. A change names the version that it replaces, so
- * that of changes prepared against the same version one wins and the others get VERSION_CONFLICT. The version only
- * rises, by one with each accepted change. Not safe for threads.
+ * Stores the configuration in force and accepts or rejects changes. Each change specifies the version that it replaces
+ * (optimistic concurrency control): of several changes to the same version, one is accepted and the others fail with
+ * VERSION_CONFLICT. The version increases by one with each accepted change. Not thread-safe.
  */
 public final class ConfigurationStore {
     private DeclaredConfiguration current = DeclaredConfiguration.EMPTY;
 
-    /** What is in force. */
+    /** The configuration in force. */
     public DeclaredConfiguration current() {
         return current;
     }
 
-    /** Decides a change without making it: empty when it would be accepted. */
+    /** Validates a change without applying it; empty when the change would be accepted. */
     public Optional<FailureException> check(DeclaredConfiguration proposed, long expectedVersion) {
         if (expectedVersion != current.version()) {
             return Optional.of(new FailureException(
@@ -26,16 +26,16 @@
         return ConfigurationValidator.check(proposed);
     }
 
-    /** Makes a change when {@link #check} accepts it; else returns why not and leaves what is in force. */
+    /** Applies a change that {@link #check} accepts; otherwise returns the error and changes nothing. */
     public Optional<FailureException> replace(DeclaredConfiguration proposed, long expectedVersion) {
-        Optional<FailureException> refusal = check(proposed, expectedVersion);
-        if (refusal.isEmpty()) {
+        Optional<FailureException> error = check(proposed, expectedVersion);
+        if (error.isEmpty()) {
             current = proposed.withVersion(current.version() + 1);
         }
-        return refusal;
+        return error;
     }
 
-    /** Takes over a whole configuration from a snapshot. */
+    /** Replaces the configuration with the one from a snapshot. */
     public void restore(DeclaredConfiguration snapshot) {
         current = snapshot;
     }
--- a/core/src/main/java/org/hornbeamspread/core/configuration/ConfigurationValidator.java
+++ b/core/src/main/java/org/hornbeamspread/core/configuration/ConfigurationValidator.java
@@ -10,20 +10,22 @@
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** Checks a configuration on its own. Each refusal names the place and the reason. */
+/** Validates a configuration on its own. Each error names the path of the field and the reason. */
 public final class ConfigurationValidator {
-    /** Most databases that a group may have. */
+    /** The maximum number of databases in a group. */
     public static final int MAX_DATABASES_PER_GROUP = 9;
 
     private static final int FULL_SHARE_PERCENT = 100;
+    /** One day. */
     private static final int MAX_DURATION_MS = 86_400_000;
+
     private static final int MAX_PER_DATABASE = 10_000;
     private static final int MAX_WORTH = 1_000_000;
     private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9._-]{0,62}");
 
     private ConfigurationValidator() {}
 
-    /** The first reason to refuse, as INVALID_CONFIGURATION. */
+    /** The first error found, as INVALID_CONFIGURATION; empty for a valid configuration. */
     public static Optional<FailureException> check(DeclaredConfiguration configuration) {
         try {
             checkNames("ranks", configuration.ranks(), Rank::name);
@@ -43,20 +45,20 @@
 
     private static <T> void checkNames(String list, List<T> entries, Function<T, String> nameOf) {
         require(!entries.isEmpty(), list, "is empty");
-        Set<String> seen = new HashSet<>();
+        Set<String> names = new HashSet<>();
         for (int i = 0; i < entries.size(); i++) {
             String name = nameOf.apply(entries.get(i));
-            String place = list + "[" + i + "].name";
-            require(NAME.matcher(name).matches(), place, "'" + name + "' does not match " + NAME.pattern());
-            require(seen.add(name), place, "'" + name + "' is declared twice");
+            String path = list + "[" + i + "].name";
+            require(NAME.matcher(name).matches(), path, "'" + name + "' does not match " + NAME.pattern());
+            require(names.add(name), path, "'" + name + "' is declared twice");
         }
     }
 
     private static void checkRank(Rank rank) {
-        String place = "ranks." + rank.name();
-        checkRange(place + ".target_ms", rank.targetMs(), 1, MAX_DURATION_MS);
-        checkRange(place + ".worth", rank.worth(), 1, MAX_WORTH);
-        checkRange(place + ".guaranteed_share_percent", rank.guaranteedSharePercent(), 0, FULL_SHARE_PERCENT);
+        String path = "ranks." + rank.name();
+        checkRange(path + ".target_ms", rank.targetMs(), 1, MAX_DURATION_MS);
+        checkRange(path + ".worth", rank.worth(), 1, MAX_WORTH);
+        checkRange(path + ".guaranteed_share_percent", rank.guaranteedSharePercent(), 0, FULL_SHARE_PERCENT);
     }
 
     private static void checkShares(List<Rank> ranks) {
@@ -68,35 +70,35 @@
     }
 
     private static void checkGroup(DatabaseGroup group) {
-        String place = "groups." + group.name();
-        checkRange(place + ".databases", group.databases(), 1, MAX_DATABASES_PER_GROUP);
-        checkRange(place + ".slots_per_database", group.slotsPerDatabase(), 1, MAX_PER_DATABASE);
-        checkRange(place + ".connections_per_database", group.connectionsPerDatabase(), 1, MAX_PER_DATABASE);
+        String path = "groups." + group.name();
+        checkRange(path + ".databases", group.databases(), 1, MAX_DATABASES_PER_GROUP);
+        checkRange(path + ".slots_per_database", group.slotsPerDatabase(), 1, MAX_PER_DATABASE);
+        checkRange(path + ".connections_per_database", group.connectionsPerDatabase(), 1, MAX_PER_DATABASE);
         require(
                 group.connectionsPerDatabase() >= group.slotsPerDatabase(),
-                place + ".connections_per_database",
+                path + ".connections_per_database",
                 "fewer connections than slots");
     }
 
     private static void checkService(Service service, Set<String> groups) {
-        String place = "services." + service.name();
-        require(!service.groups().isEmpty(), place + ".groups", "is empty");
-        Set<String> seen = new HashSet<>();
+        String path = "services." + service.name();
+        require(!service.groups().isEmpty(), path + ".groups", "is empty");
+        Set<String> names = new HashSet<>();
         for (String group : service.groups()) {
-            require(groups.contains(group), place + ".groups", "unknown group '" + group + "'");
-            require(seen.add(group), place + ".groups", "'" + group + "' is named twice");
+            require(groups.contains(group), path + ".groups", "unknown group '" + group + "'");
+            require(names.add(group), path + ".groups", "'" + group + "' is named twice");
         }
-        checkRange(place + ".staleness_allowance_ms", service.stalenessAllowanceMs(), 0, MAX_DURATION_MS);
-        checkRange(place + ".default_timeout_ms", service.defaultTimeoutMs(), 1, MAX_DURATION_MS);
+        checkRange(path + ".staleness_allowance_ms", service.stalenessAllowanceMs(), 0, MAX_DURATION_MS);
+        checkRange(path + ".default_timeout_ms", service.defaultTimeoutMs(), 1, MAX_DURATION_MS);
     }
 
-    private static void checkRange(String place, int value, int min, int max) {
-        require(value >= min && value <= max, place, value + " is not within " + min + " to " + max);
+    private static void checkRange(String path, int value, int min, int max) {
+        require(value >= min && value <= max, path, value + " is not within " + min + " to " + max);
     }
 
-    private static void require(boolean holds, String place, String reason) {
-        if (!holds) {
-            throw new FailureException(FailureType.INVALID_CONFIGURATION, place + ": " + reason);
+    private static void require(boolean condition, String path, String reason) {
+        if (!condition) {
+            throw new FailureException(FailureType.INVALID_CONFIGURATION, path + ": " + reason);
         }
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/configuration/DeclaredConfiguration.java
+++ b/core/src/main/java/org/hornbeamspread/core/configuration/DeclaredConfiguration.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * Everything that operators declare, at one version.
+ * The configuration declared by operators, at one version.
  *
- * @param version one more than the version it replaced, 0 for the empty one that the system starts with
- * @param ranks the ranks of work, most urgent first
+ * @param version one more than the version that was replaced; 0 for the empty initial configuration
+ * @param ranks the priority ranks of requests, most urgent first
  * @param groups the database groups
  * @param services the services
  */
 public record DeclaredConfiguration(
         long version, List<Rank> ranks, List<DatabaseGroup> groups, List<Service> services) {
-    /** What is in force before the first change. */
+    /** The configuration in force before the first change. */
     public static final DeclaredConfiguration EMPTY = new DeclaredConfiguration(0, List.of(), List.of(), List.of());
 
     /** Copies the lists. */
--- a/core/src/main/java/org/hornbeamspread/core/configuration/Rank.java
+++ b/core/src/main/java/org/hornbeamspread/core/configuration/Rank.java
@@ -1,11 +1,11 @@
 package org.hornbeamspread.core.configuration;
 
 /**
- * A rank of work.
+ * A priority rank of requests.
  *
  * @param name the rank's name
- * @param targetMs the latency that a request of this rank should keep
- * @param worth relative value of one request served within its target
- * @param guaranteedSharePercent share of capacity kept for this rank while others flood
+ * @param targetMs the target latency of a request of this rank
+ * @param worth the relative value of one request that is served within its target latency
+ * @param guaranteedSharePercent the share of capacity reserved for this rank while other ranks are overloaded
  */
 public record Rank(String name, int targetMs, int worth, int guaranteedSharePercent) {}
--- a/core/src/main/java/org/hornbeamspread/core/configuration/Service.java
+++ b/core/src/main/java/org/hornbeamspread/core/configuration/Service.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * A service that callers name.
+ * A service, which callers address by name.
  *
  * @param name the service's name
- * @param groups the groups that hold its rows, in the order that keys are hashed over
- * @param stalenessAllowanceMs how old a read without a session position may be, 0 for reads at the primary only
- * @param defaultTimeoutMs the timeout of a request that names none
+ * @param groups the groups that store the service's rows; keys are hashed over the groups in this order
+ * @param stalenessAllowanceMs the maximum age of a read without a session position; 0 for reads at the primary only
+ * @param defaultTimeoutMs the timeout of a request without its own timeout
  */
 public record Service(String name, List<String> groups, int stalenessAllowanceMs, int defaultTimeoutMs) {
     /** Copies the list. */
--- a/core/src/main/java/org/hornbeamspread/core/configuration/package-info.java
+++ b/core/src/main/java/org/hornbeamspread/core/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** What operators declare, when a change of it is valid, and which of racing changes wins. */
+/** The declared configuration, its validation, and conflict detection between concurrent changes. */
 package org.hornbeamspread.core.configuration;
--- a/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
@@ -61,7 +61,7 @@
     /** When this leader first processed the current term with a chosen primary; null before. */
     private Instant primaryChosenAt;
 
-    /** The term to which the fields below apply; -1 before the first record. */
+    /** The term of the latest processed record; -1 before the first record. */
     private long currentTerm = -1;
 
     private Instant termStartedAt;
--- a/core/src/main/java/org/hornbeamspread/core/session/SessionToken.java
+++ b/core/src/main/java/org/hornbeamspread/core/session/SessionToken.java
@@ -14,34 +14,36 @@
 import org.hornbeamspread.core.misc.LogPosition;
 
 /**
- * What a session has seen, carried by the caller from answer to request, so that any proxy serves the session without
- * asking another one.
+ * The write and read positions of a session, which provide session consistency (read your writes, monotonic reads). The
+ * caller passes the token of each response in its next request, so that any proxy can serve the session without
+ * contacting another proxy.
  *
- * <p>The token holds, for each group that the session touched, the position of its last write and of its last read. A
- * database may serve the session's next read when it has applied both. Two tokens of one session merge by taking the
- * later position of each group, so answers may arrive in any order.
+ * <p>For each group that the session used, the token contains the positions of the session's last write and last read.
+ * A database may serve the session's next read when the database has applied both. Two tokens of one session are merged
+ * by taking the later position of each group, so responses may arrive in any order.
  *
- * <p>A token holds at most {@value #MAX_GROUPS} groups. Leaving a group out silently would lose the session's writes
- * there; so a token that had to drop one is marked incomplete, and a group that an incomplete token does not name is
- * read with the primary's position on arrival as the floor.
+ * <p>A token contains at most {@value #MAX_GROUPS} groups. Silently omitting a group would lose read-your-writes for
+ * that group. A token that had to drop a group is therefore marked incomplete, and a read of a group that is missing
+ * from an incomplete token uses the primary's position at the arrival of the request as its minimum position.
  *
- * <p>The text is URL-safe Base64 without padding over: version byte, flags byte, group count, then for each group in
- * order of name the length and bytes of the name and four variable-length integers, then a CRC-32C of all before it.
+ * <p>The text is URL-safe Base64 without padding of these fields: version byte, flags byte, group count, then for each
+ * group in order of name the length and bytes of the name and four variable-length integers, then a CRC-32C of all
+ * preceding bytes.
  *
- * @param positions what was seen, by group name
- * @param incomplete whether a group had to be dropped
+ * @param positions the session's positions, by group name
+ * @param incomplete whether a group was dropped
  */
 public record SessionToken(SortedMap<String, SessionPosition> positions, boolean incomplete) {
-    /** The most groups that a token holds. */
+    /** The maximum number of groups in a token. */
     public static final int MAX_GROUPS = 32;
 
-    /** The longest text that is accepted. */
+    /** The maximum length of an encoded token. */
     public static final int MAX_TEXT_CHARACTERS = 8_192;
 
-    /** The longest group name that a token carries. */
+    /** The maximum length of a group name in UTF-8. */
     public static final int MAX_NAME_BYTES = 127;
 
-    /** A session that has seen nothing. */
+    /** The token of a session that has neither written nor read. */
     public static final SessionToken EMPTY = new SessionToken(new TreeMap<>(), false);
 
     private static final byte VERSION = 1;
@@ -52,7 +54,7 @@
     private static final int VARINT_MASK = (1 << VARINT_BITS) - 1;
     private static final BaseEncoding BASE64 = BaseEncoding.base64Url().omitPadding();
 
-    /** Copies the positions and checks their number and the names' lengths. */
+    /** Copies the positions and validates their number and the lengths of the group names. */
     public SessionToken {
         positions = java.util.Collections.unmodifiableSortedMap(new TreeMap<>(positions));
         if (positions.size() > MAX_GROUPS) {
@@ -61,27 +63,27 @@
         for (String group : positions.keySet()) {
             int nameBytes = group.getBytes(StandardCharsets.UTF_8).length;
             if (nameBytes == 0 || nameBytes > MAX_NAME_BYTES) {
-                throw invalid("a group name of " + nameBytes + " bytes");
+                throw invalid("group name length of " + nameBytes + " bytes");
             }
         }
     }
 
-    /** Parses a token's text; empty text is the empty token. Fails with INVALID_TOKEN. */
+    /** Decodes a token; empty text is the empty token. Invalid text fails with INVALID_TOKEN. */
     public static SessionToken decode(String text) {
         if (text.isEmpty()) {
             return EMPTY;
         }
         if (text.length() > MAX_TEXT_CHARACTERS) {
-            throw invalid(text.length() + " characters");
+            throw invalid(text.length() + " characters exceed the maximum length");
         }
         byte[] bytes;
         try {
             bytes = BASE64.decode(text);
         } catch (IllegalArgumentException e) {
-            throw invalid("not base64url");
+            throw invalid("token is not valid base64url");
         }
         if (bytes.length < HEADER_BYTES + CHECKSUM_BYTES) {
-            throw invalid("too short");
+            throw invalid("token is too short");
         }
         int bodyBytes = bytes.length - CHECKSUM_BYTES;
         if (ByteBuffer.wrap(bytes, bodyBytes, CHECKSUM_BYTES).getInt() != checksum(bytes, bodyBytes)) {
@@ -90,7 +92,7 @@
         return decodeBody(ByteBuffer.wrap(bytes, 0, bodyBytes));
     }
 
-    /** The token's text. */
+    /** Encodes the token; the empty token is empty text. */
     public String encode() {
         if (equals(EMPTY)) {
             return "";
@@ -107,12 +109,12 @@
             writePosition(out, entry.getValue().lastRead());
         }
         byte[] body = out.toByteArray();
-        ByteBuffer whole = ByteBuffer.allocate(body.length + CHECKSUM_BYTES);
-        whole.put(body).putInt(checksum(body, body.length));
-        return BASE64.encode(whole.array());
+        ByteBuffer encoded = ByteBuffer.allocate(body.length + CHECKSUM_BYTES);
+        encoded.put(body).putInt(checksum(body, body.length));
+        return BASE64.encode(encoded.array());
     }
 
-    /** What the session has seen of a group; empty when the token can't tell, because it is incomplete. */
+    /** The session's position in a group; empty when the position is unknown because the token is incomplete. */
     public Optional<SessionPosition> positionOf(String group) {
         SessionPosition position = positions.get(group);
         if (position == null && incomplete) {
@@ -126,12 +128,12 @@
         return withPosition(group, new SessionPosition(position, LogPosition.NONE));
     }
 
-    /** This token after a read of a state. */
+    /** This token after a read that returned the state at a position. */
     public SessionToken withRead(String group, LogPosition position) {
         return withPosition(group, new SessionPosition(LogPosition.NONE, position));
     }
 
-    /** The later of both tokens, group by group. */
+    /** A token with the later position of each group. */
     public SessionToken merge(SessionToken other) {
         SessionToken merged = new SessionToken(positions, incomplete || other.incomplete);
         for (Map.Entry<String, SessionPosition> entry : other.positions.entrySet()) {
@@ -140,14 +142,14 @@
         return merged;
     }
 
-    private SessionToken withPosition(String group, SessionPosition seen) {
-        SortedMap<String, SessionPosition> next = new TreeMap<>(positions);
-        next.merge(group, seen, SessionPosition::merge);
-        boolean dropped = next.size() > MAX_GROUPS;
+    private SessionToken withPosition(String group, SessionPosition position) {
+        SortedMap<String, SessionPosition> merged = new TreeMap<>(positions);
+        merged.merge(group, position, SessionPosition::merge);
+        boolean dropped = merged.size() > MAX_GROUPS;
         if (dropped) {
-            next.remove(next.firstKey().equals(group) ? next.lastKey() : next.firstKey());
+            merged.remove(merged.firstKey().equals(group) ? merged.lastKey() : merged.firstKey());
         }
-        return new SessionToken(next, incomplete || dropped);
+        return new SessionToken(merged, incomplete || dropped);
     }
 
     private static SessionToken decodeBody(ByteBuffer body) {
@@ -162,9 +164,9 @@
         SortedMap<String, SessionPosition> positions = new TreeMap<>();
         for (int i = 0; i < groups; i++) {
             String name = readName(body);
-            SessionPosition seen = new SessionPosition(readPosition(body), readPosition(body));
-            if (positions.put(name, seen) != null) {
-                throw invalid("a group is named twice");
+            SessionPosition position = new SessionPosition(readPosition(body), readPosition(body));
+            if (positions.put(name, position) != null) {
+                throw invalid("group name occurs twice");
             }
         }
         if (body.hasRemaining()) {
@@ -176,7 +178,7 @@
     private static String readName(ByteBuffer body) {
         int length = body.hasRemaining() ? Byte.toUnsignedInt(body.get()) : 0;
         if (length == 0 || length > body.remaining()) {
-            throw invalid("a group name is cut off");
+            throw invalid("group name is empty or truncated");
         }
         byte[] name = new byte[length];
         body.get(name);
@@ -193,19 +195,19 @@
     }
 
     private static void writeVarint(ByteArrayOutputStream out, long value) {
-        long rest = value;
-        while (rest > VARINT_MASK) {
-            out.write((int) (rest & VARINT_MASK) | (1 << VARINT_BITS));
-            rest >>>= VARINT_BITS;
+        long remaining = value;
+        while (remaining > VARINT_MASK) {
+            out.write((int) (remaining & VARINT_MASK) | (1 << VARINT_BITS));
+            remaining >>>= VARINT_BITS;
         }
-        out.write((int) rest);
+        out.write((int) remaining);
     }
 
     private static long readVarint(ByteBuffer body) {
         long value = 0;
         for (int shift = 0; shift < Long.SIZE - 1; shift += VARINT_BITS) {
             if (!body.hasRemaining()) {
-                throw invalid("a position is cut off");
+                throw invalid("position is truncated");
             }
             byte next = body.get();
             value |= (long) (next & VARINT_MASK) << shift;
@@ -213,7 +215,7 @@
                 return value;
             }
         }
-        throw invalid("a position is too large");
+        throw invalid("position is too large");
     }
 
     private static int checksum(byte[] bytes, int lengthBytes) {
--- a/core/src/main/java/org/hornbeamspread/core/session/package-info.java
+++ b/core/src/main/java/org/hornbeamspread/core/session/package-info.java
@@ -1,2 +1,2 @@
-/** What a session has seen, carried by the caller. */
+/** Session tokens, with which callers carry the log positions that their next reads must include. */
 package org.hornbeamspread.core.session;
--- a/core/src/test/java/org/hornbeamspread/core/acknowledgement/QuorumTrackerTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/acknowledgement/QuorumTrackerTest.java
@@ -13,30 +13,40 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Guards against acknowledging a write that a later promotion can lose. Such a loss occurs when a database counts
+ * towards the quorum although its copy can be truncated, was lost with its disk or belongs to another term.
+ */
 final class QuorumTrackerTest {
     private static final Set<String> MEMBERS = Set.of("a", "b", "c");
 
     private final QuorumTracker tracker = tracker();
 
-    /** The primary wrote (2, 7); its log at term 2 starts with the marker (2, 5). */
+    /** The primary wrote the entry (2, 7); its log at term 2 starts with the marker (2, 5). */
     @ParameterizedTest
     @CsvSource({
-        // fault, term, followed term, trusted, synced term, synced index, held
-        "holds it, 2, 2, true, 2, 7, true",
+        // scenario, term, followed term, trusted, synced term, synced index, reaches a quorum
+        "holds the write, 2, 2, true, 2, 7, true",
         "holds more, 2, 2, true, 2, 9, true",
         "one entry behind, 2, 2, true, 2, 6, false",
-        "a longer tail of the old term, 2, 2, true, 1, 90, false",
+        "longer log of the old term, 2, 2, true, 1, 90, false",
         "fenced at a later term, 3, 2, true, 2, 7, false",
         "still follows the old primary, 2, 1, true, 2, 7, false",
         "lost its disk, 2, 2, false, 2, 7, false",
     })
     void onlyTrustedReplicasOfTheCurrentTermCountTowardsTheQuorum(
-            String fault, long term, long followed, boolean trusted, long syncedTerm, long syncedIndex, boolean held) {
+            String scenario,
+            long term,
+            long followed,
+            boolean trusted,
+            long syncedTerm,
+            long syncedIndex,
+            boolean quorumReached) {
         CompletableFuture<Void> write = tracker.awaitQuorum(2, new LogPosition(2, 7), "a");
         assertThat(write.isDone()).isFalse();
         tracker.onReport(
                 new LogStatusReport("b", 1, term, followed, trusted, new LogPosition(syncedTerm, syncedIndex)));
-        assertThat(write.isDone()).isEqualTo(held);
+        assertThat(write.isDone()).isEqualTo(quorumReached);
     }
 
     @Test
--- a/core/src/test/java/org/hornbeamspread/core/configuration/ConfigurationValidatorTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/configuration/ConfigurationValidatorTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
+/** An invalid configuration must be rejected with an error that names the field, so that operators can correct it. */
 final class ConfigurationValidatorTest {
     private static final Rank URGENT = new Rank("urgent", 300, 100, 40);
     private static final DatabaseGroup GROUP = new DatabaseGroup("g1", 3, 5, 35);
@@ -48,12 +49,12 @@
 
     @ParameterizedTest
     @MethodSource("configurations")
-    void eachErrorNamesTheFieldAndTheReason(String refusal, DeclaredConfiguration configuration) {
+    void eachErrorNamesTheFieldAndTheReason(String expectedError, DeclaredConfiguration configuration) {
         Optional<FailureException> failure = ConfigurationValidator.check(configuration);
-        assertThat(failure.isPresent()).isEqualTo(!refusal.isEmpty());
-        failure.ifPresent(refused -> {
-            assertThat(refused.type()).isEqualTo(FailureType.INVALID_CONFIGURATION);
-            assertThat(refused.detail()).startsWith(refusal);
+        assertThat(failure.isPresent()).isEqualTo(!expectedError.isEmpty());
+        failure.ifPresent(error -> {
+            assertThat(error.type()).isEqualTo(FailureType.INVALID_CONFIGURATION);
+            assertThat(error.detail()).startsWith(expectedError);
         });
     }
 
--- a/core/src/test/java/org/hornbeamspread/core/session/SessionTokenTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/session/SessionTokenTest.java
@@ -18,6 +18,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * A session token must keep every position through encoding and merging, and damaged text must be rejected: a lost or
+ * wrong position would let a session read a state without its own writes.
+ */
 final class SessionTokenTest {
     private static final SessionToken SAMPLE = SessionToken.EMPTY
             .withWrite("rental-core-1", new LogPosition(3, 700))
@@ -36,16 +40,16 @@
         assertRejected(text);
     }
 
-    /** Bodies with a right checksum and a wrong content: hex of version, flags, count, names, positions. */
+    /** Bodies with a valid checksum and invalid content: hex of version, flags, count, names, positions. */
     @ParameterizedTest
     @CsvSource({
         "version, 020000",
         "flags, 010200",
         "missing group, 010001",
         "empty name, 01000100",
-        "name cut off, 0100010561",
-        "position cut off, 010001016101",
-        "position without end, 0100010161ffffffffffffffffffff",
+        "truncated name, 0100010561",
+        "truncated position, 010001016101",
+        "unterminated position, 0100010161ffffffffffffffffffff",
         "group named twice, 01000201610101010101610101 0101",
         "trailing bytes, 01000000",
     })
