--- a/core/src/main/java/org/hornbeamspread/core/acknowledgement/QuorumTracker.java
+++ b/core/src/main/java/org/hornbeamspread/core/acknowledgement/QuorumTracker.java
@@ -15,9 +15,9 @@
  * Decides when enough databases of a group hold a write for it to survive every later promotion.
  *
  * <p>Replication is asynchronous, so a commit on the primary alone is not sufficient: the only copy may be lost with
- * the primary. A promotion fences a majority of the group and selects the fenced database with the highest last entry. A
- * write that a majority holds survives, because every fenced majority contains a holder, and the holder's last entry is
- * at or after the write. Three cases would invalidate this argument, and each is excluded by a rule:
+ * the primary. A promotion fences a majority of the group and selects the fenced database with the highest last entry.
+ * A write that a majority holds survives, because every fenced majority contains a holder, and the holder's last entry
+ * is at or after the write. Three cases would invalidate this argument, and each is excluded by a rule:
  *
  * <ul>
  *   <li>The log of a database that was fenced at a later term, or that follows the log of another term, may be
--- a/core/src/main/java/org/hornbeamspread/core/acknowledgement/ViewLeaseState.java
+++ b/core/src/main/java/org/hornbeamspread/core/acknowledgement/ViewLeaseState.java
@@ -8,8 +8,8 @@
  *
  * <p>Control makes a new term writable only after each proxy has confirmed the new view or the proxy's lease has
  * expired. A proxy that acknowledges writes only under a valid lease therefore never acknowledges a write for a
- * replaced primary. The lease starts when the proxy <em>sent</em> the renewal, because control may start the lease at any later
- * time. The proxy ends the lease a margin early, because two clocks never run at exactly the same rate.
+ * replaced primary. The lease starts when the proxy <em>sent</em> the renewal, because control may start the lease at
+ * any later time. The proxy ends the lease a margin early, because two clocks never run at exactly the same rate.
  *
  * @param validUntil the exclusive end of the lease
  */
--- a/core/src/main/java/org/hornbeamspread/core/session/SessionToken.java
+++ b/core/src/main/java/org/hornbeamspread/core/session/SessionToken.java
@@ -178,7 +178,7 @@
     private static String readName(ByteBuffer body) {
         int length = body.hasRemaining() ? Byte.toUnsignedInt(body.get()) : 0;
         if (length == 0 || length > body.remaining()) {
-            throw invalid("group name is empty or truncated");
+            throw invalid("group name is empty or cut off");
         }
         byte[] name = new byte[length];
         body.get(name);
@@ -207,7 +207,7 @@
         long value = 0;
         for (int shift = 0; shift < Long.SIZE - 1; shift += VARINT_BITS) {
             if (!body.hasRemaining()) {
-                throw invalid("position is truncated");
+                throw invalid("position is cut off");
             }
             byte next = body.get();
             value |= (long) (next & VARINT_MASK) << shift;
