--- a/core/src/test/java/org/hornbeamspread/core/configuration/ConfigurationValidatorTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/configuration/ConfigurationValidatorTest.java
@@ -48,7 +48,7 @@
     }
 
     @ParameterizedTest
-    @MethodSource("configurations")
+    @MethodSource("expectedErrors")
     void eachErrorNamesTheFieldAndTheReason(String expectedError, DeclaredConfiguration configuration) {
         Optional<FailureException> failure = ConfigurationValidator.check(configuration);
         assertThat(failure.isPresent()).isEqualTo(!expectedError.isEmpty());
--- a/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelTest.java
@@ -70,7 +70,7 @@
     }
 
     @ParameterizedTest
-    @MethodSource("rulesLeftOut")
+    @MethodSource("omittedRules")
     void omittingOneRuleLosesAnAcknowledgedWrite(PromotionRules rules, int lostDisks) {
         assertFindsLoss(new PromotionModelChecker(rules, Acknowledgement.byQuorumTracker(), WRITES, 3, lostDisks));
     }
@@ -82,7 +82,7 @@
     }
 
     @ParameterizedTest
-    @MethodSource("acknowledgementsTooEarly")
+    @MethodSource("prematureAcknowledgements")
     void prematureAcknowledgementLosesAnAcknowledgedWrite(Acknowledgement acknowledgement) {
         assertFindsLoss(new PromotionModelChecker(new SafePromotionRules(), acknowledgement, WRITES, 3, 0));
     }
