--- a/core/src/main/java/org/hornbeamspread/core/failover/FailureDetector.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FailureDetector.java
@@ -7,135 +7,138 @@
 import java.util.Map;
 
 /**
- * Tells whether a database should be taken for lost.
+ * Failure detector for databases: decides whether a database is suspected to have failed.
  *
- * <p>One observer is not enough: its own link may be cut, or it may have stood still. So control's own silence is only
- * the first condition. While half of the proxies that saw a database lately say that it lives, it is not suspected.
- * Without any such proxy the silence must last twice as long, unless the database's address refuses connections: then
- * its process is gone, and half the silence is enough.
+ * <p>A single observer is not reliable: its own network link may be cut, or its process may have been paused. The time
+ * since the control leader last received a message from the database (the silence) is therefore only the first
+ * condition. A database is not suspected while at least half of the proxies with a recent observation report it as
+ * available. Without any recent observation the required silence is twice as long. When the database's address refuses
+ * connections, its process has ended, and half the silence is sufficient.
  *
- * <p>A frozen observer wakes with every database silent. When two steps lie further apart than a bound, the silence that
- * was counted meanwhile is void and counts anew. A link that flaps would have its group promoted again and again, so
- * each promotion of a group in the last while doubles the silence it takes, up to a factor of four. Confined to one
- * thread.
+ * <p>After a pause of the observer's own process every database appears silent. When two checks are further apart than
+ * {@link FailoverTimings#pauseThresholdMs}, the silence counted so far is discarded and counting restarts. An unstable
+ * link could cause repeated promotions of one group, so each recent promotion of the group doubles the required
+ * silence, up to a factor of four. Confined to one thread.
  */
 public final class FailureDetector {
+    /** Bounds the observations that are stored for one database. */
     private static final int MAX_OBSERVERS = 9;
+
     private static final int MAX_DOUBLINGS = 2;
-    private static final int ALONE_FACTOR = 2;
-    private static final int REFUSED_DIVISOR = 2;
+    private static final int NO_OBSERVER_FACTOR = 2;
+    private static final int CONNECTION_FAILURE_DIVISOR = 2;
 
     private final Clock clock;
     private final FailoverTimings timings;
-    private final Map<String, Signs> databases = new HashMap<>();
-    private Instant lastStepAt;
+    private final Map<String, DatabaseHealth> healthByDatabase = new HashMap<>();
+    private Instant lastPauseCheckAt;
 
-    /** Nothing counted as silence before this time. */
-    private Instant silenceSince;
+    /** Time before this instant does not count as silence. */
+    private Instant silenceCountedFrom;
 
-    /** A detector that has heard nothing yet; silence counts from now. */
+    /** Creates a detector without any contacts; silence is counted from now. */
     public FailureDetector(Clock clock, FailoverTimings timings) {
         this.clock = clock;
         this.timings = timings;
-        this.lastStepAt = clock.instant();
-        this.silenceSince = lastStepAt;
+        this.lastPauseCheckAt = clock.instant();
+        this.silenceCountedFrom = lastPauseCheckAt;
     }
 
-    /** To be called at each step of the owner, so that its own pauses are seen. Returns whether it stood still. */
-    public boolean step() {
+    /** Must be called at each step of the owner. Returns whether the process was paused since the previous call. */
+    public boolean detectLocalPause() {
         Instant now = clock.instant();
-        boolean stoodStill = Duration.between(lastStepAt, now).toMillis() > timings.ownPauseMs();
-        if (stoodStill) {
-            silenceSince = now;
-            databases.values().forEach(signs -> signs.observations.clear());
+        boolean paused = Duration.between(lastPauseCheckAt, now).toMillis() > timings.pauseThresholdMs();
+        if (paused) {
+            silenceCountedFrom = now;
+            healthByDatabase.values().forEach(health -> health.observations.clear());
         }
-        lastStepAt = now;
-        return stoodStill;
+        lastPauseCheckAt = now;
+        return paused;
     }
 
-    /** The database gave a sign of life. */
-    public void heard(String databaseId) {
-        Signs signs = signs(databaseId);
-        signs.heardAt = clock.instant();
-        signs.refused = false;
+    /** Records a message received from the database. */
+    public void recordContact(String databaseId) {
+        DatabaseHealth health = health(databaseId);
+        health.lastContactAt = clock.instant();
+        health.connectionFailed = false;
     }
 
-    /** A connection to the database's address was refused or broken. */
-    public void refused(String databaseId) {
-        signs(databaseId).refused = true;
+    /** Records that a connection to the database's address was refused or broken. */
+    public void recordConnectionFailure(String databaseId) {
+        health(databaseId).connectionFailed = true;
     }
 
     /**
-     * A proxy told what it sees.
+     * Records a proxy's observation of a database.
      *
-     * @param reachable whether it has an open connection
-     * @param silentMs how long the database has sent it nothing
+     * @param reachable whether the proxy has an open connection to the database
+     * @param silentMs time since the proxy last received a message from the database
      */
-    public void observed(String proxyId, String databaseId, boolean reachable, long silentMs) {
-        Map<String, Observation> observations = signs(databaseId).observations;
+    public void recordObservation(String proxyId, String databaseId, boolean reachable, long silentMs) {
+        Map<String, Observation> observations = health(databaseId).observations;
         if (observations.size() < MAX_OBSERVERS || observations.containsKey(proxyId)) {
             observations.put(proxyId, new Observation(clock.instant(), reachable, silentMs));
         }
     }
 
-    /** Forgets a database that has expired. */
+    /** Removes the state of a database that has expired. */
     public void remove(String databaseId) {
-        databases.remove(databaseId);
+        healthByDatabase.remove(databaseId);
     }
 
-    /** How long the database has been silent, as far as this process can tell. */
+    /** Time since the last contact with the database, excluding time before this process's last pause ended. */
     public Duration silence(String databaseId) {
-        Signs signs = signs(databaseId);
-        Instant since = signs.heardAt.isAfter(silenceSince) ? signs.heardAt : silenceSince;
+        DatabaseHealth health = health(databaseId);
+        Instant since = health.lastContactAt.isAfter(silenceCountedFrom) ? health.lastContactAt : silenceCountedFrom;
         return Duration.between(since, clock.instant());
     }
 
     /**
-     * Whether the database should be taken for lost.
+     * Whether the database is suspected to have failed.
      *
-     * @param recentPromotions how often its group was promoted lately
+     * @param recentPromotions the number of recent promotions of the database's group
      */
     public boolean isSuspected(String databaseId, int recentPromotions) {
-        long neededMs = timings.silenceMs() << Math.min(recentPromotions, MAX_DOUBLINGS);
+        long requiredMs = timings.heartbeatTimeoutMs() << Math.min(recentPromotions, MAX_DOUBLINGS);
         long silentMs = silence(databaseId).toMillis();
-        if (silentMs <= neededMs / REFUSED_DIVISOR) {
+        if (silentMs <= requiredMs / CONNECTION_FAILURE_DIVISOR) {
             return false;
         }
-        Signs signs = signs(databaseId);
-        Instant oldest = clock.instant().minusMillis(timings.observationMs());
-        signs.observations.values().removeIf(observation -> observation.at.isBefore(oldest));
-        int observers = signs.observations.size();
-        long gone = signs.observations.values().stream()
-                .filter(observation -> observation.saysGone(timings.silenceMs()))
+        DatabaseHealth health = health(databaseId);
+        Instant oldest = clock.instant().minusMillis(timings.observationTtlMs());
+        health.observations.values().removeIf(observation -> observation.receivedAt.isBefore(oldest));
+        int observers = health.observations.size();
+        long unavailableReports = health.observations.values().stream()
+                .filter(observation -> observation.reportsUnavailable(timings.heartbeatTimeoutMs()))
                 .count();
-        if (observers > 0 && gone * 2 <= observers) {
+        if (observers > 0 && unavailableReports * 2 <= observers) {
             return false;
         }
-        if (signs.refused) {
-            return silentMs > neededMs / REFUSED_DIVISOR;
+        if (health.connectionFailed) {
+            return silentMs > requiredMs / CONNECTION_FAILURE_DIVISOR;
         }
-        return silentMs > (observers > 0 ? neededMs : neededMs * ALONE_FACTOR);
+        return silentMs > (observers > 0 ? requiredMs : requiredMs * NO_OBSERVER_FACTOR);
     }
 
-    private Signs signs(String databaseId) {
-        return databases.computeIfAbsent(databaseId, id -> new Signs(silenceSince));
+    private DatabaseHealth health(String databaseId) {
+        return healthByDatabase.computeIfAbsent(databaseId, id -> new DatabaseHealth(silenceCountedFrom));
     }
 
-    /** What a proxy saw, and when it said so. */
-    private record Observation(Instant at, boolean reachable, long silentMs) {
-        boolean saysGone(long limitMs) {
+    /** A proxy's latest observation of a database, and when it was received. */
+    private record Observation(Instant receivedAt, boolean reachable, long silentMs) {
+        boolean reportsUnavailable(long limitMs) {
             return !reachable || silentMs > limitMs;
         }
     }
 
-    /** What is known of one database. */
-    private static final class Signs {
+    /** The health information of one database. */
+    private static final class DatabaseHealth {
         private final Map<String, Observation> observations = new HashMap<>();
-        private Instant heardAt;
-        private boolean refused;
+        private Instant lastContactAt;
+        private boolean connectionFailed;
 
-        Signs(Instant heardAt) {
-            this.heardAt = heardAt;
+        DatabaseHealth(Instant heardAt) {
+            this.lastContactAt = heardAt;
         }
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/failover/package-info.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/package-info.java
@@ -1,2 +1,2 @@
-/** When a group's primary is replaced, by which database, and when the new term is opened to writes. */
+/** Failover of database groups: failure detection, fencing, and selection and promotion of a new primary. */
 package org.hornbeamspread.core.failover;
--- a/core/src/test/java/org/hornbeamspread/core/failover/ModelState.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/ModelState.java
@@ -9,13 +9,15 @@
 import org.hornbeamspread.core.membership.DatabaseStatus;
 
 /**
- * A state of a searched history: three packed databases, the group's record in the control log, and what happened.
+ * A state of the model checker: three packed databases, the group's record in the control log, and counters of past
+ * events.
  *
  * @param primaryIndex the record's primary; {@link #NONE} for none
  * @param acknowledged a bit for each acknowledged write
- * @param promotions how many promotions were started
- * @param lateTerm the term of a promotion whose command is still on its way, though control may have gone on; 0 for none
- * @param lateIndex the database that the late command is for
+ * @param promotions the number of promotions started
+ * @param delayedPromotionTerm the term of a promote command that is still in flight, possibly after control abandoned
+ *     that promotion; 0 for none
+ * @param delayedPromotionIndex the database to which the command in flight is addressed
  */
 record ModelState(
         long first,
@@ -27,17 +29,17 @@
         int acknowledged,
         int writes,
         int promotions,
-        int losses,
-        int lateTerm,
-        int lateIndex) {
+        int diskLosses,
+        int delayedPromotionTerm,
+        int delayedPromotionIndex) {
     static final int DATABASES = 3;
     static final int NONE = -1;
-    private static final long SPREAD = 0x9e3779b97f4a7c15L;
+    private static final long HASH_MULTIPLIER = 0x9e3779b97f4a7c15L;
     private static final String GROUP = "g";
 
-    static ModelState start() {
-        long replica = ModelDatabase.first(false).pack();
-        return new ModelState(ModelDatabase.first(true).pack(), replica, replica, 1, 0, true, 0, 0, 0, 0, 0, 0);
+    static ModelState initial() {
+        long replica = ModelDatabase.initial(false).pack();
+        return new ModelState(ModelDatabase.initial(true).pack(), replica, replica, 1, 0, true, 0, 0, 0, 0, 0, 0);
     }
 
     ModelDatabase database(int index) {
@@ -56,13 +58,13 @@
                 acknowledged,
                 writes,
                 promotions,
-                losses,
-                lateTerm,
-                lateIndex);
+                diskLosses,
+                delayedPromotionTerm,
+                delayedPromotionIndex);
     }
 
     ModelState withRecord(GroupRecord record) {
-        int started = record.term() > term ? promotions + 1 : promotions;
+        int newPromotions = record.term() > term ? promotions + 1 : promotions;
         int index = record.primaryId().map(ModelState::indexOf).orElse(NONE);
         return new ModelState(
                 first,
@@ -73,10 +75,10 @@
                 record.writable(),
                 acknowledged,
                 writes,
-                started,
-                losses,
-                lateTerm,
-                lateIndex);
+                newPromotions,
+                diskLosses,
+                delayedPromotionTerm,
+                delayedPromotionIndex);
     }
 
     ModelState withAcknowledged(int write) {
@@ -90,12 +92,12 @@
                 acknowledged | 1 << write,
                 writes,
                 promotions,
-                losses,
-                lateTerm,
-                lateIndex);
+                diskLosses,
+                delayedPromotionTerm,
+                delayedPromotionIndex);
     }
 
-    ModelState withCounts(int newWrites, int newLosses) {
+    ModelState withCounters(int newWrites, int newLosses) {
         return new ModelState(
                 first,
                 second,
@@ -107,11 +109,11 @@
                 newWrites,
                 promotions,
                 newLosses,
-                lateTerm,
-                lateIndex);
+                delayedPromotionTerm,
+                delayedPromotionIndex);
     }
 
-    ModelState withLate(int newTerm, int newIndex) {
+    ModelState withDelayedPromotion(int newTerm, int newIndex) {
         return new ModelState(
                 first,
                 second,
@@ -122,12 +124,12 @@
                 acknowledged,
                 writes,
                 promotions,
-                losses,
+                diskLosses,
                 newTerm,
                 newIndex);
     }
 
-    ModelState withoutCounts() {
+    ModelState withoutCounters() {
         return new ModelState(first, second, third, term, primaryIndex, writable, 0, 0, 0, 0, 0, 0);
     }
 
@@ -137,30 +139,34 @@
         return new GroupRecord(GROUP, term, primaryId, writable);
     }
 
-    GroupInput input(Map<String, Long> suspected) {
+    FailoverInput input(Map<String, Long> suspected) {
         List<DatabaseStatus> statuses = new ArrayList<>();
         Map<String, Registration> registrations = new HashMap<>();
         for (int i = 0; i < DATABASES; i++) {
             statuses.add(database(i).status(i));
             registrations.put(ModelDatabase.name(i), database(i).registration(i));
         }
-        return new GroupInput(record(), DATABASES, statuses, registrations, suspected, Set.of(), Map.of(), () -> true);
+        return new FailoverInput(
+                record(), DATABASES, statuses, registrations, suspected, Set.of(), Map.of(), () -> true);
     }
 
-    /** Spreads the packed databases, whose bits a record's own hash code would let collide. */
+    /** Mixes the packed databases; the default hash code of records collides often for packed bits. */
     @Override
     public int hashCode() {
-        long hash = first * SPREAD;
-        hash = (hash ^ (hash >>> 32) ^ second) * SPREAD;
-        hash = (hash ^ (hash >>> 32) ^ third) * SPREAD;
-        int rest = (((term * 4 + primaryIndex) * 2 + (writable ? 1 : 0)) * 8 + acknowledged) * 4 + writes;
-        hash = (hash ^ (hash >>> 32) ^ ((((rest * 8L + promotions) * 8L + losses) * 8L + lateTerm) * 4L + lateIndex))
-                * SPREAD;
+        long hash = first * HASH_MULTIPLIER;
+        hash = (hash ^ (hash >>> 32) ^ second) * HASH_MULTIPLIER;
+        hash = (hash ^ (hash >>> 32) ^ third) * HASH_MULTIPLIER;
+        int scalars = (((term * 4 + primaryIndex) * 2 + (writable ? 1 : 0)) * 8 + acknowledged) * 4 + writes;
+        hash = (hash
+                        ^ (hash >>> 32)
+                        ^ ((((scalars * 8L + promotions) * 8L + diskLosses) * 8L + delayedPromotionTerm) * 4L
+                                + delayedPromotionIndex))
+                * HASH_MULTIPLIER;
         return (int) (hash >>> 32);
     }
 
-    /** Whether the record's primary acts as one and lacks an acknowledged write. */
-    boolean lost() {
+    /** Whether the record's primary acts as primary at the record's term and lacks an acknowledged write. */
+    boolean lacksAcknowledgedWrite() {
         if (primaryIndex == NONE) {
             return false;
         }
@@ -169,7 +175,7 @@
             return false;
         }
         for (int write = 1; write < ModelDatabase.WRITES; write++) {
-            if ((acknowledged & 1 << write) != 0 && !primary.holds(write)) {
+            if ((acknowledged & 1 << write) != 0 && !primary.holdsWrite(write)) {
                 return true;
             }
         }
