--- a/core/src/main/java/org/hornbeamspread/core/admission/AdaptiveLimit.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/AdaptiveConcurrencyLimit.java
@@ -9,29 +9,29 @@
  * queue short, but leaves slots idle while clients are spread unevenly. So each proxy starts with its part, takes more while it
  * uses all it has without a refusal, and gives up a part of it with each refusal. Confined to one thread.
  */
-public final class AdaptiveLimit {
+public final class AdaptiveConcurrencyLimit {
     /** Statements wanted in flight for each slot: one runs, the others are on their way or wait shortly. */
     private static final double IN_FLIGHT_PER_SLOT = 3;
 
     /** How far above its part a proxy may go, so that a few busy proxies can use what idle ones leave. */
-    private static final double MOST_PARTS = 3;
+    private static final double MAX_FAIR_SHARES = 3;
 
-    private static final double DECREASE = 0.7;
+    private static final double DECREASE_FACTOR = 0.7;
 
-    private double part;
+    private double fairShare;
     private double limit;
     private int inFlight;
 
     /** A limit for one of a number of proxies before a database. */
-    public AdaptiveLimit(int slots, int proxies) {
-        share(slots, proxies);
-        this.limit = part;
+    public AdaptiveConcurrencyLimit(int slots, int proxies) {
+        resize(slots, proxies);
+        this.limit = fairShare;
     }
 
     /** Takes another number of slots or proxies over. */
-    public void share(int slots, int proxies) {
-        part = Math.max(1, IN_FLIGHT_PER_SLOT * slots / Math.max(1, proxies));
-        limit = Math.max(1, Math.min(limit, MOST_PARTS * part));
+    public void resize(int slots, int proxies) {
+        fairShare = Math.max(1, IN_FLIGHT_PER_SLOT * slots / Math.max(1, proxies));
+        limit = Math.max(1, Math.min(limit, MAX_FAIR_SHARES * fairShare));
     }
 
     /** Takes a place if there is one. */
@@ -48,9 +48,9 @@
         boolean saturated = inFlight >= (int) limit;
         inFlight--;
         if (refused) {
-            limit = Math.max(1, limit * DECREASE);
+            limit = Math.max(1, limit * DECREASE_FACTOR);
         } else if (saturated) {
-            limit = Math.min(MOST_PARTS * part, limit + 1 / limit);
+            limit = Math.min(MAX_FAIR_SHARES * fairShare, limit + 1 / limit);
         }
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/admission/ConnectionRoom.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/AdaptiveConnectionLimit.java
@@ -10,73 +10,73 @@
  * <p>So a refusal limits the proxy to what it holds. While work waits it asks for one more now and then, on nobody's behalf, and
  * for the next at once when it got one. Confined to one thread.
  */
-public final class ConnectionRoom {
+public final class AdaptiveConnectionLimit {
     /** A few round trips between regions. */
-    private static final long FIRST_PAUSE_MS = 50;
+    private static final long INITIAL_BACKOFF_MS = 50;
 
     /** Small against the seconds after which a database drops the connections of a machine that is gone. */
-    private static final long LAST_PAUSE_MS = 200;
+    private static final long MAX_BACKOFF_MS = 200;
 
-    private int limit;
-    private int room;
-    private long pauseMs;
-    private long askAgainMs;
+    private int configuredLimit;
+    private int effectiveLimit;
+    private long backoffMs;
+    private long nextProbeAtMs;
     private long refusedAtMs = Long.MIN_VALUE;
-    private boolean asking;
+    private boolean probing;
 
     /** Room for as many as the limit until the database refuses one. */
-    public ConnectionRoom(int limit) {
-        this.limit = limit;
-        this.room = limit;
+    public AdaptiveConnectionLimit(int limit) {
+        this.configuredLimit = limit;
+        this.effectiveLimit = limit;
     }
 
     /** Connections that may be held. */
-    public int room() {
-        return room;
+    public int effectiveLimit() {
+        return effectiveLimit;
     }
 
     /** Takes another limit over. */
     public void resize(int newLimit) {
-        room = room == limit ? newLimit : Math.min(room, newLimit);
-        limit = newLimit;
+        effectiveLimit = effectiveLimit == configuredLimit ? newLimit : Math.min(effectiveLimit, newLimit);
+        configuredLimit = newLimit;
     }
 
     /** The database refused a connection that was asked for at a time, while so many were held; false when that was known. */
     public boolean onRefused(int held, long beganMs, long nowMs) {
-        room = Math.min(held, limit);
+        effectiveLimit = Math.min(held, configuredLimit);
         if (beganMs < refusedAtMs) {
             return false;
         }
         refusedAtMs = nowMs;
-        pauseMs = Math.min(LAST_PAUSE_MS, Math.max(FIRST_PAUSE_MS, 2 * pauseMs));
-        askAgainMs = nowMs + pauseMs;
+        backoffMs = Math.min(MAX_BACKOFF_MS, Math.max(INITIAL_BACKOFF_MS, 2 * backoffMs));
+        nextProbeAtMs = nowMs + backoffMs;
         return true;
     }
 
     /** A connection was opened, and so many are held now. */
     public void onOpened(int held, long nowMs) {
-        room = Math.min(limit, Math.max(room, held));
-        pauseMs = 0;
-        askAgainMs = nowMs;
+        effectiveLimit = Math.min(configuredLimit, Math.max(effectiveLimit, held));
+        backoffMs = 0;
+        nextProbeAtMs = nowMs;
     }
 
     /** Whether to ask for one more. */
-    public boolean isAskDue(long nowMs) {
-        return room < limit && !asking && nowMs >= askAgainMs;
+    public boolean isProbeDue(long nowMs) {
+        return effectiveLimit < configuredLimit && !probing && nowMs >= nextProbeAtMs;
     }
 
     /** It is asked for. */
-    public void onAsk() {
-        asking = true;
+    public void onProbeStarted() {
+        probing = true;
     }
 
     /** That question has ended. */
-    public void onAskEnded() {
-        asking = false;
+    public void onProbeEnded() {
+        probing = false;
     }
 
     /** The pause before the next question. */
-    public long pauseMs() {
-        return pauseMs;
+    public long backoffMs() {
+        return backoffMs;
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/admission/FifoScheduler.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/FifoScheduler.java
@@ -43,8 +43,8 @@
     }
 
     @Override
-    public List<SlotRequest> expired(Instant now) {
-        return waiting.removeLate(now);
+    public List<SlotRequest> removeExpired(Instant now) {
+        return waiting.removeExpired(now);
     }
 
     @Override
--- a/core/src/main/java/org/hornbeamspread/core/admission/RankScheduler.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/RankScheduler.java
@@ -42,7 +42,7 @@
     /** Makes the estimated wait longer, for the spread of service times. */
     private static final double WAIT_MARGIN = 1.1;
 
-    private static final Duration FIRST_SERVICE = Duration.ofMillis(5);
+    private static final Duration INITIAL_SERVICE_TIME = Duration.ofMillis(5);
     private static final Duration MIN_RETRY_AFTER = Duration.ofMillis(5);
     private static final int FULL_PERCENT = 100;
 
@@ -51,10 +51,10 @@
     /** In order of worth, the highest first. */
     private final Map<String, RankState> ranks = new LinkedHashMap<>();
 
-    private final Map<Long, Running> running = new HashMap<>();
+    private final Map<Long, RunningRequest> running = new HashMap<>();
 
     /** Taken out because they were late, and not reported yet. */
-    private final List<SlotRequest> late = new ArrayList<>();
+    private final List<SlotRequest> unreportedExpired = new ArrayList<>();
 
     private Instant lastAdvance;
 
@@ -69,7 +69,7 @@
         this.lastAdvance = now;
         settings.stream()
                 .sorted(Comparator.comparingInt(RankSettings::worth).reversed())
-                .forEach(rank -> ranks.put(rank.rank(), new RankState(rank, slots, FIRST_SERVICE.toNanos())));
+                .forEach(rank -> ranks.put(rank.rank(), new RankState(rank, slots, INITIAL_SERVICE_TIME.toNanos())));
     }
 
     /** Takes another number of slots over; what runs keeps its slot, also above the new number. */
@@ -90,12 +90,13 @@
         advance(request.arrivedAt());
         Duration wait = estimatedWait(rank);
         if (rank.queue().size() >= rank.settings().queueLimit()) {
-            return Optional.of(new FailureException(FailureType.QUEUE_FULL, request.rank(), longer(wait)));
+            return Optional.of(
+                    new FailureException(FailureType.QUEUE_FULL, request.rank(), atLeastMinRetryAfter(wait)));
         }
         Duration patience = Duration.between(request.arrivedAt(), request.startBy());
         if (wait.compareTo(patience) > 0) {
             return Optional.of(new FailureException(
-                    FailureType.DEADLINE_BEFORE_START, request.rank(), longer(wait.minus(patience))));
+                    FailureType.DEADLINE_BEFORE_START, request.rank(), atLeastMinRetryAfter(wait.minus(patience))));
         }
         rank.queue().add(request);
         return Optional.empty();
@@ -107,9 +108,9 @@
             return Optional.empty();
         }
         advance(now);
-        takeOutLate(now);
+        collectExpired(now);
         Optional<RankState> owed =
-                ranks.values().stream().filter(RankState::isOwed).findFirst();
+                ranks.values().stream().filter(RankState::canSpendCredit).findFirst();
         Optional<RankState> chosen = owed.isPresent()
                 ? owed
                 : ranks.values().stream()
@@ -120,7 +121,7 @@
 
     @Override
     public void complete(SlotRequest request, Instant now) {
-        Running ended = running.remove(request.requestId());
+        RunningRequest ended = running.remove(request.requestId());
         if (ended == null) {
             return;
         }
@@ -129,12 +130,12 @@
         if (ended.charged()) {
             ended.rank().charge(serviceNs - ended.chargedNs());
         }
-        ended.rank().served(serviceNs, USAGE_WINDOW_NS);
+        ended.rank().recordService(serviceNs, USAGE_WINDOW_NS);
     }
 
     /** A request that was handed out has ended without being served, and its slot is free: its time says nothing of the database. */
     public void abandon(SlotRequest request, Instant now) {
-        Running ended = running.remove(request.requestId());
+        RunningRequest ended = running.remove(request.requestId());
         if (ended != null) {
             advance(now);
             ended.rank().charge(-ended.chargedNs());
@@ -142,10 +143,10 @@
     }
 
     @Override
-    public List<SlotRequest> expired(Instant now) {
-        takeOutLate(now);
-        List<SlotRequest> reported = List.copyOf(late);
-        late.clear();
+    public List<SlotRequest> removeExpired(Instant now) {
+        collectExpired(now);
+        List<SlotRequest> reported = List.copyOf(unreportedExpired);
+        unreportedExpired.clear();
         return reported;
     }
 
@@ -165,15 +166,16 @@
         return running.size();
     }
 
-    private void takeOutLate(Instant now) {
-        ranks.values().forEach(rank -> late.addAll(rank.queue().removeLate(now)));
+    private void collectExpired(Instant now) {
+        ranks.values().forEach(rank -> unreportedExpired.addAll(rank.queue().removeExpired(now)));
     }
 
     private Optional<SlotRequest> start(RankState rank, boolean charged, Instant now) {
         double chargedNs = charged ? rank.meanServiceNs() : 0;
         rank.charge(chargedNs);
         Optional<SlotRequest> request = rank.queue().poll();
-        request.ifPresent(started -> running.put(started.requestId(), new Running(rank, now, charged, chargedNs)));
+        request.ifPresent(
+                started -> running.put(started.requestId(), new RunningRequest(rank, now, charged, chargedNs)));
         return request;
     }
 
@@ -190,11 +192,11 @@
             return Duration.ZERO;
         }
         double workNs = rank.queue().size() * rank.meanServiceNs();
-        return Duration.ofNanos(Math.round(WAIT_MARGIN * workNs / (slots * reachable(rank))));
+        return Duration.ofNanos(Math.round(WAIT_MARGIN * workNs / (slots * attainableFraction(rank))));
     }
 
     /** The part of the slots' time that a rank can get. */
-    private double reachable(RankState rank) {
+    private double attainableFraction(RankState rank) {
         double claimed = 0;
         for (RankState other : ranks.values()) {
             if (other != rank) {
@@ -208,7 +210,7 @@
         return Math.max(least, 1 - claimed);
     }
 
-    private static Duration longer(Duration wait) {
+    private static Duration atLeastMinRetryAfter(Duration wait) {
         return wait.compareTo(MIN_RETRY_AFTER) > 0 ? wait : MIN_RETRY_AFTER;
     }
 
@@ -220,5 +222,5 @@
      * @param charged whether it started on its rank's credit
      * @param chargedNs the slot time that was taken from the credit when it started
      */
-    private record Running(RankState rank, Instant startedAt, boolean charged, double chargedNs) {}
+    private record RunningRequest(RankState rank, Instant startedAt, boolean charged, double chargedNs) {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/admission/RankState.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/RankState.java
@@ -3,7 +3,7 @@
 /** The queue of one rank, the credit of its guaranteed share, and what it used of late. */
 final class RankState {
     /** Weight of the newest service time in the mean. */
-    private static final double SERVICE_WEIGHT = 0.05;
+    private static final double SERVICE_TIME_WEIGHT = 0.05;
 
     private final RankSettings settings;
     private int slots;
@@ -44,7 +44,7 @@
     }
 
     /** Whether the rank waits and has credit of its share left. */
-    boolean isOwed() {
+    boolean canSpendCredit() {
         return !queue.isEmpty() && creditNs > 0;
     }
 
@@ -61,8 +61,8 @@
     }
 
     /** A request of the rank held a slot. */
-    void served(double serviceNs, double windowNs) {
+    void recordService(double serviceNs, double windowNs) {
         usage += serviceNs / (slots * windowNs);
-        meanServiceNs += SERVICE_WEIGHT * (serviceNs - meanServiceNs);
+        meanServiceNs += SERVICE_TIME_WEIGHT * (serviceNs - meanServiceNs);
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/admission/SlotScheduler.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/SlotScheduler.java
@@ -8,7 +8,7 @@
 /**
  * Decides which request takes a database's next free slot. The owner calls {@link #offer} for each request, {@link
  * #poll} until it is empty after each offer and each completion, {@link #complete} when a statement has ended, and
- * {@link #expired} now and then. Times never go back. For one thread.
+ * {@link #removeExpired} now and then. Times never go back. For one thread.
  */
 public interface SlotScheduler {
     /**
@@ -24,7 +24,7 @@
     void complete(SlotRequest request, Instant now);
 
     /** Takes out the requests that wait and can't start in time any more; each is refused with DEADLINE_BEFORE_START. */
-    List<SlotRequest> expired(Instant now);
+    List<SlotRequest> removeExpired(Instant now);
 
     /** Takes out a waiting request, as when its caller has gone. False when it does not wait here. */
     boolean cancel(SlotRequest request);
--- a/core/src/main/java/org/hornbeamspread/core/admission/StrictPriorityScheduler.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/StrictPriorityScheduler.java
@@ -64,9 +64,9 @@
     }
 
     @Override
-    public List<SlotRequest> expired(Instant now) {
+    public List<SlotRequest> removeExpired(Instant now) {
         List<SlotRequest> late = new ArrayList<>();
-        queues.values().forEach(queue -> late.addAll(queue.removeLate(now)));
+        queues.values().forEach(queue -> late.addAll(queue.removeExpired(now)));
         return late;
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/admission/WaitingQueue.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/WaitingQueue.java
@@ -40,24 +40,24 @@
     /** Takes a request out; false when it does not wait. */
     boolean remove(SlotRequest request) {
         boolean waited = byArrival.remove(request.requestId()) != null;
-        dropStale();
+        dropRemovedRequests();
         return waited;
     }
 
     /** Takes out every request whose latest start has passed. */
-    List<SlotRequest> removeLate(Instant now) {
+    List<SlotRequest> removeExpired(Instant now) {
         List<SlotRequest> late = new ArrayList<>();
-        dropStale();
+        dropRemovedRequests();
         while (!byStartBy.isEmpty() && byStartBy.peek().startBy().isBefore(now)) {
             SlotRequest request = byStartBy.remove();
             byArrival.remove(request.requestId());
             late.add(request);
-            dropStale();
+            dropRemovedRequests();
         }
         return late;
     }
 
-    private void dropStale() {
+    private void dropRemovedRequests() {
         while (!byStartBy.isEmpty() && !byArrival.containsKey(byStartBy.peek().requestId())) {
             byStartBy.remove();
         }
--- a/core/src/test/java/org/hornbeamspread/core/admission/AdaptiveLimitTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/admission/AdaptiveConcurrencyLimitTest.java
@@ -8,16 +8,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-final class AdaptiveLimitTest {
+final class AdaptiveConcurrencyLimitTest {
     @ParameterizedTest
     @CsvSource({"2, 6, 1", "5, 8, 1", "5, 3, 5", "4, 90, 1", "6, 1, 18"})
-    void aProxyStartsWithItsPart(int slots, int proxies, int expected) {
-        assertThat(new AdaptiveLimit(slots, proxies).limit()).isEqualTo(expected);
+    void limitStartsAtTheFairShare(int slots, int proxies, int expected) {
+        assertThat(new AdaptiveConcurrencyLimit(slots, proxies).limit()).isEqualTo(expected);
     }
 
     @Test
-    void aRefusalTakesAPartAway() {
-        AdaptiveLimit limit = new AdaptiveLimit(6, 1);
+    void refusalReducesTheLimit() {
+        AdaptiveConcurrencyLimit limit = new AdaptiveConcurrencyLimit(6, 1);
         assertThat(limit.tryAcquire()).isTrue();
         limit.release(true);
 
@@ -25,8 +25,8 @@
     }
 
     @Test
-    void thereIsAlwaysAPlaceForOne() {
-        AdaptiveLimit limit = new AdaptiveLimit(2, 6);
+    void limitNeverFallsBelowOne() {
+        AdaptiveConcurrencyLimit limit = new AdaptiveConcurrencyLimit(2, 6);
         for (int i = 0; i < 20; i++) {
             assertThat(limit.tryAcquire()).isTrue();
             limit.release(true);
@@ -35,17 +35,17 @@
     }
 
     @Test
-    void moreProxiesMeanASmallerPart() {
-        AdaptiveLimit limit = new AdaptiveLimit(6, 1);
-        limit.share(6, 18);
+    void moreProxiesReduceTheLimit() {
+        AdaptiveConcurrencyLimit limit = new AdaptiveConcurrencyLimit(6, 1);
+        limit.resize(6, 18);
 
         assertThat(limit.limit()).isEqualTo(3);
     }
 
     /** All clients are at one of six proxies: it uses more than its part, since the others leave theirs. */
     @Test
-    void aBusyProxyTakesWhatIdleOnesLeave() {
-        AdaptiveLimit limit = new AdaptiveLimit(2, 6);
+    void busyProxyUsesCapacityLeftByIdleProxies() {
+        AdaptiveConcurrencyLimit limit = new AdaptiveConcurrencyLimit(2, 6);
         for (int round = 0; round < 20; round++) {
             List<Boolean> taken = new ArrayList<>();
             while (limit.tryAcquire()) {
@@ -58,21 +58,21 @@
 
     /** A burst at all of six proxies: what is in flight stays within the database's slots and its queue of sixteen. */
     @Test
-    void aBurstAtAllProxiesStaysWithinTheDatabasesQueue() {
-        List<AdaptiveLimit> proxies = new ArrayList<>();
+    void burstAtAllProxiesFitsTheDatabaseQueue() {
+        List<AdaptiveConcurrencyLimit> proxies = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            proxies.add(new AdaptiveLimit(2, 6));
+            proxies.add(new AdaptiveConcurrencyLimit(2, 6));
         }
         int most = 0;
         for (int round = 0; round < 50; round++) {
             int inFlight = 0;
-            for (AdaptiveLimit proxy : proxies) {
+            for (AdaptiveConcurrencyLimit proxy : proxies) {
                 while (proxy.tryAcquire()) {
                     inFlight++;
                 }
             }
             most = Math.max(most, inFlight);
-            for (AdaptiveLimit proxy : proxies) {
+            for (AdaptiveConcurrencyLimit proxy : proxies) {
                 while (proxy.inFlight() > 0) {
                     proxy.release(false);
                 }
--- a/core/src/test/java/org/hornbeamspread/core/admission/FloodSimulation.java
+++ b/core/src/test/java/org/hornbeamspread/core/admission/OverloadSimulation.java
@@ -19,7 +19,7 @@
  * requests that end in the measured time and within their rank's target. The same load starts some time before it, so
  * that queues have settled.
  */
-final class FloodSimulation {
+final class OverloadSimulation {
     private static final double MEAN_SERVICE_MS = 5;
     private static final double NS_PER_MS = 1_000_000;
 
@@ -29,47 +29,49 @@
     private static final Duration WARM_UP = Duration.ofSeconds(10);
 
     private final PausedClock clock = new PausedClock();
-    private final Instant start = clock.instant();
+    private final Instant startTime = clock.instant();
     private final int slots;
     private final SlotScheduler scheduler;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final Map<String, Counts> counts = new LinkedHashMap<>();
     private final Counts unmeasured = new Counts();
     private final Map<Long, Arrival> waiting = new LinkedHashMap<>();
-    private long nextEvent;
+    private long nextEventId;
     private long measuredMs;
 
     /** Makes a scheduler for a number of slots. */
     interface SchedulerFactory {
-        SlotScheduler make(int slots, List<RankSettings> ranks, Instant now);
+        SlotScheduler create(int slots, List<RankSettings> ranks, Instant now);
     }
 
     /** A rank, its target, and its load as a part of the slots' capacity. */
-    record Load(RankSettings settings, Duration target, double load) {
-        Load times(double factor) {
-            return new Load(settings, target, load * factor);
+    record OfferedLoad(RankSettings settings, Duration target, double utilization) {
+        OfferedLoad times(double factor) {
+            return new OfferedLoad(settings, target, utilization * factor);
         }
     }
 
     /** What became of one rank's requests. */
     static final class Counts {
         int offered;
-        int good;
-        double goodServiceMs;
-        int late;
-        int refusedAtOnce;
-        int refusedWaiting;
-        int untypedRefusals;
+        int withinTarget;
+        double withinTargetServiceMs;
+        int pastTarget;
+        int refusedOnArrival;
+        int refusedAfterWaiting;
+        int unexpectedRefusals;
     }
 
-    FloodSimulation(int slots, SchedulerFactory factory, List<Load> loads) {
+    OverloadSimulation(int slots, SchedulerFactory factory, List<OfferedLoad> loads) {
         this.slots = slots;
-        this.scheduler = factory.make(slots, loads.stream().map(Load::settings).toList(), start);
+        this.scheduler =
+                factory.create(slots, loads.stream().map(OfferedLoad::settings).toList(), startTime);
         loads.forEach(load -> counts.put(load.settings().rank(), new Counts()));
     }
 
-    static FloodSimulation run(int slots, SchedulerFactory factory, List<Load> loads, Duration time, long seed) {
-        FloodSimulation simulation = new FloodSimulation(slots, factory, loads);
+    static OverloadSimulation run(
+            int slots, SchedulerFactory factory, List<OfferedLoad> loads, Duration time, long seed) {
+        OverloadSimulation simulation = new OverloadSimulation(slots, factory, loads);
         simulation.measuredMs = time.toMillis();
         SplittableRandom seeds = new SplittableRandom(seed);
         Duration all = WARM_UP.plus(time);
@@ -78,32 +80,32 @@
         return simulation;
     }
 
-    Counts of(String rank) {
+    Counts counts(String rank) {
         return counts.get(rank);
     }
 
     /** Slot time that a rank's goodput took, as a part of all slots' time. */
     double goodput(String rank) {
-        return counts.get(rank).goodServiceMs / ((double) slots * measuredMs);
+        return counts.get(rank).withinTargetServiceMs / ((double) slots * measuredMs);
     }
 
     double totalGoodput() {
         return counts.keySet().stream().mapToDouble(this::goodput).sum();
     }
 
-    private void addArrivals(Load load, Duration time, SplittableRandom random) {
-        double gapMs = MEAN_SERVICE_MS / (slots * load.load());
+    private void addArrivals(OfferedLoad load, Duration time, SplittableRandom random) {
+        double gapMs = MEAN_SERVICE_MS / (slots * load.utilization());
         double atMs = exponential(random, gapMs);
         while (atMs < time.toMillis()) {
             Duration service = nanos(exponential(random, MEAN_SERVICE_MS));
-            Instant at = start.plus(nanos(atMs));
+            Instant at = startTime.plus(nanos(atMs));
             SlotRequest request = new SlotRequest(
-                    nextEvent,
+                    nextEventId,
                     load.settings().rank(),
                     at,
                     at.plus(load.target()).minus(SERVICE_ALLOWANCE));
             Arrival arrival = new Arrival(request, service, at.plus(load.target()));
-            events.add(new Event(at, nextEvent++, () -> arrive(arrival)));
+            events.add(new Event(at, nextEventId++, () -> arrive(arrival)));
             atMs += exponential(random, gapMs);
         }
     }
@@ -117,51 +119,51 @@
     }
 
     private void arrive(Arrival arrival) {
-        Counts rank = countsOf(arrival.request());
+        Counts rank = currentCounts(arrival.request());
         rank.offered++;
         Optional<FailureException> refusal = scheduler.offer(arrival.request());
         if (refusal.isPresent()) {
-            rank.refusedAtOnce++;
+            rank.refusedOnArrival++;
             boolean typed = refusal.get().type() == FailureType.QUEUE_FULL
                     || refusal.get().type() == FailureType.DEADLINE_BEFORE_START;
-            rank.untypedRefusals += typed ? 0 : 1;
+            rank.unexpectedRefusals += typed ? 0 : 1;
         } else {
             waiting.put(arrival.request().requestId(), arrival);
         }
-        startAll();
+        startWaiting();
     }
 
-    private void startAll() {
+    private void startWaiting() {
         Instant now = clock.instant();
-        List<SlotRequest> late = new ArrayList<>(scheduler.expired(now));
+        List<SlotRequest> late = new ArrayList<>(scheduler.removeExpired(now));
         late.forEach(request -> {
             waiting.remove(request.requestId());
-            countsOf(request).refusedWaiting++;
+            currentCounts(request).refusedAfterWaiting++;
         });
         Optional<SlotRequest> next = scheduler.poll(now);
         while (next.isPresent()) {
             Arrival started = waiting.remove(next.get().requestId());
             Instant end = now.plus(started.service());
-            events.add(new Event(end, nextEvent++, () -> end(started)));
+            events.add(new Event(end, nextEventId++, () -> complete(started)));
             next = scheduler.poll(now);
         }
     }
 
-    private void end(Arrival arrival) {
-        Counts rank = countsOf(arrival.request());
+    private void complete(Arrival arrival) {
+        Counts rank = currentCounts(arrival.request());
         if (clock.instant().isAfter(arrival.deadline())) {
-            rank.late++;
+            rank.pastTarget++;
         } else {
-            rank.good++;
-            rank.goodServiceMs += arrival.service().toNanos() / NS_PER_MS;
+            rank.withinTarget++;
+            rank.withinTargetServiceMs += arrival.service().toNanos() / NS_PER_MS;
         }
         scheduler.complete(arrival.request(), clock.instant());
-        startAll();
+        startWaiting();
     }
 
     /** The counts of a request's rank, or counts that nobody reads outside the measured time. */
-    private Counts countsOf(SlotRequest request) {
-        Duration age = Duration.between(start.plus(WARM_UP), clock.instant());
+    private Counts currentCounts(SlotRequest request) {
+        Duration age = Duration.between(startTime.plus(WARM_UP), clock.instant());
         boolean measured = !age.isNegative() && age.toMillis() < measuredMs;
         return measured ? counts.get(request.rank()) : unmeasured;
     }
--- a/core/src/test/java/org/hornbeamspread/core/admission/FloodTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/admission/RankSchedulerOverloadTest.java
@@ -8,19 +8,19 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.Stream;
-import org.hornbeamspread.core.admission.FloodSimulation.Counts;
-import org.hornbeamspread.core.admission.FloodSimulation.Load;
-import org.hornbeamspread.core.admission.FloodSimulation.SchedulerFactory;
+import org.hornbeamspread.core.admission.OverloadSimulation.Counts;
+import org.hornbeamspread.core.admission.OverloadSimulation.OfferedLoad;
+import org.hornbeamspread.core.admission.OverloadSimulation.SchedulerFactory;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Floods of ten times the calm load, in virtual time: what each rank keeps. */
-final class FloodTest {
-    private static final Duration TIME = Duration.ofSeconds(20);
+final class RankSchedulerOverloadTest {
+    private static final Duration MEASURED_TIME = Duration.ofSeconds(20);
     private static final int QUEUE_LIMIT = 10_000;
-    private static final double FLOOD = 10;
+    private static final double OVERLOAD_FACTOR = 10;
     private static final List<String> RANKS = List.of("urgent", "stock", "ledger");
     private static final List<RankSettings> SETTINGS = List.of(
             new RankSettings("urgent", 100, 40, QUEUE_LIMIT),
@@ -44,56 +44,59 @@
 
     @ParameterizedTest
     @MethodSource("cases")
-    void inAFloodOfTheLeastWorthyRankUrgentKeepsItsCalmGoodput(int slots, long seed, List<Double> calm) {
-        FloodSimulation before = run(slots, BY_RANK, calm, seed);
-        FloodSimulation flood = run(slots, BY_RANK, flooded(calm, 2), seed);
-        assertThat(flood.of("urgent").good).isAtLeast((int) Math.ceil(0.99 * before.of("urgent").good));
-        assertThat(flood.goodput("stock")).isAtLeast(0.99 * kept(before, "stock"));
-        assertRefusalsFallOn(flood, List.of("ledger"));
+    void overloadOfTheLowestRankLeavesUrgentGoodputUnchanged(int slots, long seed, List<Double> calm) {
+        OverloadSimulation before = run(slots, BY_RANK, calm, seed);
+        OverloadSimulation flood = run(slots, BY_RANK, overloaded(calm, 2), seed);
+        assertThat(flood.counts("urgent").withinTarget)
+                .isAtLeast((int) Math.ceil(0.99 * before.counts("urgent").withinTarget));
+        assertThat(flood.goodput("stock")).isAtLeast(0.99 * guaranteedGoodput(before, "stock"));
+        assertRefusalsOnlyIn(flood, List.of("ledger"));
         assertThat(flood.totalGoodput()).isAtLeast(0.9);
     }
 
     @ParameterizedTest
     @MethodSource("cases")
-    void inAFloodOfTheMostUrgentRankTheOthersKeepTheirShares(int slots, long seed, List<Double> calm) {
-        FloodSimulation before = run(slots, BY_RANK, calm, seed);
-        FloodSimulation flood = run(slots, BY_RANK, flooded(calm, 0), seed);
+    void overloadOfTheHighestRankLeavesOtherRanksTheirShares(int slots, long seed, List<Double> calm) {
+        OverloadSimulation before = run(slots, BY_RANK, calm, seed);
+        OverloadSimulation flood = run(slots, BY_RANK, overloaded(calm, 0), seed);
         for (String rank : RANKS) {
-            assertWithMessage(rank).that(flood.goodput(rank)).isAtLeast(0.99 * kept(before, rank));
+            assertWithMessage(rank).that(flood.goodput(rank)).isAtLeast(0.99 * guaranteedGoodput(before, rank));
         }
         assertThat(flood.totalGoodput()).isAtLeast(0.9);
     }
 
     @ParameterizedTest
     @MethodSource("cases")
-    void inBothFloodsEveryRankKeepsItsShare(int slots, long seed, List<Double> calm) {
-        FloodSimulation before = run(slots, BY_RANK, calm, seed);
-        FloodSimulation flood = run(slots, BY_RANK, flooded(calm, 0, 2), seed);
+    void overloadOfTwoRanksLeavesEveryRankItsShare(int slots, long seed, List<Double> calm) {
+        OverloadSimulation before = run(slots, BY_RANK, calm, seed);
+        OverloadSimulation flood = run(slots, BY_RANK, overloaded(calm, 0, 2), seed);
         for (String rank : RANKS) {
-            assertWithMessage(rank).that(flood.goodput(rank)).isAtLeast(0.99 * kept(before, rank));
+            assertWithMessage(rank).that(flood.goodput(rank)).isAtLeast(0.99 * guaranteedGoodput(before, rank));
         }
         assertThat(flood.totalGoodput()).isAtLeast(0.9);
     }
 
     @ParameterizedTest
     @MethodSource("cases")
-    void mostRefusalsComeAtOnce(int slots, long seed, List<Double> calm) {
-        FloodSimulation flood = run(slots, BY_RANK, flooded(calm, 0, 2), seed);
-        int atOnce =
-                RANKS.stream().mapToInt(rank -> flood.of(rank).refusedAtOnce).sum();
-        int waiting =
-                RANKS.stream().mapToInt(rank -> flood.of(rank).refusedWaiting).sum();
+    void mostRefusalsHappenOnArrival(int slots, long seed, List<Double> calm) {
+        OverloadSimulation flood = run(slots, BY_RANK, overloaded(calm, 0, 2), seed);
+        int atOnce = RANKS.stream()
+                .mapToInt(rank -> flood.counts(rank).refusedOnArrival)
+                .sum();
+        int waiting = RANKS.stream()
+                .mapToInt(rank -> flood.counts(rank).refusedAfterWaiting)
+                .sum();
         assertThat(atOnce).isAtLeast(9 * waiting);
     }
 
     /** The bounds above tell the schedulers apart: each baseline breaks one. */
     @Test
-    void theBaselinesBreakTheBounds() {
+    void baselineSchedulersViolateTheBounds() {
         List<Double> calm = List.of(0.2, 0.2, 0.15);
-        assertThat(run(5, FIFO, flooded(calm, 2), 1).goodput("urgent"))
+        assertThat(run(5, FIFO, overloaded(calm, 2), 1).goodput("urgent"))
                 .isLessThan(0.5 * run(5, FIFO, calm, 1).goodput("urgent"));
-        assertThat(run(5, STRICT, flooded(calm, 0), 1).goodput("ledger")).isLessThan(0.01);
-        assertThat(run(5, STRICT, flooded(calm, 0), 1).goodput("stock")).isLessThan(0.01);
+        assertThat(run(5, STRICT, overloaded(calm, 0), 1).goodput("ledger")).isLessThan(0.01);
+        assertThat(run(5, STRICT, overloaded(calm, 0), 1).goodput("stock")).isLessThan(0.01);
     }
 
     /** Prints the comparison as a Markdown table. */
@@ -118,17 +121,17 @@
                     print(
                             floodNames.get(flood),
                             names.get(i),
-                            run(slots, factories.get(i), flooded(calm, which), seed));
+                            run(slots, factories.get(i), overloaded(calm, which), seed));
                 }
             }
         }
     }
 
-    private static void print(String flood, String scheduler, FloodSimulation result) {
+    private static void print(String flood, String scheduler, OverloadSimulation result) {
         Counts all = new Counts();
         for (String rank : RANKS) {
-            all.refusedAtOnce += result.of(rank).refusedAtOnce;
-            all.refusedWaiting += result.of(rank).refusedWaiting;
+            all.refusedOnArrival += result.counts(rank).refusedOnArrival;
+            all.refusedAfterWaiting += result.counts(rank).refusedAfterWaiting;
         }
         System.out.println(String.format(
                 Locale.ROOT,
@@ -139,39 +142,39 @@
                 result.goodput("stock"),
                 result.goodput("ledger"),
                 result.totalGoodput(),
-                all.refusedAtOnce,
-                all.refusedWaiting));
+                all.refusedOnArrival,
+                all.refusedAfterWaiting));
     }
 
-    private static double kept(FloodSimulation calm, String rank) {
+    private static double guaranteedGoodput(OverloadSimulation calm, String rank) {
         double share = SETTINGS.get(RANKS.indexOf(rank)).share();
         return Math.min(share, calm.goodput(rank));
     }
 
-    private static void assertRefusalsFallOn(FloodSimulation flood, List<String> flooding) {
+    private static void assertRefusalsOnlyIn(OverloadSimulation flood, List<String> flooding) {
         for (String rank : RANKS) {
-            Counts counts = flood.of(rank);
-            assertWithMessage(rank).that(counts.untypedRefusals).isEqualTo(0);
+            Counts counts = flood.counts(rank);
+            assertWithMessage(rank).that(counts.unexpectedRefusals).isEqualTo(0);
             if (!flooding.contains(rank)) {
-                int refused = counts.refusedAtOnce + counts.refusedWaiting;
+                int refused = counts.refusedOnArrival + counts.refusedAfterWaiting;
                 assertWithMessage(rank).that(refused).isAtMost(counts.offered / 100);
             }
         }
     }
 
-    private static List<Double> flooded(List<Double> calm, int... ranks) {
+    private static List<Double> overloaded(List<Double> calm, int... ranks) {
         List<Double> loads = new ArrayList<>(calm);
         for (int rank : ranks) {
-            loads.set(rank, calm.get(rank) * FLOOD);
+            loads.set(rank, calm.get(rank) * OVERLOAD_FACTOR);
         }
         return loads;
     }
 
-    private static FloodSimulation run(int slots, SchedulerFactory factory, List<Double> loads, long seed) {
-        List<Load> all = new ArrayList<>();
+    private static OverloadSimulation run(int slots, SchedulerFactory factory, List<Double> loads, long seed) {
+        List<OfferedLoad> all = new ArrayList<>();
         for (int i = 0; i < loads.size(); i++) {
-            all.add(new Load(SETTINGS.get(i), TARGETS.get(i), loads.get(i)));
+            all.add(new OfferedLoad(SETTINGS.get(i), TARGETS.get(i), loads.get(i)));
         }
-        return FloodSimulation.run(slots, factory, all, TIME, seed);
+        return OverloadSimulation.run(slots, factory, all, MEASURED_TIME, seed);
     }
 }
--- a/core/src/test/java/org/hornbeamspread/core/admission/RankSchedulerTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/admission/RankSchedulerTest.java
@@ -22,20 +22,20 @@
     private long nextId;
 
     @Test
-    void theWorthierRankGoesFirstAndARankWaitsInOrder() {
-        SlotRequest ledger = offered("ledger", 1000);
-        SlotRequest first = offered("urgent", 1000);
-        SlotRequest second = offered("urgent", 1000);
-        assertThat(served()).isEqualTo(first);
-        assertThat(served()).isEqualTo(second);
-        assertThat(served()).isEqualTo(ledger);
+    void higherRankIsServedFirstAndEachRankInArrivalOrder() {
+        SlotRequest ledger = enqueue("ledger", 1000);
+        SlotRequest first = enqueue("urgent", 1000);
+        SlotRequest second = enqueue("urgent", 1000);
+        assertThat(serveNext()).isEqualTo(first);
+        assertThat(serveNext()).isEqualTo(second);
+        assertThat(serveNext()).isEqualTo(ledger);
         assertThat(scheduler.poll(clock.instant())).isEmpty();
     }
 
     @Test
     void noMoreRequestsRunThanThereAreSlots() {
-        SlotRequest first = offered("urgent", 1000);
-        SlotRequest second = offered("urgent", 1000);
+        SlotRequest first = enqueue("urgent", 1000);
+        SlotRequest second = enqueue("urgent", 1000);
         assertThat(scheduler.poll(clock.instant())).hasValue(first);
         assertThat(scheduler.poll(clock.instant())).isEmpty();
         assertThat(scheduler.slotsInUse()).isEqualTo(1);
@@ -46,10 +46,10 @@
     }
 
     @Test
-    void whatCantStartInTimeIsRefusedAtOnceWithTheTimeToWait() {
-        offered("urgent", 1000);
+    void requestThatCannotStartInTimeIsRefusedOnArrivalWithRetryAfter() {
+        enqueue("urgent", 1000);
         for (int i = 0; i < 20; i++) {
-            offered("urgent", 1000);
+            enqueue("urgent", 1000);
         }
         FailureException refused = scheduler.offer(request("urgent", 50)).orElseThrow();
         assertThat(refused.type()).isEqualTo(FailureType.DEADLINE_BEFORE_START);
@@ -61,24 +61,24 @@
 
     /** Attempts to connect to an instance that is dark end without service; the queue is not longer for it afterwards. */
     @Test
-    void whatEndedWithoutServiceDoesNotLengthenTheExpectedWait() {
+    void abandonedRequestsDoNotRaiseTheEstimatedWait() {
         for (int i = 0; i < 20; i++) {
-            SlotRequest hanging = offered("urgent", 1000);
-            assertThat(served()).isEqualTo(hanging);
+            SlotRequest hanging = enqueue("urgent", 1000);
+            assertThat(serveNext()).isEqualTo(hanging);
             clock.advance(Duration.ofMillis(500));
             scheduler.abandon(hanging, clock.instant());
         }
-        offered("urgent", 1000);
-        served();
-        offered("urgent", 1000);
+        enqueue("urgent", 1000);
+        serveNext();
+        enqueue("urgent", 1000);
 
         assertThat(scheduler.offer(request("urgent", 50))).isEmpty();
     }
 
     @Test
-    void aFullQueueRefusesItsOwnRankOnly() {
+    void fullQueueRefusesOnlyItsOwnRank() {
         for (int i = 0; i < 3; i++) {
-            offered("ledger", 1000);
+            enqueue("ledger", 1000);
         }
         assertThat(scheduler.offer(request("ledger", 1000)).orElseThrow().type())
                 .isEqualTo(FailureType.QUEUE_FULL);
@@ -88,23 +88,23 @@
     }
 
     @Test
-    void lateAndCancelledRequestsAreNotHandedOut() {
-        SlotRequest late = offered("urgent", 10);
-        SlotRequest cancelled = offered("urgent", 1000);
-        SlotRequest kept = offered("ledger", 1000);
+    void expiredAndCancelledRequestsAreNotStarted() {
+        SlotRequest late = enqueue("urgent", 10);
+        SlotRequest cancelled = enqueue("urgent", 1000);
+        SlotRequest kept = enqueue("ledger", 1000);
         assertThat(scheduler.cancel(cancelled)).isTrue();
         assertThat(scheduler.cancel(cancelled)).isFalse();
-        assertThat(scheduler.expired(clock.instant())).isEmpty();
+        assertThat(scheduler.removeExpired(clock.instant())).isEmpty();
         clock.advance(Duration.ofMillis(11));
         assertThat(scheduler.poll(clock.instant())).hasValue(kept);
-        assertThat(scheduler.expired(clock.instant())).containsExactly(late);
-        assertThat(scheduler.expired(clock.instant())).isEmpty();
+        assertThat(scheduler.removeExpired(clock.instant())).containsExactly(late);
+        assertThat(scheduler.removeExpired(clock.instant())).isEmpty();
         assertThat(scheduler.waitingRequests()).isEqualTo(0);
     }
 
     @ParameterizedTest
     @CsvSource({"60, 41, 1", "50, 50, 0"})
-    void wrongSharesAndSlotsAreRefused(int urgent, int ledger, int slots) {
+    void invalidSharesAndSlotCountsAreRejected(int urgent, int ledger, int slots) {
         List<RankSettings> ranks =
                 List.of(new RankSettings("urgent", 2, urgent, 1), new RankSettings("ledger", 1, ledger, 1));
         FailureException refused =
@@ -112,7 +112,7 @@
         assertThat(refused.type()).isEqualTo(FailureType.INVALID_CONFIGURATION);
     }
 
-    private SlotRequest offered(String rank, long patienceMs) {
+    private SlotRequest enqueue(String rank, long patienceMs) {
         SlotRequest request = request(rank, patienceMs);
         assertThat(scheduler.offer(request)).isEmpty();
         return request;
@@ -124,7 +124,7 @@
     }
 
     /** Runs the next request for 5 ms. */
-    private SlotRequest served() {
+    private SlotRequest serveNext() {
         SlotRequest next = scheduler.poll(clock.instant()).orElseThrow();
         clock.advance(Duration.ofMillis(5));
         scheduler.complete(next, clock.instant());
--- a/core/src/test/java/org/hornbeamspread/core/admission/RetryBudgetTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/admission/RetryBudgetTest.java
@@ -12,7 +12,7 @@
     /** Every request is retried as often as allowed, twice at most. */
     @ParameterizedTest
     @CsvSource({"1, 1000, 101", "1000, 1000, 120", "10000, 10000, 1020", "100, 10000, 1020"})
-    void retriesAddATenthAtMost(int callers, int requests, int allowedRetries) {
+    void retriesAreAtMostATenthOfRequests(int callers, int requests, int allowedRetries) {
         RetryBudget budget = new RetryBudget();
         long retries = IntStream.range(0, requests)
                 .mapToLong(request -> {
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void ranksAndCallersHaveTheirOwnBudgets() {
+    void eachCallerAndRankHasItsOwnBudget() {
         RetryBudget budget = new RetryBudget();
         assertThat(budget.spendRetry("a", "urgent")).isEmpty();
         assertThat(budget.spendRetry("a", "urgent").orElseThrow().type()).isEqualTo(FailureType.RETRY_BUDGET_SPENT);
--- a/proxy/src/main/java/org/hornbeamspread/proxy/SlotQueue.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/SlotQueue.java
@@ -50,7 +50,7 @@
 
     /** Refuses what can't start in time any more. Called every now and then. */
     void expire() {
-        for (SlotRequest late : scheduler.expired(dispatcher.clock().instant())) {
+        for (SlotRequest late : scheduler.removeExpired(dispatcher.clock().instant())) {
             Work<?> work = waiting.remove(late.requestId());
             if (work != null) {
                 work.result.completeExceptionally(new FailureException(FailureType.DEADLINE_BEFORE_START, late.rank()));
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceLink.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceLink.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.BiConsumer;
-import org.hornbeamspread.core.admission.AdaptiveLimit;
+import org.hornbeamspread.core.admission.AdaptiveConcurrencyLimit;
 import org.hornbeamspread.core.admission.RankScheduler;
 import org.hornbeamspread.core.admission.SlotRequest;
 import org.hornbeamspread.core.misc.EventLog;
@@ -66,7 +66,7 @@
         this.clock = clock;
         this.replace = replace;
         this.connections = new LinkConnections(instance, limit, connector, clock, events, this::onRoom);
-        this.gate = new StatementGate(new AdaptiveLimit(instance.slots(), proxies));
+        this.gate = new StatementGate(new AdaptiveConcurrencyLimit(instance.slots(), proxies));
         this.scheduler = new RankScheduler(limit, Ranks.settings(), clock.instant());
     }
 
@@ -221,7 +221,7 @@
     }
 
     private void takeOutLate() {
-        for (SlotRequest late : scheduler.expired(clock.instant())) {
+        for (SlotRequest late : scheduler.removeExpired(clock.instant())) {
             Unit unit = waiting.remove(late.requestId());
             if (unit != null) {
                 unit.cancellation = null;
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/LinkConnections.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/LinkConnections.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.BiConsumer;
-import org.hornbeamspread.core.admission.ConnectionRoom;
+import org.hornbeamspread.core.admission.AdaptiveConnectionLimit;
 import org.hornbeamspread.core.misc.EventLog;
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
@@ -16,7 +16,7 @@
 import org.hornbeamspread.core.sql.SqlConnector;
 
 /**
- * This proxy's connections to one instance: how many there may be is decided by {@link ConnectionRoom}, whether the instance
+ * This proxy's connections to one instance: how many there may be is decided by {@link AdaptiveConnectionLimit}, whether the instance
  * answers by {@link Reachability}. Connections that were not needed of late are closed: what an instance holds for a machine
  * that loses power takes the room of those that return. Used on the engine's thread.
  */
@@ -34,7 +34,7 @@
     private final Runnable onRoom;
     private final Deque<PooledConnection> idle = new ArrayDeque<>();
     private final Reachability reachability = new Reachability();
-    private final ConnectionRoom room;
+    private final AdaptiveConnectionLimit room;
     private int limit;
 
     /** Open ones and those that are being opened. */
@@ -60,7 +60,7 @@
             Runnable onRoom) {
         this.instance = instance;
         this.limit = limit;
-        this.room = new ConnectionRoom(limit);
+        this.room = new AdaptiveConnectionLimit(limit);
         this.connector = connector;
         this.clock = clock;
         this.events = events;
@@ -73,7 +73,7 @@
 
     /** Whether work may be sent there. */
     boolean isUsable() {
-        return reachability.isReachable() && room.room() > 0;
+        return reachability.isReachable() && room.effectiveLimit() > 0;
     }
 
     /** For how long the instance has owed an answer without giving any. */
@@ -83,7 +83,7 @@
 
     /** Connections that work may use at once. */
     int room() {
-        return Math.max(1, room.room());
+        return Math.max(1, room.effectiveLimit());
     }
 
     /** Whether {@link #check} has something to look for. */
@@ -126,7 +126,8 @@
             return;
         }
         boolean lost = reachability.isAttemptDue(nowMs);
-        boolean full = reachability.isReachable() && (workWaits || room.room() == 0) && room.isAskDue(nowMs);
+        boolean full =
+                reachability.isReachable() && (workWaits || room.effectiveLimit() == 0) && room.isProbeDue(nowMs);
         if (lost || full) {
             ask();
         }
@@ -134,10 +135,10 @@
 
     private void ask() {
         reachability.onAttempt();
-        room.onAsk();
+        room.onProbeStarted();
         open((opened, error) -> {
             reachability.onAttemptEnded();
-            room.onAskEnded();
+            room.onProbeEnded();
             if (error == null) {
                 keep(opened);
                 onRoom.run();
@@ -224,7 +225,7 @@
         onReached();
         outOfReach = false;
         if (room.onRefused(held(), beganMs, clock.millis())) {
-            record("database_connection_limit", room.pauseMs(), failure);
+            record("database_connection_limit", room.backoffMs(), failure);
         }
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementGate.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementGate.java
@@ -2,19 +2,19 @@
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
-import org.hornbeamspread.core.admission.AdaptiveLimit;
+import org.hornbeamspread.core.admission.AdaptiveConcurrencyLimit;
 
 /**
  * Lets statements through to one database, the most urgent first and in order of arrival within a priority, no more at once
- * than the {@link AdaptiveLimit}. Used on the engine's thread.
+ * than the {@link AdaptiveConcurrencyLimit}. Used on the engine's thread.
  */
 final class StatementGate {
-    private final AdaptiveLimit limit;
+    private final AdaptiveConcurrencyLimit limit;
     private final PriorityQueue<Waiting> queue =
             new PriorityQueue<>(Comparator.comparingInt(Waiting::priority).thenComparingLong(Waiting::order));
     private long nextOrder;
 
-    StatementGate(AdaptiveLimit limit) {
+    StatementGate(AdaptiveConcurrencyLimit limit) {
         this.limit = limit;
     }
 
@@ -31,7 +31,7 @@
     }
 
     void share(int slots, int proxies) {
-        limit.share(slots, proxies);
+        limit.resize(slots, proxies);
         letThrough();
     }
 
