--- a/core/src/main/java/org/hornbeamspread/core/placement/InstanceChoice.java
+++ b/core/src/main/java/org/hornbeamspread/core/placement/InstanceSelector.java
@@ -14,8 +14,8 @@
  * have gone dark, and what hangs there does not raise what statements took. A candidate that is unlikely to hold the position that is asked for, or that refused of
  * late, is charged what trying it in vain would cost.
  */
-public final class InstanceChoice {
-    private InstanceChoice() {}
+public final class InstanceSelector {
+    private InstanceSelector() {}
 
     /**
      * What is known of a candidate.
@@ -33,19 +33,19 @@
             double roundTripMs,
             double serviceMs,
             int outstanding,
-            int parallel,
+            int concurrencyLimit,
             long silentMs,
-            double penaltyMs) {
+            double expectedFailureCostMs) {
         /** When a statement sent now is expected to end. */
-        double expectedMs() {
-            double waitMs = serviceMs * Math.max(0, outstanding - parallel + 1) / Math.max(1, parallel);
+        double expectedCompletionMs() {
+            double waitMs = serviceMs * Math.max(0, outstanding - concurrencyLimit + 1) / Math.max(1, concurrencyLimit);
             double darkMs = Math.max(0, silentMs - roundTripMs - serviceMs);
-            return roundTripMs + serviceMs + waitMs + darkMs + penaltyMs;
+            return roundTripMs + serviceMs + waitMs + darkMs + expectedFailureCostMs;
         }
     }
 
     /** The candidate that is expected to end first; ties go to the earlier one. */
-    public static Optional<Candidate> best(List<Candidate> candidates) {
-        return candidates.stream().min(Comparator.comparingDouble(Candidate::expectedMs));
+    public static Optional<Candidate> select(List<Candidate> candidates) {
+        return candidates.stream().min(Comparator.comparingDouble(Candidate::expectedCompletionMs));
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/placement/PositionSamples.java
+++ b/core/src/main/java/org/hornbeamspread/core/placement/PositionSamples.java
@@ -14,13 +14,13 @@
  * Of all such samples the oldest is asked for, since replicas are most likely to hold it.
  *
  * <p>Ages are differences of one steady clock. A machine that was suspended or stepped its clock can't tell them any more
- * and forgets its samples: {@link #forget}. Confined to one thread.
+ * and forgets its samples: {@link #clear}. Confined to one thread.
  */
 public final class PositionSamples {
-    private static final int KEPT_SAMPLES = 64;
+    private static final int MAX_SAMPLES = 64;
 
     /** Samples closer together than this tell the same; 1/30 of the smallest allowance known of. */
-    private static final long SPACING_MS = 50;
+    private static final long MIN_SPACING_MS = 50;
 
     private final Deque<Sample> samples = new ArrayDeque<>();
 
@@ -30,22 +30,22 @@
      * @param askedAtMs when the question was sent, on a steady clock
      * @param position of the primary's log while it answered
      */
-    public record Sample(long askedAtMs, LogPosition position) {}
+    public record Sample(long requestedAtMs, LogPosition position) {}
 
     /** Takes a sample of a database that proved to be the primary while answering. */
     public void add(Sample sample) {
         samples.removeIf(kept -> kept.position().term() < sample.position().term());
         if (!samples.isEmpty()) {
             Sample last = samples.peekLast();
-            if (sample.position().term() < last.position().term() || sample.askedAtMs() < last.askedAtMs()) {
+            if (sample.position().term() < last.position().term() || sample.requestedAtMs() < last.requestedAtMs()) {
                 return;
             }
-            if (samples.size() > 1 && sample.askedAtMs() - beforeLast().askedAtMs() < SPACING_MS) {
+            if (samples.size() > 1 && sample.requestedAtMs() - secondToLast().requestedAtMs() < MIN_SPACING_MS) {
                 samples.removeLast();
             }
         }
         samples.addLast(sample);
-        if (samples.size() > KEPT_SAMPLES) {
+        if (samples.size() > MAX_SAMPLES) {
             samples.removeFirst();
         }
     }
@@ -53,7 +53,7 @@
     /** The oldest sample that proves a read to be no older than the allowance. */
     public Optional<Sample> oldestWithin(long nowMs, long allowanceMs) {
         return samples.stream()
-                .filter(sample -> nowMs - sample.askedAtMs() < allowanceMs)
+                .filter(sample -> nowMs - sample.requestedAtMs() < allowanceMs)
                 .findFirst();
     }
 
@@ -63,11 +63,11 @@
     }
 
     /** Drops every sample, as after a jump of the clock. */
-    public void forget() {
+    public void clear() {
         samples.clear();
     }
 
-    private Sample beforeLast() {
+    private Sample secondToLast() {
         Sample previous = null;
         Sample current = null;
         for (Sample sample : samples) {
--- a/core/src/main/java/org/hornbeamspread/core/placement/SharerCount.java
+++ b/core/src/main/java/org/hornbeamspread/core/placement/ProxyCountEstimate.java
@@ -11,34 +11,34 @@
  * So a higher count holds at once, and a lower one only once the higher one has not held for a while. A proxy that has just
  * started assumes a count, since then the leader may have, too. Confined to one thread.
  */
-public final class SharerCount {
+public final class ProxyCountEstimate {
     /** Longer than a proxy takes to find a new leader. */
-    private static final long MEMORY_MS = 8_000;
+    private static final long DECREASE_DELAY_MS = 8_000;
 
-    private final Deque<Heard> heard = new ArrayDeque<>();
+    private final Deque<Observation> observations = new ArrayDeque<>();
 
     /** Begins with a count that is assumed. */
-    public SharerCount(int assumed) {
-        heard.addLast(new Heard(assumed, 0));
+    public ProxyCountEstimate(int assumed) {
+        observations.addLast(new Observation(assumed, 0));
     }
 
     /** Takes a count over, and gives the one to go by. */
     public int observe(int count, long nowMs) {
-        Heard last = heard.removeLast();
+        Observation last = observations.removeLast();
         if (last.count() > count) {
-            heard.addLast(new Heard(last.count(), nowMs));
+            observations.addLast(new Observation(last.count(), nowMs));
         }
-        heard.removeIf(earlier -> earlier.count() <= count);
-        heard.addLast(new Heard(count, nowMs));
+        observations.removeIf(earlier -> earlier.count() <= count);
+        observations.addLast(new Observation(count, nowMs));
         return current(nowMs);
     }
 
     /** The count to go by. */
     public int current(long nowMs) {
-        while (heard.size() > 1 && nowMs - heard.peekFirst().atMs() > MEMORY_MS) {
-            heard.removeFirst();
+        while (observations.size() > 1 && nowMs - observations.peekFirst().lastValidAtMs() > DECREASE_DELAY_MS) {
+            observations.removeFirst();
         }
-        return Math.max(1, heard.peekFirst().count());
+        return Math.max(1, observations.peekFirst().count());
     }
 
     /**
@@ -46,5 +46,5 @@
      *
      * @param atMs when it was heard, and for one that a lower one followed, when that was
      */
-    private record Heard(int count, long atMs) {}
+    private record Observation(int count, long lastValidAtMs) {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/placement/Reachability.java
+++ b/core/src/main/java/org/hornbeamspread/core/placement/Reachability.java
@@ -14,101 +14,101 @@
  */
 public final class Reachability {
     /** Twenty round trips between regions; a database with a queue answers something much more often. */
-    private static final long SILENCE_LIMIT_MS = 400;
+    private static final long SILENCE_TIMEOUT_MS = 400;
 
-    private static final long FIRST_PAUSE_MS = 100;
+    private static final long INITIAL_BACKOFF_MS = 100;
 
     /** The limit of an attempt to connect: a dark instance is asked about half of the time. */
-    private static final long LAST_PAUSE_MS = 500;
+    private static final long MAX_BACKOFF_MS = 500;
 
     /** Questions without an answer. */
-    private int owed;
+    private int pendingRequests;
 
     /** The last answer, or the question that ended a time in which nothing was owed. */
-    private long quietSinceMs;
+    private long silentSinceMs;
 
-    private long pauseMs;
-    private long pausedUntilMs;
+    private long backoffMs;
+    private long nextProbeAtMs;
 
     /** When it was last known to be lost, or to be there. */
-    private long newsAtMs = Long.MIN_VALUE;
+    private long lastOutcomeAtMs = Long.MIN_VALUE;
 
-    private boolean attempting;
+    private boolean probing;
 
     /** Something was sent that must be answered. */
-    public void onAsked(long nowMs) {
-        if (owed++ == 0) {
-            quietSinceMs = nowMs;
+    public void onRequestSent(long nowMs) {
+        if (pendingRequests++ == 0) {
+            silentSinceMs = nowMs;
         }
     }
 
     /** An answer came, whatever it says. */
-    public void onAnswered(long nowMs) {
-        owed--;
-        quietSinceMs = nowMs;
+    public void onResponse(long nowMs) {
+        pendingRequests--;
+        silentSinceMs = nowMs;
     }
 
     /** An answer is not waited for any more. */
-    public void onGivenUp() {
-        owed--;
+    public void onRequestAbandoned() {
+        pendingRequests--;
     }
 
     /** This proxy itself stood still: answers may have come that it has not read yet. */
-    public void onOwnPause(long nowMs) {
-        quietSinceMs = nowMs;
+    public void onLocalPause(long nowMs) {
+        silentSinceMs = nowMs;
     }
 
     /** For how long the instance has owed an answer without giving any. */
     public long silentMs(long nowMs) {
-        return owed > 0 ? Math.max(0, nowMs - quietSinceMs) : 0;
+        return pendingRequests > 0 ? Math.max(0, nowMs - silentSinceMs) : 0;
     }
 
     /** Whether the instance has just become silent for so long that it counts as lost. */
-    public boolean isSilenceOver(long nowMs) {
-        return isReachable() && silentMs(nowMs) > SILENCE_LIMIT_MS;
+    public boolean isSilenceTimeoutExceeded(long nowMs) {
+        return isReachable() && silentMs(nowMs) > SILENCE_TIMEOUT_MS;
     }
 
     /** Whether work may be sent there. */
     public boolean isReachable() {
-        return pauseMs == 0;
+        return backoffMs == 0;
     }
 
     /** Whether an attempt to connect on nobody's behalf is due. */
-    public boolean isAttemptDue(long nowMs) {
-        return !isReachable() && !attempting && nowMs >= pausedUntilMs;
+    public boolean isProbeDue(long nowMs) {
+        return !isReachable() && !probing && nowMs >= nextProbeAtMs;
     }
 
     /** Such an attempt begins. */
-    public void onAttempt() {
-        attempting = true;
+    public void onProbeStarted() {
+        probing = true;
     }
 
     /** Such an attempt has ended. */
-    public void onAttemptEnded() {
-        attempting = false;
+    public void onProbeEnded() {
+        probing = false;
     }
 
     /** An attempt or a question that began at a time has failed; false when that was known. */
     public boolean onFailed(long beganMs, long nowMs) {
-        if (beganMs < newsAtMs) {
+        if (beganMs < lastOutcomeAtMs) {
             return false;
         }
-        newsAtMs = nowMs;
-        pauseMs = Math.min(LAST_PAUSE_MS, Math.max(FIRST_PAUSE_MS, pauseMs * 2));
-        pausedUntilMs = nowMs + pauseMs;
+        lastOutcomeAtMs = nowMs;
+        backoffMs = Math.min(MAX_BACKOFF_MS, Math.max(INITIAL_BACKOFF_MS, backoffMs * 2));
+        nextProbeAtMs = nowMs + backoffMs;
         return true;
     }
 
     /** An attempt to connect was answered; true when the instance counted as lost. */
     public boolean onReached(long nowMs) {
         boolean regained = !isReachable();
-        newsAtMs = nowMs;
-        pauseMs = 0;
+        lastOutcomeAtMs = nowMs;
+        backoffMs = 0;
         return regained;
     }
 
     /** The pause before the next attempt; 0 while the instance is reachable. */
-    public long pauseMs() {
-        return pauseMs;
+    public long backoffMs() {
+        return backoffMs;
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/retry/RetryPolicy.java
+++ b/core/src/main/java/org/hornbeamspread/core/retry/RetryPolicy.java
@@ -18,7 +18,7 @@
  * @param firstBackoff the pause before the second attempt
  * @param maxBackoff the longest pause
  */
-public record RetryPolicy(Duration firstBackoff, Duration maxBackoff) {
+public record RetryPolicy(Duration initialBackoff, Duration maxBackoff) {
     private static final int MAX_DOUBLINGS = 16;
 
     /** Not run, and another attempt may find another state. */
@@ -36,7 +36,7 @@
             FailureType.CONNECTION_REFUSED);
 
     /** Unknown, and the statement's own key or its lack of effect makes another attempt safe. */
-    private static final Set<FailureType> UNPROVED = EnumSet.of(
+    private static final Set<FailureType> UNKNOWN_OUTCOME = EnumSet.of(
             FailureType.TIMEOUT_AFTER_SEND,
             FailureType.CONNECTION_LOST_AFTER_SEND,
             FailureType.TERM_CHANGED_AFTER_SEND,
@@ -50,16 +50,16 @@
         if (type.effect() == Effect.NOT_RUN) {
             return TRANSIENT.contains(type);
         }
-        return kind != StatementKind.UNKEYED_WRITE && UNPROVED.contains(type);
+        return kind != StatementKind.UNKEYED_WRITE && UNKNOWN_OUTCOME.contains(type);
     }
 
     /**
      * Whether another attempt counts against the retry budget: the failed one may have cost a database work. An attempt
      * that a new term overtook does not count: that happens once for each term, however loaded the databases are.
      */
-    public static boolean isCharged(FailureType type) {
+    public static boolean consumesRetryBudget(FailureType type) {
         return type == FailureType.CONNECTION_LIMIT
-                || (UNPROVED.contains(type) && type != FailureType.TERM_CHANGED_AFTER_SEND);
+                || (UNKNOWN_OUTCOME.contains(type) && type != FailureType.TERM_CHANGED_AFTER_SEND);
     }
 
     /**
@@ -70,11 +70,11 @@
      * @param attempts attempts made so far, from 1
      * @param remaining time until the deadline
      */
-    public Optional<Duration> nextAttempt(FailureType type, StatementKind kind, int attempts, Duration remaining) {
+    public Optional<Duration> nextBackoff(FailureType type, StatementKind kind, int attempts, Duration remaining) {
         if (!isRetryable(type, kind)) {
             return Optional.empty();
         }
-        Duration pause = firstBackoff.multipliedBy(1L << Math.min(attempts - 1, MAX_DOUBLINGS));
+        Duration pause = initialBackoff.multipliedBy(1L << Math.min(attempts - 1, MAX_DOUBLINGS));
         pause = pause.compareTo(maxBackoff) <= 0 ? pause : maxBackoff;
         return pause.compareTo(remaining) < 0 ? Optional.of(pause) : Optional.empty();
     }
--- a/core/src/main/java/org/hornbeamspread/core/routing/ReadCandidate.java
+++ b/core/src/main/java/org/hornbeamspread/core/routing/ReadCandidate.java
@@ -22,6 +22,6 @@
         boolean usable,
         Proximity proximity,
         LogPosition applied,
-        Optional<Duration> ageBound,
+        Optional<Duration> stalenessBound,
         Optional<Duration> typicalLag,
         int waitingStatements) {}
--- a/core/src/main/java/org/hornbeamspread/core/routing/ReadDecision.java
+++ b/core/src/main/java/org/hornbeamspread/core/routing/ReadDecision.java
@@ -25,7 +25,7 @@
      * @param databaseId the replica that is expected to catch up
      * @param atMost the longest pause
      */
-    record WaitForReplica(String databaseId, Duration atMost) implements ReadDecision {}
+    record WaitForReplica(String databaseId, Duration maxWait) implements ReadDecision {}
 
     /**
      * Nothing may serve it now.
--- a/core/src/main/java/org/hornbeamspread/core/routing/ReadRouter.java
+++ b/core/src/main/java/org/hornbeamspread/core/routing/ReadRouter.java
@@ -22,7 +22,7 @@
  * @param catchUpWait the longest wait for a replica
  * @param regionRoundTrip what a primary in another region costs more than a near replica
  */
-public record ReadRouter(Duration catchUpWait, Duration regionRoundTrip) {
+public record ReadRouter(Duration maxCatchUpWait, Duration crossRegionRoundTrip) {
     private static final Comparator<ReadCandidate> NEAREST = Comparator.comparing(ReadCandidate::proximity)
             .thenComparing(ReadCandidate::waitingStatements)
             .thenComparing(ReadCandidate::databaseId);
@@ -40,15 +40,15 @@
                 .filter(candidate -> candidate.primary() && candidate.usable())
                 .findFirst();
         Optional<ReadCandidate> replica = candidates.stream()
-                .filter(candidate -> isYoungEnough(candidate, allowance))
+                .filter(candidate -> isFreshEnough(candidate, allowance))
                 .filter(candidate -> candidate.applied().covers(floor))
                 .min(NEAREST);
         if (replica.isPresent() && !isPrimaryNearer(primary, replica.get())) {
             return new ReadDecision.Replica(replica.get().databaseId());
         }
-        Optional<ReadCandidate> behind = mayWait ? worthWaitingFor(candidates, allowance, primary) : Optional.empty();
+        Optional<ReadCandidate> behind = mayWait ? replicaToWaitFor(candidates, allowance, primary) : Optional.empty();
         if (behind.isPresent()) {
-            return new ReadDecision.WaitForReplica(behind.get().databaseId(), catchUpWait);
+            return new ReadDecision.WaitForReplica(behind.get().databaseId(), maxCatchUpWait);
         }
         if (primary.isPresent()) {
             return new ReadDecision.Primary(primary.get().databaseId());
@@ -57,12 +57,12 @@
                 .orElseGet(() -> new ReadDecision.Refuse(FailureType.NO_REPLICA_IN_TIME));
     }
 
-    private static boolean isYoungEnough(ReadCandidate candidate, Duration allowance) {
+    private static boolean isFreshEnough(ReadCandidate candidate, Duration allowance) {
         return !candidate.primary()
                 && candidate.usable()
-                && candidate.ageBound().isPresent()
+                && candidate.stalenessBound().isPresent()
                 && !allowance.isZero()
-                && candidate.ageBound().get().compareTo(allowance) <= 0;
+                && candidate.stalenessBound().get().compareTo(allowance) <= 0;
     }
 
     private static boolean isPrimaryNearer(Optional<ReadCandidate> primary, ReadCandidate replica) {
@@ -71,13 +71,13 @@
                 && primary.get().proximity() != Proximity.OTHER_REGION;
     }
 
-    private Optional<ReadCandidate> worthWaitingFor(
+    private Optional<ReadCandidate> replicaToWaitFor(
             List<ReadCandidate> candidates, Duration allowance, Optional<ReadCandidate> primary) {
         Duration limit = primary.isPresent() && primary.get().proximity() == Proximity.OTHER_REGION
-                ? min(regionRoundTrip, catchUpWait)
-                : catchUpWait;
+                ? min(crossRegionRoundTrip, maxCatchUpWait)
+                : maxCatchUpWait;
         return candidates.stream()
-                .filter(candidate -> isYoungEnough(candidate, allowance))
+                .filter(candidate -> isFreshEnough(candidate, allowance))
                 .filter(candidate -> candidate.proximity() != Proximity.OTHER_REGION)
                 .filter(candidate -> candidate.typicalLag().isPresent()
                         && candidate.typicalLag().get().compareTo(limit) <= 0)
--- a/core/src/main/java/org/hornbeamspread/core/routing/ReplicaAge.java
+++ b/core/src/main/java/org/hornbeamspread/core/routing/ReplicaStaleness.java
@@ -24,14 +24,14 @@
  * <p>The question must have been asked while the proxy's view lease was fresh: only then was the database asked still
  * the primary at that moment. The caller of {@link #addSample} sees to that. Not safe for use by several threads.
  */
-public final class ReplicaAge {
+public final class ReplicaStaleness {
     private final int maxSamples;
 
     /** In order of time; both parts never fall. */
     private final Deque<Sample> samples = new ArrayDeque<>();
 
     /** Keeps at most a number of samples; the oldest are dropped, which can only raise a bound. */
-    public ReplicaAge(int maxSamples) {
+    public ReplicaStaleness(int maxSamples) {
         this.maxSamples = maxSamples;
     }
 
@@ -43,7 +43,7 @@
      */
     public void addSample(Instant askedAt, LogPosition position) {
         Sample last = samples.peekLast();
-        if (last != null && (askedAt.isBefore(last.askedAt) || !position.covers(last.position))) {
+        if (last != null && (askedAt.isBefore(last.requestedAt) || !position.covers(last.position))) {
             return;
         }
         samples.addLast(new Sample(askedAt, position));
@@ -53,15 +53,15 @@
     }
 
     /** The proven upper bound of a state's age; empty when nothing is proven. */
-    public Optional<Duration> bound(LogPosition applied, Instant now) {
+    public Optional<Duration> upperBound(LogPosition applied, Instant now) {
         for (Iterator<Sample> newestFirst = samples.descendingIterator(); newestFirst.hasNext(); ) {
             Sample sample = newestFirst.next();
             if (applied.covers(sample.position)) {
-                return Optional.of(Duration.between(sample.askedAt, now));
+                return Optional.of(Duration.between(sample.requestedAt, now));
             }
         }
         return Optional.empty();
     }
 
-    private record Sample(Instant askedAt, LogPosition position) {}
+    private record Sample(Instant requestedAt, LogPosition position) {}
 }
--- a/core/src/test/java/org/hornbeamspread/core/placement/InstanceChoiceTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/placement/InstanceSelectorTest.java
@@ -4,17 +4,18 @@
 
 import java.util.List;
 import java.util.stream.Stream;
-import org.hornbeamspread.core.placement.InstanceChoice.Candidate;
+import org.hornbeamspread.core.placement.InstanceSelector.Candidate;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-final class InstanceChoiceTest {
+final class InstanceSelectorTest {
     @ParameterizedTest
     @MethodSource("loads")
-    void theInstanceThatIsExpectedToEndFirstIsChosen(String load, Candidate near, Candidate far, String expected) {
-        assertThat(InstanceChoice.best(List.of(near, far)).orElseThrow().instanceId())
+    void instanceWithTheEarliestExpectedCompletionIsSelected(
+            String load, Candidate near, Candidate far, String expected) {
+        assertThat(InstanceSelector.select(List.of(near, far)).orElseThrow().instanceId())
                 .isEqualTo(expected);
     }
 
@@ -31,7 +32,7 @@
 
     /** A burst of reads, each placed when it comes: spread by expected end, it is over sooner than in a fixed order. */
     @Test
-    void aBurstIsOverSoonerThanInAFixedOrder() {
+    void burstCompletesSoonerThanWithAFixedOrder() {
         double[] serviceMs = {10, 10, 40};
         double[] roundTripMs = {0.5, 4, 24};
         int reads = 60;
@@ -50,7 +51,7 @@
             int chosen = fixedOrder
                     ? 0
                     : Integer.parseInt(
-                            InstanceChoice.best(candidates).orElseThrow().instanceId());
+                            InstanceSelector.select(candidates).orElseThrow().instanceId());
             outstanding[chosen]++;
         }
         double last = 0;
--- a/core/src/test/java/org/hornbeamspread/core/placement/PositionSamplesTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/placement/PositionSamplesTest.java
@@ -15,7 +15,7 @@
     private final PositionSamples samples = new PositionSamples();
 
     @Test
-    void theOldestSampleWithinTheAllowanceIsAskedFor() {
+    void oldestSampleWithinTheAllowanceIsReturned() {
         samples.add(sample(0, 1, 10));
         samples.add(sample(500, 1, 20));
         samples.add(sample(1_000, 1, 30));
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aLaterTermDropsThePositionsOfEarlierOnes() {
+    void newTermDropsSamplesOfEarlierTerms() {
         samples.add(sample(0, 1, 50));
         samples.add(sample(500, 2, 40));
 
@@ -35,9 +35,9 @@
     }
 
     @Test
-    void nothingIsProvenAfterAJumpOfTheClock() {
+    void noSampleRemainsAfterAClockJump() {
         samples.add(sample(0, 1, 10));
-        samples.forget();
+        samples.clear();
 
         assertThat(samples.oldestWithin(1, 1_500)).isEqualTo(Optional.empty());
     }
--- a/core/src/test/java/org/hornbeamspread/core/placement/ReachabilityTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/placement/ReachabilityTest.java
@@ -8,31 +8,31 @@
     private final Reachability reachability = new Reachability();
 
     @Test
-    void silenceIsCountedFromTheLastAnswerAndOnlyWhileOneIsOwed() {
-        reachability.onAsked(1_000);
-        reachability.onAsked(1_010);
+    void silenceIsMeasuredFromTheLastResponseWhileRequestsArePending() {
+        reachability.onRequestSent(1_000);
+        reachability.onRequestSent(1_010);
         assertThat(reachability.silentMs(1_030)).isEqualTo(30);
-        reachability.onAnswered(1_040);
+        reachability.onResponse(1_040);
         assertThat(reachability.silentMs(1_050)).isEqualTo(10);
-        reachability.onAnswered(1_060);
+        reachability.onResponse(1_060);
         assertThat(reachability.silentMs(9_000)).isEqualTo(0);
-        reachability.onAsked(9_000);
+        reachability.onRequestSent(9_000);
         assertThat(reachability.silentMs(9_001)).isEqualTo(1);
     }
 
     @Test
-    void anInstanceThatIsSilentForLongIsLostUntilAConnectionIsOpened() {
-        reachability.onAsked(0);
-        assertThat(reachability.isSilenceOver(400)).isFalse();
-        assertThat(reachability.isSilenceOver(401)).isTrue();
+    void silentInstanceIsUnreachableUntilAConnectionOpens() {
+        reachability.onRequestSent(0);
+        assertThat(reachability.isSilenceTimeoutExceeded(400)).isFalse();
+        assertThat(reachability.isSilenceTimeoutExceeded(401)).isTrue();
         reachability.onFailed(401, 401);
         assertThat(reachability.isReachable()).isFalse();
-        assertThat(reachability.isSilenceOver(402)).isFalse();
-        assertThat(reachability.isAttemptDue(500)).isFalse();
-        assertThat(reachability.isAttemptDue(501)).isTrue();
-        reachability.onAttempt();
-        assertThat(reachability.isAttemptDue(900)).isFalse();
-        reachability.onAttemptEnded();
+        assertThat(reachability.isSilenceTimeoutExceeded(402)).isFalse();
+        assertThat(reachability.isProbeDue(500)).isFalse();
+        assertThat(reachability.isProbeDue(501)).isTrue();
+        reachability.onProbeStarted();
+        assertThat(reachability.isProbeDue(900)).isFalse();
+        reachability.onProbeEnded();
         assertThat(reachability.onReached(950)).isTrue();
         assertThat(reachability.isReachable()).isTrue();
         assertThat(reachability.onReached(960)).isFalse();
@@ -40,17 +40,17 @@
 
     /** Four attempts that hang at the same time are one failure. */
     @Test
-    void attemptsThatBeganBeforeTheFailureDoNotLengthenThePause() {
+    void attemptsStartedBeforeAFailureDoNotRaiseTheBackoff() {
         assertThat(reachability.onFailed(0, 500)).isTrue();
         assertThat(reachability.onFailed(10, 510)).isFalse();
         assertThat(reachability.onFailed(300, 800)).isFalse();
-        assertThat(reachability.pauseMs()).isEqualTo(100);
+        assertThat(reachability.backoffMs()).isEqualTo(100);
         assertThat(reachability.onFailed(800, 1_300)).isTrue();
-        assertThat(reachability.pauseMs()).isEqualTo(200);
+        assertThat(reachability.backoffMs()).isEqualTo(200);
     }
 
     @Test
-    void anAttemptThatBeganBeforeTheInstanceWasReachedDoesNotMakeItLost() {
+    void attemptStartedBeforeASuccessDoesNotMarkTheInstanceUnreachable() {
         reachability.onFailed(0, 500);
         reachability.onReached(620);
 
@@ -59,19 +59,19 @@
     }
 
     @Test
-    void thePauseIsNeverLongerThanAnAttempt() {
+    void backoffIsAtMostTheConnectTimeout() {
         for (int i = 0; i < 10; i++) {
             reachability.onFailed(i * 1_000L, i * 1_000L + 500);
         }
-        assertThat(reachability.pauseMs()).isEqualTo(500);
+        assertThat(reachability.backoffMs()).isEqualTo(500);
     }
 
     @Test
-    void aPauseOfThisProxyIsNotTheInstancesSilence() {
-        reachability.onAsked(0);
-        reachability.onOwnPause(5_000);
+    void localPauseDoesNotCountAsSilence() {
+        reachability.onRequestSent(0);
+        reachability.onLocalPause(5_000);
 
-        assertThat(reachability.isSilenceOver(5_300)).isFalse();
-        assertThat(reachability.isSilenceOver(5_401)).isTrue();
+        assertThat(reachability.isSilenceTimeoutExceeded(5_300)).isFalse();
+        assertThat(reachability.isSilenceTimeoutExceeded(5_401)).isTrue();
     }
 }
--- a/core/src/test/java/org/hornbeamspread/core/retry/RetryPolicyTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/retry/RetryPolicyTest.java
@@ -15,7 +15,7 @@
 
     @ParameterizedTest
     @EnumSource(FailureType.class)
-    void aWriteWithoutAKeyIsNeverSentAgainAfterAnUnknownOutcome(FailureType type) {
+    void unkeyedWriteIsNotRetriedAfterAnUnknownOutcome(FailureType type) {
         if (type.effect() != Effect.NOT_RUN) {
             assertThat(RetryPolicy.isRetryable(type, StatementKind.UNKEYED_WRITE))
                     .isFalse();
@@ -35,14 +35,14 @@
         "INTERNAL, READ, false",
         "TRANSACTION_LOST, KEYED_WRITE, false",
     })
-    void whatMayBeSentAgain(FailureType type, StatementKind kind, boolean retryable) {
+    void retryabilityDependsOnFailureAndStatementKind(FailureType type, StatementKind kind, boolean retryable) {
         assertThat(RetryPolicy.isRetryable(type, kind)).isEqualTo(retryable);
     }
 
     @ParameterizedTest
     @CsvSource({"1, 1000, 5", "2, 1000, 10", "5, 1000, 80", "6, 1000, 100", "90, 1000, 100", "3, 20, -1", "3, 21, 20"})
-    void thePauseDoublesUpToALimitAndNeverPassesTheDeadline(int attempts, long remainingMs, long pauseMs) {
-        Optional<Duration> pause = POLICY.nextAttempt(
+    void backoffDoublesUpToALimitAndEndsBeforeTheDeadline(int attempts, long remainingMs, long pauseMs) {
+        Optional<Duration> pause = POLICY.nextBackoff(
                 FailureType.NO_PRIMARY, StatementKind.READ, attempts, Duration.ofMillis(remainingMs));
         assertThat(pause.map(Duration::toMillis).orElse(-1L)).isEqualTo(pauseMs);
     }
@@ -57,7 +57,7 @@
         "WRONG_TERM, false",
         "NO_PRIMARY, false",
     })
-    void whatCountsAgainstTheRetryBudget(FailureType type, boolean charged) {
-        assertThat(RetryPolicy.isCharged(type)).isEqualTo(charged);
+    void retryBudgetCountsAttemptsThatMayHaveLoadedADatabase(FailureType type, boolean charged) {
+        assertThat(RetryPolicy.consumesRetryBudget(type)).isEqualTo(charged);
     }
 }
--- a/core/src/test/java/org/hornbeamspread/core/routing/ReadRouterTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/routing/ReadRouterTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 final class ReadRouterTest {
-    private static final LogPosition FLOOR = new LogPosition(2, 10);
-    private static final LogPosition BEHIND = new LogPosition(2, 9);
+    private static final LogPosition MIN_POSITION = new LogPosition(2, 10);
+    private static final LogPosition LAGGING_POSITION = new LogPosition(2, 9);
     private static final Duration ALLOWANCE = Duration.ofSeconds(2);
     private static final ReadRouter ROUTER = new ReadRouter(Duration.ofMillis(20), Duration.ofMillis(16));
 
     static Stream<Arguments> decisions() {
-        ReadCandidate near = replica("near", SAME_FAILURE_DOMAIN, FLOOR, 100, 5);
-        ReadCandidate region = replica("region", SAME_REGION, FLOOR, 100, 5);
-        ReadCandidate far = replica("far", OTHER_REGION, FLOOR, 100, 5);
+        ReadCandidate near = replica("near", SAME_FAILURE_DOMAIN, MIN_POSITION, 100, 5);
+        ReadCandidate region = replica("region", SAME_REGION, MIN_POSITION, 100, 5);
+        ReadCandidate far = replica("far", OTHER_REGION, MIN_POSITION, 100, 5);
         ReadCandidate nearPrimary = primary("primary", SAME_FAILURE_DOMAIN);
         ReadCandidate farPrimary = primary("primary", OTHER_REGION);
         return Stream.of(
@@ -35,44 +35,50 @@
                 Arguments.of("a replica before a near primary", List.of(region, nearPrimary), "Replica region"),
                 Arguments.of("a near primary before a far replica", List.of(far, nearPrimary), "Primary primary"),
                 Arguments.of("a far replica before a far primary", List.of(far, farPrimary), "Replica far"),
-                Arguments.of("at the allowance", List.of(replica("r", SAME_REGION, FLOOR, 2000, 5)), "Replica r"),
-                Arguments.of("past the allowance", List.of(replica("r", SAME_REGION, FLOOR, 2001, 5)), "Refuse"),
+                Arguments.of(
+                        "at the allowance", List.of(replica("r", SAME_REGION, MIN_POSITION, 2000, 5)), "Replica r"),
+                Arguments.of("past the allowance", List.of(replica("r", SAME_REGION, MIN_POSITION, 2001, 5)), "Refuse"),
                 Arguments.of(
                         "of unknown age",
-                        List.of(candidate("r", false, true, SAME_REGION, FLOOR, -1, 5), nearPrimary),
+                        List.of(candidate("r", false, true, SAME_REGION, MIN_POSITION, -1, 5), nearPrimary),
                         "Primary primary"),
                 Arguments.of(
                         "departing or unreachable",
-                        List.of(candidate("r", false, false, SAME_REGION, FLOOR, 1, 5), nearPrimary),
+                        List.of(candidate("r", false, false, SAME_REGION, MIN_POSITION, 1, 5), nearPrimary),
                         "Primary primary"),
                 Arguments.of(
                         "behind, but soon there",
-                        List.of(replica("r", SAME_REGION, BEHIND, 100, 5), nearPrimary),
+                        List.of(replica("r", SAME_REGION, LAGGING_POSITION, 100, 5), nearPrimary),
                         "WaitForReplica r"),
                 Arguments.of(
                         "behind, and slow",
-                        List.of(replica("r", SAME_REGION, BEHIND, 100, 21), nearPrimary),
+                        List.of(replica("r", SAME_REGION, LAGGING_POSITION, 100, 21), nearPrimary),
                         "Primary primary"),
                 Arguments.of(
                         "behind, slower than a round trip to the primary",
-                        List.of(replica("r", SAME_REGION, BEHIND, 100, 17), farPrimary),
+                        List.of(replica("r", SAME_REGION, LAGGING_POSITION, 100, 17), farPrimary),
                         "Primary primary"),
-                Arguments.of("behind, and no primary", List.of(replica("r", SAME_REGION, BEHIND, 100, 21)), "Refuse"),
+                Arguments.of(
+                        "behind, and no primary",
+                        List.of(replica("r", SAME_REGION, LAGGING_POSITION, 100, 21)),
+                        "Refuse"),
                 Arguments.of("nobody", List.of(), "Refuse"));
     }
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("decisions")
-    void theNearestDatabaseThatMayServeDoes(String name, List<ReadCandidate> candidates, String expected) {
-        assertThat(text(ROUTER.decide(candidates, FLOOR, ALLOWANCE, true))).isEqualTo(expected);
+    void nearestEligibleDatabaseServesTheRead(String name, List<ReadCandidate> candidates, String expected) {
+        assertThat(describe(ROUTER.decide(candidates, MIN_POSITION, ALLOWANCE, true)))
+                .isEqualTo(expected);
     }
 
     @Test
-    void aReadWaitsOnlyOnceAndWithoutAnAllowanceNever() {
+    void readWaitsAtMostOnceAndNeverWithZeroAllowance() {
         List<ReadCandidate> candidates =
-                List.of(replica("r", SAME_REGION, BEHIND, 1, 5), primary("primary", OTHER_REGION));
-        assertThat(text(ROUTER.decide(candidates, FLOOR, ALLOWANCE, false))).isEqualTo("Primary primary");
-        assertThat(text(ROUTER.decide(candidates, LogPosition.NONE, Duration.ZERO, true)))
+                List.of(replica("r", SAME_REGION, LAGGING_POSITION, 1, 5), primary("primary", OTHER_REGION));
+        assertThat(describe(ROUTER.decide(candidates, MIN_POSITION, ALLOWANCE, false)))
+                .isEqualTo("Primary primary");
+        assertThat(describe(ROUTER.decide(candidates, LogPosition.NONE, Duration.ZERO, true)))
                 .isEqualTo("Primary primary");
     }
 
@@ -82,7 +88,7 @@
         assertThat(GroupRouting.groupOf(List.of("g0", "g1", "g2"), key)).isEqualTo("g" + group);
     }
 
-    private static String text(ReadDecision decision) {
+    private static String describe(ReadDecision decision) {
         if (decision instanceof ReadDecision.Replica replica) {
             return "Replica " + replica.databaseId();
         }
@@ -101,7 +107,7 @@
     }
 
     private static ReadCandidate primary(String id, Proximity proximity) {
-        return candidate(id, true, true, proximity, FLOOR, 0, 0);
+        return candidate(id, true, true, proximity, MIN_POSITION, 0, 0);
     }
 
     private static ReadCandidate candidate(
--- a/proxy/src/main/java/org/hornbeamspread/proxy/GroupState.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/GroupState.java
@@ -12,7 +12,7 @@
 import org.hornbeamspread.core.acknowledgement.HolderReport;
 import org.hornbeamspread.core.acknowledgement.QuorumTracker;
 import org.hornbeamspread.core.misc.LogPosition;
-import org.hornbeamspread.core.routing.ReplicaAge;
+import org.hornbeamspread.core.routing.ReplicaStaleness;
 import org.hornbeamspread.core.routing.ReplicationLag;
 import org.hornbeamspread.protocol.schema.DatabaseEntry;
 import org.hornbeamspread.protocol.schema.DatabaseRole;
@@ -25,7 +25,7 @@
     private static final int MAX_AGE_SAMPLES = 128;
 
     private final QuorumTracker quorum = new QuorumTracker();
-    private final ReplicaAge age = new ReplicaAge(MAX_AGE_SAMPLES);
+    private final ReplicaStaleness age = new ReplicaStaleness(MAX_AGE_SAMPLES);
     private final Map<String, LogPosition> applied = new HashMap<>();
     private final Map<String, ReplicationLag> lags = new HashMap<>();
     private final List<AppliedWait> waits = new ArrayList<>();
@@ -54,10 +54,10 @@
                 synced));
         applied.put(report.getDatabaseId(), appliedNow);
         if (report.getRole() == DatabaseRole.PRIMARY) {
-            lags.values().forEach(lag -> lag.primaryAt(synced, now));
+            lags.values().forEach(lag -> lag.recordPrimaryPosition(synced, now));
         } else {
             lags.computeIfAbsent(report.getDatabaseId(), id -> new ReplicationLag())
-                    .replicaAt(appliedNow, now);
+                    .recordReplicaPosition(appliedNow, now);
         }
         endWaits(report.getDatabaseId(), appliedNow);
     }
@@ -86,7 +86,7 @@
         return quorum;
     }
 
-    ReplicaAge age() {
+    ReplicaStaleness age() {
         return age;
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
@@ -120,7 +120,7 @@
             GroupState state = databases.group(request.group());
             CompletableFuture<Void> applied = state.awaitApplied(wait.databaseId(), position);
             CompletableFuture<Void> result = new CompletableFuture<>();
-            Dispatcher.Timer timer = dispatcher.schedule(wait.atMost(), () -> {
+            Dispatcher.Timer timer = dispatcher.schedule(wait.maxWait(), () -> {
                 state.forgetApplied(applied);
                 result.complete(null);
             });
@@ -169,7 +169,7 @@
             Instant now = dispatcher.clock().instant();
             Optional<Duration> age = isPrimary
                     ? Optional.of(Duration.between(askedPrimaryAt.get(), now))
-                    : databases.group(group.getGroup()).age().bound(state, now);
+                    : databases.group(group.getGroup()).age().upperBound(state, now);
             if (!isPrimary && (age.isEmpty() || age.get().compareTo(request.allowance()) > 0)) {
                 failedDatabases.add(databaseId);
                 throw new FailureException(FailureType.NO_REPLICA_IN_TIME, databaseId + " may be too old");
@@ -201,8 +201,8 @@
                         isUsable(database),
                         Proximity.of(failureDomain, region, database.getFailureDomain(), database.getRegion()),
                         applied,
-                        state.age().bound(applied, now),
-                        state.lag(database.getDatabaseId()).typical(now),
+                        state.age().upperBound(applied, now),
+                        state.lag(database.getDatabaseId()).typicalLag(now),
                         held.waitingStatements(database.getDatabaseId())));
             }
             return candidates;
--- a/proxy/src/main/java/org/hornbeamspread/proxy/RetryLoop.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/RetryLoop.java
@@ -85,7 +85,7 @@
             }
             Instant now = dispatcher.clock().instant();
             Duration remaining = Duration.between(now, request.order().deadline());
-            Optional<Duration> pause = POLICY.nextAttempt(failure.type(), request.kind(), attempts, remaining);
+            Optional<Duration> pause = POLICY.nextBackoff(failure.type(), request.kind(), attempts, remaining);
             if (pause.isEmpty() || (failure.type().effect() == Effect.NOT_RUN && cutOff.getAsBoolean())) {
                 fail(failure);
                 return;
@@ -100,7 +100,7 @@
         }
 
         private Optional<FailureException> charge(FailureException failure) {
-            return RetryPolicy.isCharged(failure.type())
+            return RetryPolicy.consumesRetryBudget(failure.type())
                     ? budget.spendRetry(
                             request.order().callerId(), request.order().rank())
                     : Optional.empty();
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/LinkConnections.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/LinkConnections.java
@@ -101,12 +101,12 @@
 
     /** This proxy itself stood still. */
     void onOwnPause() {
-        reachability.onOwnPause(clock.millis());
+        reachability.onLocalPause(clock.millis());
     }
 
     /** Whether the instance has just become silent for so long that it counts as lost. */
     boolean isSilenceOver() {
-        return reachability.isSilenceOver(clock.millis());
+        return reachability.isSilenceTimeoutExceeded(clock.millis());
     }
 
     /** Nothing idle is trusted any more. */
@@ -125,7 +125,7 @@
         if (closed || connections >= limit) {
             return;
         }
-        boolean lost = reachability.isAttemptDue(nowMs);
+        boolean lost = reachability.isProbeDue(nowMs);
         boolean full =
                 reachability.isReachable() && (workWaits || room.effectiveLimit() == 0) && room.isProbeDue(nowMs);
         if (lost || full) {
@@ -134,10 +134,10 @@
     }
 
     private void ask() {
-        reachability.onAttempt();
+        reachability.onProbeStarted();
         room.onProbeStarted();
         open((opened, error) -> {
-            reachability.onAttemptEnded();
+            reachability.onProbeEnded();
             room.onProbeEnded();
             if (error == null) {
                 keep(opened);
@@ -151,7 +151,7 @@
         connections++;
         opening++;
         long beganMs = clock.millis();
-        reachability.onAsked(beganMs);
+        reachability.onRequestSent(beganMs);
         connector.connect(instance, CONNECT_TIMEOUT).whenComplete((opened, error) -> {
             opening--;
             if (error != null) {
@@ -160,7 +160,7 @@
                 end.accept(null, error);
                 return;
             }
-            reachability.onAnswered(clock.millis());
+            reachability.onResponse(clock.millis());
             onReached();
             outOfReach = false;
             room.onOpened(held(), clock.millis());
@@ -217,11 +217,11 @@
 
     private void onRefused(long beganMs, FailureException failure) {
         if (failure.type() != FailureType.CONNECTION_LIMIT) {
-            reachability.onGivenUp();
+            reachability.onRequestAbandoned();
             onFailed(beganMs, failure);
             return;
         }
-        reachability.onAnswered(clock.millis());
+        reachability.onResponse(clock.millis());
         onReached();
         outOfReach = false;
         if (room.onRefused(held(), beganMs, clock.millis())) {
@@ -238,7 +238,7 @@
     private void onFailed(long beganMs, FailureException failure) {
         outOfReach = true;
         if (reachability.onFailed(beganMs, clock.millis())) {
-            record("database_lost", reachability.pauseMs(), failure);
+            record("database_lost", reachability.backoffMs(), failure);
         }
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/Placement.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/Placement.java
@@ -13,8 +13,8 @@
 import org.hornbeamspread.core.misc.ClockGuard;
 import org.hornbeamspread.core.misc.EventLog;
 import org.hornbeamspread.core.misc.LogPosition;
-import org.hornbeamspread.core.placement.InstanceChoice;
-import org.hornbeamspread.core.placement.InstanceChoice.Candidate;
+import org.hornbeamspread.core.placement.InstanceSelector;
+import org.hornbeamspread.core.placement.InstanceSelector.Candidate;
 import org.hornbeamspread.core.placement.PositionSamples.Sample;
 import org.hornbeamspread.core.route.DatabaseInstance;
 import org.hornbeamspread.core.route.RouteKind;
@@ -270,7 +270,7 @@
         long allowanceMs = Math.max(0, unit.route.maxStalenessMs() - AGE_MARGIN_MS);
         Optional<Sample> sample = state.samples.oldestWithin(unit.arrivedMs, allowanceMs);
         Optional<Sample> latest = state.samples.latest();
-        boolean ageing = latest.isEmpty() || clock.millis() - latest.get().askedAtMs() > RENEW_PART * allowanceMs;
+        boolean ageing = latest.isEmpty() || clock.millis() - latest.get().requestedAtMs() > RENEW_PART * allowanceMs;
         if (ageing) {
             probe.ask(service);
             state.positionsWanted |= state.unreachableSinceMs() > 0;
@@ -294,7 +294,7 @@
         if (candidates.isEmpty() && unit.queueRefusal != null) {
             unit.refuse(unit.queueRefusal);
         }
-        return InstanceChoice.best(candidates).map(best -> links.get(best.instanceId()));
+        return InstanceSelector.select(candidates).map(best -> links.get(best.instanceId()));
     }
 
     private Candidate candidate(InstanceLink link) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/PooledConnection.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/PooledConnection.java
@@ -85,12 +85,12 @@
     List<CompletableFuture<SqlResult>> send(List<SqlRequest> requests) {
         List<CompletableFuture<SqlResult>> results = connection.send(requests);
         for (CompletableFuture<SqlResult> result : results) {
-            reachability.onAsked(clock.millis());
+            reachability.onRequestSent(clock.millis());
             result.whenComplete((answer, error) -> {
                 if (error == null) {
-                    reachability.onAnswered(clock.millis());
+                    reachability.onResponse(clock.millis());
                 } else {
-                    reachability.onGivenUp();
+                    reachability.onRequestAbandoned();
                 }
             });
         }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ServiceState.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ServiceState.java
@@ -32,7 +32,7 @@
     void checkEpoch(long present) {
         if (present != epoch) {
             epoch = present;
-            samples.forget();
+            samples.clear();
         }
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemWatch.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemWatch.java
@@ -16,7 +16,7 @@
 import org.hornbeamspread.core.misc.EventLog;
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
-import org.hornbeamspread.core.placement.SharerCount;
+import org.hornbeamspread.core.placement.ProxyCountEstimate;
 import org.hornbeamspread.core.route.DatabaseInstance;
 import org.hornbeamspread.core.route.RouteConfiguration;
 import org.hornbeamspread.protocol.schema.Endpoint;
@@ -73,7 +73,7 @@
     private int nextPeer;
     private long pauseMs = FIRST_PAUSE_MS;
     private boolean inTouch;
-    private final SharerCount sharers = new SharerCount(ASSUMED_PROXIES);
+    private final ProxyCountEstimate sharers = new ProxyCountEstimate(ASSUMED_PROXIES);
     private long askedMs;
     private long askedEpoch;
 
--- a/proxy/src/test/java/org/hornbeamspread/proxy/HotPathBenchmark.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/HotPathBenchmark.java
@@ -15,7 +15,7 @@
 import org.hornbeamspread.core.routing.Proximity;
 import org.hornbeamspread.core.routing.ReadCandidate;
 import org.hornbeamspread.core.routing.ReadRouter;
-import org.hornbeamspread.core.routing.ReplicaAge;
+import org.hornbeamspread.core.routing.ReplicaStaleness;
 import org.hornbeamspread.core.session.SessionToken;
 import org.hornbeamspread.protocol.schema.DatabaseEntry;
 import org.hornbeamspread.protocol.schema.Endpoint;
@@ -65,16 +65,16 @@
     private static void routing(int groups) {
         ReadRouter router = new ReadRouter(Duration.ofMillis(20), Duration.ofMillis(16));
         Instant now = Instant.EPOCH.plusSeconds(100);
-        List<ReplicaAge> ages = new ArrayList<>();
+        List<ReplicaStaleness> ages = new ArrayList<>();
         for (int i = 0; i < groups; i++) {
-            ReplicaAge age = new ReplicaAge(128);
+            ReplicaStaleness age = new ReplicaStaleness(128);
             for (int sample = 0; sample < 128; sample++) {
                 age.addSample(now.minusMillis(12_800 - 100L * sample), new LogPosition(1, sample));
             }
             ages.add(age);
         }
         report("read: ages, candidates, decision", groups, i -> {
-            ReplicaAge age = ages.get(i % groups);
+            ReplicaStaleness age = ages.get(i % groups);
             sink = router.decide(
                     List.of(
                             candidate("a", true, new LogPosition(1, 127), age, now),
@@ -87,14 +87,14 @@
     }
 
     private static ReadCandidate candidate(
-            String id, boolean primary, LogPosition applied, ReplicaAge age, Instant now) {
+            String id, boolean primary, LogPosition applied, ReplicaStaleness age, Instant now) {
         return new ReadCandidate(
                 id,
                 primary,
                 true,
                 Proximity.SAME_REGION,
                 applied,
-                age.bound(applied, now),
+                age.upperBound(applied, now),
                 java.util.Optional.of(Duration.ofMillis(2)),
                 0);
     }
