--- a/core/src/main/java/org/hornbeamspread/core/admission/AdaptiveConcurrencyLimit.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/AdaptiveConcurrencyLimit.java
@@ -1,19 +1,24 @@
 package org.hornbeamspread.core.admission;
 
 /**
- * How many statements one proxy keeps in flight at one database.
+ * Limits the statements that one proxy keeps in flight at one database, by additive increase and multiplicative
+ * decrease.
  *
- * <p>The load that it answers: a burst over the database's capacity, sent by many proxies that don't know of each other. What
- * is sent beyond the slots waits in the database's own queue, in order of arrival: urgent work then waits behind everything
- * that was sent before it, and past the queue's end the database refuses. A fixed part of the slots for each proxy keeps that
- * queue short, but leaves slots idle while clients are spread unevenly. So each proxy starts with its part, takes more while it
- * uses all it has without a refusal, and gives up a part of it with each refusal. Confined to one thread.
+ * <p>Guards against a burst beyond the database's capacity, sent by many proxies that do not coordinate. Statements
+ * beyond the database's slots wait in the database's own queue in order of arrival, so urgent statements wait behind
+ * everything sent earlier, and a full queue makes the database refuse statements. A fixed share of the slots for each
+ * proxy keeps that queue short, but leaves slots idle while clients are spread unevenly. Each proxy therefore starts
+ * with its fair share, raises the limit while it uses all of it without a refusal, and reduces it by a factor on each
+ * refusal. Confined to one thread.
  */
 public final class AdaptiveConcurrencyLimit {
-    /** Statements wanted in flight for each slot: one runs, the others are on their way or wait shortly. */
+    /** Statements in flight per slot: one runs, the others are in transit or wait briefly. */
     private static final double IN_FLIGHT_PER_SLOT = 3;
 
-    /** How far above its part a proxy may go, so that a few busy proxies can use what idle ones leave. */
+    /**
+     * Upper bound of the limit, as a multiple of the fair share: a few busy proxies can use the capacity that idle ones
+     * leave.
+     */
     private static final double MAX_FAIR_SHARES = 3;
 
     private static final double DECREASE_FACTOR = 0.7;
@@ -22,19 +27,19 @@
     private double limit;
     private int inFlight;
 
-    /** A limit for one of a number of proxies before a database. */
+    /** Creates the limit of one of {@code proxies} proxies, at a database with {@code slots} slots. */
     public AdaptiveConcurrencyLimit(int slots, int proxies) {
         resize(slots, proxies);
         this.limit = fairShare;
     }
 
-    /** Takes another number of slots or proxies over. */
+    /** Sets the number of slots and of proxies. */
     public void resize(int slots, int proxies) {
         fairShare = Math.max(1, IN_FLIGHT_PER_SLOT * slots / Math.max(1, proxies));
         limit = Math.max(1, Math.min(limit, MAX_FAIR_SHARES * fairShare));
     }
 
-    /** Takes a place if there is one. */
+    /** Adds a statement in flight; false when the limit is reached. */
     public boolean tryAcquire() {
         if (inFlight >= (int) limit) {
             return false;
@@ -43,7 +48,7 @@
         return true;
     }
 
-    /** Gives a place back; {@code refused} when the database had no capacity for the statement. */
+    /** Removes a statement in flight; {@code refused} when the database had no capacity for the statement. */
     public void release(boolean refused) {
         boolean saturated = inFlight >= (int) limit;
         inFlight--;
--- a/core/src/main/java/org/hornbeamspread/core/admission/AdaptiveConnectionLimit.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/AdaptiveConnectionLimit.java
@@ -1,20 +1,23 @@
 package org.hornbeamspread.core.admission;
 
 /**
- * How many connections a proxy may hold at a database that refuses more for being full.
+ * Limits the connections that one proxy holds to a database that refuses further ones, because its connection limit is
+ * reached.
  *
- * <p>The load that it answers: proxies lose power together and return at once. The database drops the connections of a machine that
- * is gone only seconds later, and has room for few until then. A proxy that takes its refusal for an outage leaves the
- * connections that it did get idle; one that asks again for each statement has every statement wait for a refusal.
+ * <p>Guards against the shortage of connections after several proxies lose power together and restart at once. The
+ * database drops the connections of a failed machine only seconds later, and accepts few new ones until then. A proxy
+ * that treated a refusal as an outage would leave the connections that it did open idle. A proxy that tried to open a
+ * connection for each statement would make every statement wait for a refusal.
  *
- * <p>So a refusal limits the proxy to what it holds. While work waits it asks for one more now and then, on nobody's behalf, and
- * for the next at once when it got one. Confined to one thread.
+ * <p>A refusal therefore lowers the effective limit to the number of open connections. While requests wait, the proxy
+ * probes for one more connection from time to time, independently of any request, and probes again at once after a
+ * success. Confined to one thread.
  */
 public final class AdaptiveConnectionLimit {
-    /** A few round trips between regions. */
+    /** Backoff after the first refusal: a few round trips between regions. */
     private static final long INITIAL_BACKOFF_MS = 50;
 
-    /** Small against the seconds after which a database drops the connections of a machine that is gone. */
+    /** Longest backoff: short against the seconds after which a database drops the connections of a failed machine. */
     private static final long MAX_BACKOFF_MS = 200;
 
     private int configuredLimit;
@@ -24,27 +27,33 @@
     private long refusedAtMs = Long.MIN_VALUE;
     private boolean probing;
 
-    /** Room for as many as the limit until the database refuses one. */
+    /** Allows {@code limit} connections until the database refuses one. */
     public AdaptiveConnectionLimit(int limit) {
         this.configuredLimit = limit;
         this.effectiveLimit = limit;
     }
 
-    /** Connections that may be held. */
+    /** The number of connections that this proxy may hold. */
     public int effectiveLimit() {
         return effectiveLimit;
     }
 
-    /** Takes another limit over. */
+    /** Changes the configured limit. */
     public void resize(int newLimit) {
         effectiveLimit = effectiveLimit == configuredLimit ? newLimit : Math.min(effectiveLimit, newLimit);
         configuredLimit = newLimit;
     }
 
-    /** The database refused a connection that was asked for at a time, while so many were held; false when that was known. */
-    public boolean onRefused(int held, long beganMs, long nowMs) {
-        effectiveLimit = Math.min(held, configuredLimit);
-        if (beganMs < refusedAtMs) {
+    /**
+     * Records that the database refused a connection.
+     *
+     * @param openConnections connections that are open
+     * @param startedAtMs when the refused attempt started
+     * @return false when the attempt started before the last recorded refusal, which already covers this one
+     */
+    public boolean onRefused(int openConnections, long startedAtMs, long nowMs) {
+        effectiveLimit = Math.min(openConnections, configuredLimit);
+        if (startedAtMs < refusedAtMs) {
             return false;
         }
         refusedAtMs = nowMs;
@@ -53,29 +62,29 @@
         return true;
     }
 
-    /** A connection was opened, and so many are held now. */
-    public void onOpened(int held, long nowMs) {
-        effectiveLimit = Math.min(configuredLimit, Math.max(effectiveLimit, held));
+    /** Records that a connection was opened, and that {@code openConnections} are open now. */
+    public void onOpened(int openConnections, long nowMs) {
+        effectiveLimit = Math.min(configuredLimit, Math.max(effectiveLimit, openConnections));
         backoffMs = 0;
         nextProbeAtMs = nowMs;
     }
 
-    /** Whether to ask for one more. */
+    /** Whether a probe for one more connection is due. */
     public boolean isProbeDue(long nowMs) {
         return effectiveLimit < configuredLimit && !probing && nowMs >= nextProbeAtMs;
     }
 
-    /** It is asked for. */
+    /** A probe has started. */
     public void onProbeStarted() {
         probing = true;
     }
 
-    /** That question has ended. */
+    /** The probe has ended. */
     public void onProbeEnded() {
         probing = false;
     }
 
-    /** The pause before the next question. */
+    /** The backoff before the next probe. */
     public long backoffMs() {
         return backoffMs;
     }
--- a/core/src/main/java/org/hornbeamspread/core/admission/FifoScheduler.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/FifoScheduler.java
@@ -6,14 +6,14 @@
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** One bounded queue in order of arrival, whatever the rank: the baseline that the others are compared with. */
+/** One bounded FIFO queue for all ranks: a baseline for comparison with the other schedulers. */
 public final class FifoScheduler implements SlotScheduler {
     private final int slots;
     private final int queueLimit;
     private final WaitingQueue waiting = new WaitingQueue();
     private int slotsInUse;
 
-    /** A scheduler of a number of slots whose queue holds at most {@code queueLimit} requests. */
+    /** Creates a scheduler whose queue holds at most {@code queueLimit} requests. */
     public FifoScheduler(int slots, int queueLimit) {
         this.slots = slots;
         this.queueLimit = queueLimit;
--- a/core/src/main/java/org/hornbeamspread/core/admission/RankScheduler.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/RankScheduler.java
@@ -13,33 +13,34 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * Gives the slots of one database to ranks by worth, and keeps a guaranteed share for each rank.
+ * Assigns the slots of one database to ranks by worth, with a guaranteed share for each rank.
  *
- * <p>The problem: urgent work must go first, yet a flood of any rank, the most urgent too, must not starve the others.
- * One queue in order of arrival lets a flood of the least worthy rank delay urgent work. Strict priority lets a flood
- * of the worthiest rank starve everything else. Weighted fair queueing keeps shares, but makes urgent work wait its
- * turn even while it uses less than its share.
+ * <p>Urgent requests must go first, yet an overload of any rank, including the most urgent one, must not starve the
+ * others. One FIFO queue lets an overload of the least urgent rank delay urgent requests. Strict priority lets an
+ * overload of the rank of highest worth starve all others. Weighted fair queueing keeps the shares, but makes urgent
+ * requests wait their turn even while their rank uses less than its share.
  *
- * <p>Here each rank earns credit, in slot time, at the rate of its share, up to a short window's worth. A free slot
- * goes to the worthiest waiting rank that has credit, and the slot time is taken from that credit. When no waiting
- * rank has credit, the slot goes to the worthiest waiting rank for nothing. So:
+ * <p>Here each rank accrues credit, in slot time, at the rate of its share, up to the credit of a short window. A free
+ * slot goes to the waiting rank of highest worth that has credit, and the slot time is deducted from that credit. When
+ * no waiting rank has credit, the slot goes to the waiting rank of highest worth without a charge. So:
  *
  * <ul>
- *   <li>a rank within its share waits for worthier ranks only while those are within theirs;
- *   <li>whatever the shares leave goes by worth, and no slot stays free while a request waits;
- *   <li>an idle rank saves no more than the window's worth, so that its return is no flood of its own.
+ *   <li>a rank within its share waits for ranks of higher worth only while those are within their shares;
+ *   <li>slot time that the shares leave is assigned by worth, and no slot stays free while a request waits;
+ *   <li>an idle rank saves no more credit than one window's, so that its return does not starve the others in turn.
  * </ul>
  *
- * <p>A request is refused on arrival when it can't start in time. The estimate divides the rank's waiting work by the
- * slots' time that the rank can get: at least its share, and otherwise what the others leave, where a worthier rank
- * leaves what it did not use of late, and a less worthy one takes no more than its share. The refusal advises a retry
- * once enough of the queue has drained. Since each rank has its own queue and estimate, a flood's refusals fall on its
- * own rank. Where the estimate was too hopeful, the request never starts, and {@link #expired} reports it.
+ * <p>A request is refused on arrival when its estimated wait ends after its latest start. The estimate divides the
+ * rank's queued work by the slot time that the rank can get: at least its share, and otherwise what the other ranks
+ * leave. A rank of higher worth leaves what it has not used recently; a rank of lower worth takes no more than its
+ * share. The refusal carries a retry-after time, after which enough of the queue has drained. Since each rank has its
+ * own queue and estimate, the refusals of an overload fall on the overloaded rank. Where the estimate was too short,
+ * the request never starts, and {@link #removeExpired} returns it.
  */
 public final class RankScheduler implements SlotScheduler {
     private static final double USAGE_WINDOW_NS = Duration.ofMillis(500).toNanos();
     private static final double CREDIT_WINDOW_NS = Duration.ofMillis(100).toNanos();
-    /** Makes the estimated wait longer, for the spread of service times. */
+    /** Factor on the estimated wait that allows for the variance of service times. */
     private static final double WAIT_MARGIN = 1.1;
 
     private static final Duration INITIAL_SERVICE_TIME = Duration.ofMillis(5);
@@ -48,22 +49,24 @@
 
     private int slots;
 
-    /** In order of worth, the highest first. */
+    /** By name, in descending order of worth. */
     private final Map<String, RankState> ranks = new LinkedHashMap<>();
 
     private final Map<Long, RunningRequest> running = new HashMap<>();
 
-    /** Taken out because they were late, and not reported yet. */
+    /** Requests removed because their latest start has passed, not yet returned by {@link #removeExpired}. */
     private final List<SlotRequest> unreportedExpired = new ArrayList<>();
 
     private Instant lastAdvance;
 
-    /** A scheduler of a number of slots. Fails with INVALID_CONFIGURATION when the shares exceed the whole. */
+    /** Fails with INVALID_CONFIGURATION when there is no slot, or when the shares exceed 100 percent in total. */
     public RankScheduler(int slots, List<RankSettings> settings, Instant now) {
         int shares = settings.stream().mapToInt(RankSettings::sharePercent).sum();
         if (slots < 1 || shares > FULL_PERCENT) {
             throw new FailureException(
-                    FailureType.INVALID_CONFIGURATION, slots + " slots, shares of " + shares + " percent");
+                    FailureType.INVALID_CONFIGURATION,
+                    slots + " slots (1 or more required), guaranteed shares of " + shares
+                            + " percent in total (100 or less required)");
         }
         this.slots = slots;
         this.lastAdvance = now;
@@ -72,10 +75,10 @@
                 .forEach(rank -> ranks.put(rank.rank(), new RankState(rank, slots, INITIAL_SERVICE_TIME.toNanos())));
     }
 
-    /** Takes another number of slots over; what runs keeps its slot, also above the new number. */
+    /** Changes the number of slots. Running requests keep their slots, also above the new number. */
     public void resize(int newSlots) {
         if (newSlots < 1) {
-            throw new FailureException(FailureType.INVALID_CONFIGURATION, newSlots + " slots");
+            throw new FailureException(FailureType.INVALID_CONFIGURATION, newSlots + " slots (1 or more required)");
         }
         slots = newSlots;
         ranks.values().forEach(rank -> rank.resize(newSlots));
@@ -93,10 +96,12 @@
             return Optional.of(
                     new FailureException(FailureType.QUEUE_FULL, request.rank(), atLeastMinRetryAfter(wait)));
         }
-        Duration patience = Duration.between(request.arrivedAt(), request.startBy());
-        if (wait.compareTo(patience) > 0) {
+        Duration timeToLatestStart = Duration.between(request.arrivedAt(), request.startBy());
+        if (wait.compareTo(timeToLatestStart) > 0) {
             return Optional.of(new FailureException(
-                    FailureType.DEADLINE_BEFORE_START, request.rank(), atLeastMinRetryAfter(wait.minus(patience))));
+                    FailureType.DEADLINE_BEFORE_START,
+                    request.rank(),
+                    atLeastMinRetryAfter(wait.minus(timeToLatestStart))));
         }
         rank.queue().add(request);
         return Optional.empty();
@@ -109,14 +114,14 @@
         }
         advance(now);
         collectExpired(now);
-        Optional<RankState> owed =
+        Optional<RankState> withCredit =
                 ranks.values().stream().filter(RankState::canSpendCredit).findFirst();
-        Optional<RankState> chosen = owed.isPresent()
-                ? owed
+        Optional<RankState> selected = withCredit.isPresent()
+                ? withCredit
                 : ranks.values().stream()
                         .filter(rank -> !rank.queue().isEmpty())
                         .findFirst();
-        return chosen.flatMap(rank -> start(rank, owed.isPresent(), now));
+        return selected.flatMap(rank -> start(rank, withCredit.isPresent(), now));
     }
 
     @Override
@@ -133,7 +138,10 @@
         ended.rank().recordService(serviceNs, USAGE_WINDOW_NS);
     }
 
-    /** A request that was handed out has ended without being served, and its slot is free: its time says nothing of the database. */
+    /**
+     * Frees the slot of a request that ended without service. The credit is refunded, and the time in the slot counts
+     * neither as usage nor as service time, since it is no measure of the database.
+     */
     public void abandon(SlotRequest request, Instant now) {
         RunningRequest ended = running.remove(request.requestId());
         if (ended != null) {
@@ -145,9 +153,9 @@
     @Override
     public List<SlotRequest> removeExpired(Instant now) {
         collectExpired(now);
-        List<SlotRequest> reported = List.copyOf(unreportedExpired);
+        List<SlotRequest> expired = List.copyOf(unreportedExpired);
         unreportedExpired.clear();
-        return reported;
+        return expired;
     }
 
     @Override
@@ -195,19 +203,20 @@
         return Duration.ofNanos(Math.round(WAIT_MARGIN * workNs / (slots * attainableFraction(rank))));
     }
 
-    /** The part of the slots' time that a rank can get. */
+    /** The fraction of all slot time that a rank can get. */
     private double attainableFraction(RankState rank) {
-        double claimed = 0;
+        double claimedFraction = 0;
         for (RankState other : ranks.values()) {
             if (other != rank) {
-                boolean worthier = other.settings().worth() > rank.settings().worth();
-                claimed += worthier
+                boolean hasHigherWorth =
+                        other.settings().worth() > rank.settings().worth();
+                claimedFraction += hasHigherWorth
                         ? other.usage()
                         : Math.min(other.usage(), other.settings().share());
             }
         }
-        double least = Math.max(rank.settings().share(), 1.0 / FULL_PERCENT);
-        return Math.max(least, 1 - claimed);
+        double guaranteedFraction = Math.max(rank.settings().share(), 1.0 / FULL_PERCENT);
+        return Math.max(guaranteedFraction, 1 - claimedFraction);
     }
 
     private static Duration atLeastMinRetryAfter(Duration wait) {
@@ -217,10 +226,10 @@
     /**
      * A request that holds a slot.
      *
-     * @param rank its rank
-     * @param startedAt when it took the slot
-     * @param charged whether it started on its rank's credit
-     * @param chargedNs the slot time that was taken from the credit when it started
+     * @param rank the rank of the request
+     * @param startedAt when the request took the slot
+     * @param charged whether the request started on its rank's credit
+     * @param chargedNs the slot time deducted from the credit at the start
      */
     private record RunningRequest(RankState rank, Instant startedAt, boolean charged, double chargedNs) {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/admission/RankState.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/RankState.java
@@ -1,26 +1,26 @@
 package org.hornbeamspread.core.admission;
 
-/** The queue of one rank, the credit of its guaranteed share, and what it used of late. */
+/** The queue of one rank, the credit from its guaranteed share, and its recent usage of slot time. */
 final class RankState {
-    /** Weight of the newest service time in the mean. */
+    /** Weight of the newest service time in the moving average. */
     private static final double SERVICE_TIME_WEIGHT = 0.05;
 
     private final RankSettings settings;
     private int slots;
     private final WaitingQueue queue = new WaitingQueue();
 
-    /** Slot time that the rank may take ahead of worthier ones; below 0 when it took more. */
+    /** Slot time that the rank may take ahead of ranks of higher worth; negative after it took more. */
     private double creditNs;
 
-    /** Part of all slots' time that the rank used, averaged over the recent past. */
+    /** Fraction of all slot time that the rank used recently, as an exponentially decaying average. */
     private double usage;
 
     private double meanServiceNs;
 
-    RankState(RankSettings settings, int slots, double firstServiceNs) {
+    RankState(RankSettings settings, int slots, double initialServiceNs) {
         this.settings = settings;
         this.slots = slots;
-        this.meanServiceNs = firstServiceNs;
+        this.meanServiceNs = initialServiceNs;
     }
 
     void resize(int newSlots) {
@@ -43,26 +43,29 @@
         return meanServiceNs;
     }
 
-    /** Whether the rank waits and has credit of its share left. */
+    /** Whether a request of the rank waits and credit is left. */
     boolean canSpendCredit() {
         return !queue.isEmpty() && creditNs > 0;
     }
 
-    /** Time passes: credit grows up to what the share earns in {@code windowNs}; past use fades over that window. */
-    void advance(double elapsedNs, double windowNs, double creditWindowNs) {
+    /**
+     * Advances time: credit grows up to what the share earns in {@code creditWindowNs}, and past usage decays over
+     * {@code usageWindowNs}.
+     */
+    void advance(double elapsedNs, double usageWindowNs, double creditWindowNs) {
         double earnedNs = settings.share() * slots * elapsedNs;
         creditNs = Math.min(settings.share() * slots * creditWindowNs, creditNs + earnedNs);
-        usage *= Math.exp(-elapsedNs / windowNs);
+        usage *= Math.exp(-elapsedNs / usageWindowNs);
     }
 
-    /** Takes slot time out of the credit. */
+    /** Deducts slot time from the credit. */
     void charge(double slotNs) {
         creditNs -= slotNs;
     }
 
-    /** A request of the rank held a slot. */
-    void recordService(double serviceNs, double windowNs) {
-        usage += serviceNs / (slots * windowNs);
+    /** Records the service time of a completed request. */
+    void recordService(double serviceNs, double usageWindowNs) {
+        usage += serviceNs / (slots * usageWindowNs);
         meanServiceNs += SERVICE_TIME_WEIGHT * (serviceNs - meanServiceNs);
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/admission/RetryBudget.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/RetryBudget.java
@@ -10,11 +10,12 @@
 
 /**
  * Limits retries to a tenth of the requests, for each caller and rank and for each rank as a whole, so that retries
- * can't amplify an overload. Each first attempt earns a tenth of a retry, up to a small reserve. A caller starts with
- * one retry; the rank's own budget bounds what many new callers can spend together. For one thread.
+ * can't amplify an overload. Each first attempt adds a tenth of a retry to the budget, up to a small maximum. A caller
+ * starts with one retry; the budget of the rank bounds the retries of many new callers together. Confined to one
+ * thread.
  */
 public final class RetryBudget {
-    /** Retries that one first attempt earns. */
+    /** Retries that one first attempt adds to the budget. */
     public static final double RETRIES_PER_REQUEST = 0.1;
 
     private static final double INITIAL_CALLER_RETRIES = 1;
@@ -27,7 +28,7 @@
 
     private final Map<String, Double> balanceByRank = new HashMap<>();
 
-    /** The least recently used caller is forgotten when there are too many. */
+    /** The least recently used entry is evicted beyond {@link #MAX_CALLERS} entries. */
     private final Map<CallerAndRank, Double> balanceByCaller =
             new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true) {
                 private static final long serialVersionUID = 1L;
@@ -38,24 +39,24 @@
                 }
             };
 
-    /** A first attempt was made. */
+    /** Records a first attempt. */
     public void recordRequest(String callerId, String rank) {
         CallerAndRank key = new CallerAndRank(callerId, rank);
         balanceByCaller.put(key, Math.min(MAX_CALLER_RETRIES, callerBalance(key) + RETRIES_PER_REQUEST));
         balanceByRank.put(rank, Math.min(MAX_RANK_RETRIES, rankBalance(rank) + RETRIES_PER_REQUEST));
     }
 
-    /** Spends one retry; RETRY_BUDGET_SPENT when the caller or the rank has none left, and then nothing is spent. */
+    /** Spends one retry; returns RETRY_BUDGET_SPENT, and spends nothing, when the caller or the rank has none left. */
     public Optional<FailureException> spendRetry(String callerId, String rank) {
         CallerAndRank key = new CallerAndRank(callerId, rank);
-        double ofCaller = callerBalance(key);
-        double ofRank = rankBalance(rank);
-        if (ofCaller < 1 || ofRank < 1) {
+        double callerBalance = callerBalance(key);
+        double rankBalance = rankBalance(rank);
+        if (callerBalance < 1 || rankBalance < 1) {
             return Optional.of(
                     new FailureException(FailureType.RETRY_BUDGET_SPENT, callerId + " " + rank, RETRY_AFTER));
         }
-        balanceByCaller.put(key, ofCaller - 1);
-        balanceByRank.put(rank, ofRank - 1);
+        balanceByCaller.put(key, callerBalance - 1);
+        balanceByRank.put(rank, rankBalance - 1);
         return Optional.empty();
     }
 
@@ -68,7 +69,7 @@
     }
 
     /**
-     * Whose budget it is.
+     * Key of a caller's budget.
      *
      * @param callerId the caller
      * @param rank the rank of work
--- a/core/src/main/java/org/hornbeamspread/core/admission/SlotRequest.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/SlotRequest.java
@@ -8,15 +8,15 @@
  * One request for a slot of a database.
  *
  * @param requestId unique among the requests of one scheduler
- * @param rank the rank of work it belongs to
- * @param arrivedAt when it arrived at this scheduler
- * @param startBy the latest time at which starting it still makes sense
+ * @param rank the rank of the request
+ * @param arrivedAt when the request arrived at the scheduler
+ * @param startBy latest time at which the request may start
  */
 public record SlotRequest(long requestId, String rank, Instant arrivedAt, Instant startBy) {
-    /** Checks that the rank is named. Fails with UNKNOWN_RANK. */
+    /** Fails with UNKNOWN_RANK when the rank is empty. */
     public SlotRequest {
         if (rank.isEmpty()) {
-            throw new FailureException(FailureType.UNKNOWN_RANK, "empty");
+            throw new FailureException(FailureType.UNKNOWN_RANK, "the rank of the request is empty");
         }
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/admission/SlotScheduler.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/SlotScheduler.java
@@ -7,31 +7,31 @@
 
 /**
  * Decides which request takes a database's next free slot. The owner calls {@link #offer} for each request, {@link
- * #poll} until it is empty after each offer and each completion, {@link #complete} when a statement has ended, and
- * {@link #removeExpired} now and then. Times never go back. For one thread.
+ * #poll} until the result is empty after each offer and each completion, {@link #complete} when a statement has ended,
+ * and {@link #removeExpired} periodically. The times passed in never decrease. Confined to one thread.
  */
 public interface SlotScheduler {
     /**
-     * Queues a request; empty when it is queued. A refusal is QUEUE_FULL, DEADLINE_BEFORE_START or UNKNOWN_RANK: the
-     * request will not be handed out, and did not run.
+     * Queues a request; empty when the request is queued. A refusal is QUEUE_FULL, DEADLINE_BEFORE_START or
+     * UNKNOWN_RANK: the request did not run, and {@link #poll} will not return it.
      */
     Optional<FailureException> offer(SlotRequest request);
 
     /** The next request to start, which takes a slot; empty when no slot is free or nothing waits. */
     Optional<SlotRequest> poll(Instant now);
 
-    /** A request that was handed out has ended, and its slot is free. */
+    /** Frees the slot of a request that {@link #poll} returned and that has ended. */
     void complete(SlotRequest request, Instant now);
 
-    /** Takes out the requests that wait and can't start in time any more; each is refused with DEADLINE_BEFORE_START. */
+    /** Removes the waiting requests whose latest start has passed; each is refused with DEADLINE_BEFORE_START. */
     List<SlotRequest> removeExpired(Instant now);
 
-    /** Takes out a waiting request, as when its caller has gone. False when it does not wait here. */
+    /** Removes a waiting request, for example after its caller disconnected; false when the request is not waiting. */
     boolean cancel(SlotRequest request);
 
-    /** Requests that wait. */
+    /** The number of waiting requests. */
     int waitingRequests();
 
-    /** Slots that are taken. */
+    /** The number of slots in use. */
     int slotsInUse();
 }
--- a/core/src/main/java/org/hornbeamspread/core/admission/StrictPriorityScheduler.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/StrictPriorityScheduler.java
@@ -10,17 +10,17 @@
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** A bounded queue for each rank, the worthiest rank first, without shares: a baseline for comparison. */
+/** A bounded queue for each rank, served in strict priority by worth, without shares: a baseline for comparison. */
 public final class StrictPriorityScheduler implements SlotScheduler {
     private final int slots;
     private final Map<String, RankSettings> settings = new LinkedHashMap<>();
 
-    /** In order of worth, the highest first. */
+    /** By rank, in descending order of worth. */
     private final Map<String, WaitingQueue> queues = new LinkedHashMap<>();
 
     private int slotsInUse;
 
-    /** A scheduler of a number of slots. */
+    /** Creates a scheduler for {@code slots} slots. */
     public StrictPriorityScheduler(int slots, List<RankSettings> ranks) {
         this.slots = slots;
         ranks.stream()
@@ -65,9 +65,9 @@
 
     @Override
     public List<SlotRequest> removeExpired(Instant now) {
-        List<SlotRequest> late = new ArrayList<>();
-        queues.values().forEach(queue -> late.addAll(queue.removeExpired(now)));
-        return late;
+        List<SlotRequest> expired = new ArrayList<>();
+        queues.values().forEach(queue -> expired.addAll(queue.removeExpired(now)));
+        return expired;
     }
 
     @Override
--- a/core/src/main/java/org/hornbeamspread/core/admission/WaitingQueue.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/WaitingQueue.java
@@ -9,11 +9,11 @@
 import java.util.Optional;
 import java.util.PriorityQueue;
 
-/** Requests that wait, in order of arrival, with an index by the latest start. */
+/** Waiting requests in order of arrival, with an index by latest start. */
 final class WaitingQueue {
     private final Map<Long, SlotRequest> byArrival = new LinkedHashMap<>();
 
-    /** May hold requests that wait no more; they are skipped. */
+    /** May still contain requests that were removed; {@link #dropRemovedRequests} drops them from its head. */
     private final PriorityQueue<SlotRequest> byStartBy =
             new PriorityQueue<>(Comparator.comparing(SlotRequest::startBy).thenComparingLong(SlotRequest::requestId));
 
@@ -30,31 +30,31 @@
         byStartBy.add(request);
     }
 
-    /** Takes the oldest request out. */
+    /** Removes the oldest request. */
     Optional<SlotRequest> poll() {
         Optional<SlotRequest> oldest = byArrival.values().stream().findFirst();
         oldest.ifPresent(this::remove);
         return oldest;
     }
 
-    /** Takes a request out; false when it does not wait. */
+    /** Removes a request; false when the request is not waiting. */
     boolean remove(SlotRequest request) {
-        boolean waited = byArrival.remove(request.requestId()) != null;
+        boolean wasWaiting = byArrival.remove(request.requestId()) != null;
         dropRemovedRequests();
-        return waited;
+        return wasWaiting;
     }
 
-    /** Takes out every request whose latest start has passed. */
+    /** Removes every request whose latest start has passed. */
     List<SlotRequest> removeExpired(Instant now) {
-        List<SlotRequest> late = new ArrayList<>();
+        List<SlotRequest> expired = new ArrayList<>();
         dropRemovedRequests();
         while (!byStartBy.isEmpty() && byStartBy.peek().startBy().isBefore(now)) {
             SlotRequest request = byStartBy.remove();
             byArrival.remove(request.requestId());
-            late.add(request);
+            expired.add(request);
             dropRemovedRequests();
         }
-        return late;
+        return expired;
     }
 
     private void dropRemovedRequests() {
--- a/core/src/test/java/org/hornbeamspread/core/admission/AdaptiveConcurrencyLimitTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/admission/AdaptiveConcurrencyLimitTest.java
@@ -42,28 +42,28 @@
         assertThat(limit.limit()).isEqualTo(3);
     }
 
-    /** All clients are at one of six proxies: it uses more than its part, since the others leave theirs. */
+    /** All clients use one of six proxies, whose limit rises above its fair share, since the others leave theirs. */
     @Test
     void busyProxyUsesCapacityLeftByIdleProxies() {
         AdaptiveConcurrencyLimit limit = new AdaptiveConcurrencyLimit(2, 6);
         for (int round = 0; round < 20; round++) {
-            List<Boolean> taken = new ArrayList<>();
+            List<Boolean> acquired = new ArrayList<>();
             while (limit.tryAcquire()) {
-                taken.add(true);
+                acquired.add(true);
             }
-            taken.forEach(place -> limit.release(false));
+            acquired.forEach(statement -> limit.release(false));
         }
         assertThat(limit.limit()).isEqualTo(3);
     }
 
-    /** A burst at all of six proxies: what is in flight stays within the database's slots and its queue of sixteen. */
+    /** A burst at all of six proxies: the statements in flight fit the database's slots and its queue of sixteen. */
     @Test
     void burstAtAllProxiesFitsTheDatabaseQueue() {
         List<AdaptiveConcurrencyLimit> proxies = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             proxies.add(new AdaptiveConcurrencyLimit(2, 6));
         }
-        int most = 0;
+        int maxInFlight = 0;
         for (int round = 0; round < 50; round++) {
             int inFlight = 0;
             for (AdaptiveConcurrencyLimit proxy : proxies) {
@@ -71,13 +71,13 @@
                     inFlight++;
                 }
             }
-            most = Math.max(most, inFlight);
+            maxInFlight = Math.max(maxInFlight, inFlight);
             for (AdaptiveConcurrencyLimit proxy : proxies) {
                 while (proxy.inFlight() > 0) {
                     proxy.release(false);
                 }
             }
         }
-        assertThat(most).isAtMost(18);
+        assertThat(maxInFlight).isAtMost(18);
     }
 }
--- a/core/src/test/java/org/hornbeamspread/core/admission/AdaptiveConnectionLimitTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/admission/AdaptiveConnectionLimitTest.java
@@ -34,10 +34,10 @@
         connectionLimit.onProbeStarted();
         assertThat(connectionLimit.isProbeDue(60)).isFalse();
         connectionLimit.onProbeEnded();
-        for (int held = 1; held <= 4; held++) {
-            assertThat(connectionLimit.isProbeDue(60 + held)).isTrue();
-            connectionLimit.onOpened(held, 60 + held);
-            assertThat(connectionLimit.effectiveLimit()).isEqualTo(held);
+        for (int openConnections = 1; openConnections <= 4; openConnections++) {
+            assertThat(connectionLimit.isProbeDue(60 + openConnections)).isTrue();
+            connectionLimit.onOpened(openConnections, 60 + openConnections);
+            assertThat(connectionLimit.effectiveLimit()).isEqualTo(openConnections);
         }
         assertThat(connectionLimit.isProbeDue(1_000)).isFalse();
     }
--- a/core/src/test/java/org/hornbeamspread/core/admission/OverloadSimulation.java
+++ b/core/src/test/java/org/hornbeamspread/core/admission/OverloadSimulation.java
@@ -16,14 +16,14 @@
 /**
  * A discrete-event simulation of one database: seeded Poisson arrivals for each rank, exponential service times, a
  * paused clock. The same seed gives the same arrivals and service times to every scheduler. Goodput counts the
- * requests that end in the measured time and within their rank's target. The same load starts some time before it, so
- * that queues have settled.
+ * requests that end within the measured time and within their rank's target. The same load starts a warm-up time
+ * earlier, so that the queues have settled when the measured time begins.
  */
 final class OverloadSimulation {
     private static final double MEAN_SERVICE_MS = 5;
     private static final double NS_PER_MS = 1_000_000;
 
-    /** Left between the latest start and the target, for the statement itself. */
+    /** Time between the latest start and the target, reserved for the execution of the statement. */
     private static final Duration SERVICE_ALLOWANCE = Duration.ofMillis(25);
 
     private static final Duration WARM_UP = Duration.ofSeconds(10);
@@ -39,19 +39,19 @@
     private long nextEventId;
     private long measuredMs;
 
-    /** Makes a scheduler for a number of slots. */
+    /** Creates a scheduler for {@code slots} slots. */
     interface SchedulerFactory {
         SlotScheduler create(int slots, List<RankSettings> ranks, Instant now);
     }
 
-    /** A rank, its target, and its load as a part of the slots' capacity. */
+    /** The load of one rank: its target latency, and its utilization as a fraction of the slots' capacity. */
     record OfferedLoad(RankSettings settings, Duration target, double utilization) {
         OfferedLoad times(double factor) {
             return new OfferedLoad(settings, target, utilization * factor);
         }
     }
 
-    /** What became of one rank's requests. */
+    /** Outcomes of one rank's requests. */
     static final class Counts {
         int offered;
         int withinTarget;
@@ -74,8 +74,8 @@
         OverloadSimulation simulation = new OverloadSimulation(slots, factory, loads);
         simulation.measuredMs = time.toMillis();
         SplittableRandom seeds = new SplittableRandom(seed);
-        Duration all = WARM_UP.plus(time);
-        loads.forEach(load -> simulation.addArrivals(load, all, seeds.split()));
+        Duration total = WARM_UP.plus(time);
+        loads.forEach(load -> simulation.addArrivals(load, total, seeds.split()));
         simulation.drain();
         return simulation;
     }
@@ -84,7 +84,7 @@
         return counts.get(rank);
     }
 
-    /** Slot time that a rank's goodput took, as a part of all slots' time. */
+    /** Slot time of the rank's requests that ended within their target, as a fraction of all slot time. */
     double goodput(String rank) {
         return counts.get(rank).withinTargetServiceMs / ((double) slots * measuredMs);
     }
@@ -124,9 +124,9 @@
         Optional<FailureException> refusal = scheduler.offer(arrival.request());
         if (refusal.isPresent()) {
             rank.refusedOnArrival++;
-            boolean typed = refusal.get().type() == FailureType.QUEUE_FULL
+            boolean expectedType = refusal.get().type() == FailureType.QUEUE_FULL
                     || refusal.get().type() == FailureType.DEADLINE_BEFORE_START;
-            rank.unexpectedRefusals += typed ? 0 : 1;
+            rank.unexpectedRefusals += expectedType ? 0 : 1;
         } else {
             waiting.put(arrival.request().requestId(), arrival);
         }
@@ -135,8 +135,8 @@
 
     private void startWaiting() {
         Instant now = clock.instant();
-        List<SlotRequest> late = new ArrayList<>(scheduler.removeExpired(now));
-        late.forEach(request -> {
+        List<SlotRequest> expired = new ArrayList<>(scheduler.removeExpired(now));
+        expired.forEach(request -> {
             waiting.remove(request.requestId());
             currentCounts(request).refusedAfterWaiting++;
         });
@@ -161,7 +161,7 @@
         startWaiting();
     }
 
-    /** The counts of a request's rank, or counts that nobody reads outside the measured time. */
+    /** The counts of a request's rank within the measured time, otherwise counts that are discarded. */
     private Counts currentCounts(SlotRequest request) {
         Duration age = Duration.between(startTime.plus(WARM_UP), clock.instant());
         boolean measured = !age.isNegative() && age.toMillis() < measuredMs;
--- a/core/src/test/java/org/hornbeamspread/core/admission/RankSchedulerOverloadTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/admission/RankSchedulerOverloadTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Floods of ten times the calm load, in virtual time: what each rank keeps. */
+/**
+ * Runs ten times the normal load of some ranks in virtual time, and guards against an overload that takes the
+ * guaranteed shares of other ranks.
+ */
 final class RankSchedulerOverloadTest {
     private static final Duration MEASURED_TIME = Duration.ofSeconds(20);
     private static final int QUEUE_LIMIT = 10_000;
@@ -33,7 +36,7 @@
     private static final SchedulerFactory STRICT = (slots, ranks, now) -> new StrictPriorityScheduler(slots, ranks);
     private static final SchedulerFactory FIFO = (slots, ranks, now) -> new FifoScheduler(slots, QUEUE_LIMIT);
 
-    /** Slots of Entoto and of Ujaas, seeds, and calm loads below and above the shares of the lower ranks. */
+    /** Slots of Entoto and of Ujaas, seeds, and normal loads below and above the shares of the lower ranks. */
     static Stream<Arguments> cases() {
         return Stream.of(
                 Arguments.of(5, 1L, List.of(0.2, 0.2, 0.15)),
@@ -44,137 +47,140 @@
 
     @ParameterizedTest
     @MethodSource("cases")
-    void overloadOfTheLowestRankLeavesUrgentGoodputUnchanged(int slots, long seed, List<Double> calm) {
-        OverloadSimulation before = run(slots, BY_RANK, calm, seed);
-        OverloadSimulation flood = run(slots, BY_RANK, overloaded(calm, 2), seed);
-        assertThat(flood.counts("urgent").withinTarget)
-                .isAtLeast((int) Math.ceil(0.99 * before.counts("urgent").withinTarget));
-        assertThat(flood.goodput("stock")).isAtLeast(0.99 * guaranteedGoodput(before, "stock"));
-        assertRefusalsOnlyIn(flood, List.of("ledger"));
-        assertThat(flood.totalGoodput()).isAtLeast(0.9);
+    void overloadOfTheLowestRankLeavesUrgentGoodputUnchanged(int slots, long seed, List<Double> normalLoads) {
+        OverloadSimulation normal = run(slots, BY_RANK, normalLoads, seed);
+        OverloadSimulation overload = run(slots, BY_RANK, overloaded(normalLoads, 2), seed);
+        assertThat(overload.counts("urgent").withinTarget)
+                .isAtLeast((int) Math.ceil(0.99 * normal.counts("urgent").withinTarget));
+        assertThat(overload.goodput("stock")).isAtLeast(0.99 * guaranteedGoodput(normal, "stock"));
+        assertRefusalsOnlyIn(overload, List.of("ledger"));
+        assertThat(overload.totalGoodput()).isAtLeast(0.9);
     }
 
     @ParameterizedTest
     @MethodSource("cases")
-    void overloadOfTheHighestRankLeavesOtherRanksTheirShares(int slots, long seed, List<Double> calm) {
-        OverloadSimulation before = run(slots, BY_RANK, calm, seed);
-        OverloadSimulation flood = run(slots, BY_RANK, overloaded(calm, 0), seed);
+    void overloadOfTheHighestRankLeavesOtherRanksTheirShares(int slots, long seed, List<Double> normalLoads) {
+        OverloadSimulation normal = run(slots, BY_RANK, normalLoads, seed);
+        OverloadSimulation overload = run(slots, BY_RANK, overloaded(normalLoads, 0), seed);
         for (String rank : RANKS) {
-            assertWithMessage(rank).that(flood.goodput(rank)).isAtLeast(0.99 * guaranteedGoodput(before, rank));
+            assertWithMessage(rank).that(overload.goodput(rank)).isAtLeast(0.99 * guaranteedGoodput(normal, rank));
         }
-        assertThat(flood.totalGoodput()).isAtLeast(0.9);
+        assertThat(overload.totalGoodput()).isAtLeast(0.9);
     }
 
     @ParameterizedTest
     @MethodSource("cases")
-    void overloadOfTwoRanksLeavesEveryRankItsShare(int slots, long seed, List<Double> calm) {
-        OverloadSimulation before = run(slots, BY_RANK, calm, seed);
-        OverloadSimulation flood = run(slots, BY_RANK, overloaded(calm, 0, 2), seed);
+    void overloadOfTwoRanksLeavesEveryRankItsShare(int slots, long seed, List<Double> normalLoads) {
+        OverloadSimulation normal = run(slots, BY_RANK, normalLoads, seed);
+        OverloadSimulation overload = run(slots, BY_RANK, overloaded(normalLoads, 0, 2), seed);
         for (String rank : RANKS) {
-            assertWithMessage(rank).that(flood.goodput(rank)).isAtLeast(0.99 * guaranteedGoodput(before, rank));
+            assertWithMessage(rank).that(overload.goodput(rank)).isAtLeast(0.99 * guaranteedGoodput(normal, rank));
         }
-        assertThat(flood.totalGoodput()).isAtLeast(0.9);
+        assertThat(overload.totalGoodput()).isAtLeast(0.9);
     }
 
     @ParameterizedTest
     @MethodSource("cases")
-    void mostRefusalsHappenOnArrival(int slots, long seed, List<Double> calm) {
-        OverloadSimulation flood = run(slots, BY_RANK, overloaded(calm, 0, 2), seed);
-        int atOnce = RANKS.stream()
-                .mapToInt(rank -> flood.counts(rank).refusedOnArrival)
+    void mostRefusalsHappenOnArrival(int slots, long seed, List<Double> normalLoads) {
+        OverloadSimulation overload = run(slots, BY_RANK, overloaded(normalLoads, 0, 2), seed);
+        int onArrival = RANKS.stream()
+                .mapToInt(rank -> overload.counts(rank).refusedOnArrival)
                 .sum();
-        int waiting = RANKS.stream()
-                .mapToInt(rank -> flood.counts(rank).refusedAfterWaiting)
+        int afterWaiting = RANKS.stream()
+                .mapToInt(rank -> overload.counts(rank).refusedAfterWaiting)
                 .sum();
-        assertThat(atOnce).isAtLeast(9 * waiting);
+        assertThat(onArrival).isAtLeast(9 * afterWaiting);
     }
 
-    /** The bounds above tell the schedulers apart: each baseline breaks one. */
+    /** Shows that the bounds above distinguish the schedulers: each baseline scheduler violates one of them. */
     @Test
     void baselineSchedulersViolateTheBounds() {
-        List<Double> calm = List.of(0.2, 0.2, 0.15);
-        assertThat(run(5, FIFO, overloaded(calm, 2), 1).goodput("urgent"))
-                .isLessThan(0.5 * run(5, FIFO, calm, 1).goodput("urgent"));
-        assertThat(run(5, STRICT, overloaded(calm, 0), 1).goodput("ledger")).isLessThan(0.01);
-        assertThat(run(5, STRICT, overloaded(calm, 0), 1).goodput("stock")).isLessThan(0.01);
+        List<Double> normalLoads = List.of(0.2, 0.2, 0.15);
+        assertThat(run(5, FIFO, overloaded(normalLoads, 2), 1).goodput("urgent"))
+                .isLessThan(0.5 * run(5, FIFO, normalLoads, 1).goodput("urgent"));
+        assertThat(run(5, STRICT, overloaded(normalLoads, 0), 1).goodput("ledger"))
+                .isLessThan(0.01);
+        assertThat(run(5, STRICT, overloaded(normalLoads, 0), 1).goodput("stock"))
+                .isLessThan(0.01);
     }
 
     /** Prints the comparison as a Markdown table. */
     public static void main(String[] arguments) {
         List<SchedulerFactory> factories = List.of(FIFO, STRICT, BY_RANK);
         List<String> names = List.of("FifoScheduler", "StrictPriorityScheduler", "RankScheduler");
-        List<List<Integer>> floods = List.of(List.of(), List.of(2), List.of(0), List.of(0, 2));
-        List<String> floodNames = List.of("calm", "ledger x10", "urgent x10", "both x10");
-        for (Arguments one : cases().toList()) {
-            int slots = (Integer) one.get()[0];
-            long seed = (Long) one.get()[1];
+        List<List<Integer>> overloads = List.of(List.of(), List.of(2), List.of(0), List.of(0, 2));
+        List<String> overloadNames = List.of("normal", "ledger x10", "urgent x10", "both x10");
+        for (Arguments testCase : cases().toList()) {
+            int slots = (Integer) testCase.get()[0];
+            long seed = (Long) testCase.get()[1];
             @SuppressWarnings("unchecked")
-            List<Double> calm = (List<Double>) one.get()[2];
-            System.out.println("\n" + slots + " slots, seed " + seed + ", calm loads " + calm + "\n");
+            List<Double> normalLoads = (List<Double>) testCase.get()[2];
+            System.out.println("\n" + slots + " slots, seed " + seed + ", normal loads " + normalLoads + "\n");
             System.out.println(
-                    "| flood | scheduler | urgent | stock | ledger | total | refused at once | refused late |");
+                    "| overload | scheduler | urgent | stock | ledger | total | refused on arrival | refused after waiting |");
             System.out.println("|---|---|---|---|---|---|---|---|");
-            for (int flood = 0; flood < floods.size(); flood++) {
-                int[] which =
-                        floods.get(flood).stream().mapToInt(Integer::intValue).toArray();
+            for (int overload = 0; overload < overloads.size(); overload++) {
+                int[] overloadedRanks = overloads.get(overload).stream()
+                        .mapToInt(Integer::intValue)
+                        .toArray();
                 for (int i = 0; i < factories.size(); i++) {
                     print(
-                            floodNames.get(flood),
+                            overloadNames.get(overload),
                             names.get(i),
-                            run(slots, factories.get(i), overloaded(calm, which), seed));
+                            run(slots, factories.get(i), overloaded(normalLoads, overloadedRanks), seed));
                 }
             }
         }
     }
 
-    private static void print(String flood, String scheduler, OverloadSimulation result) {
-        Counts all = new Counts();
+    private static void print(String overload, String scheduler, OverloadSimulation result) {
+        Counts total = new Counts();
         for (String rank : RANKS) {
-            all.refusedOnArrival += result.counts(rank).refusedOnArrival;
-            all.refusedAfterWaiting += result.counts(rank).refusedAfterWaiting;
+            total.refusedOnArrival += result.counts(rank).refusedOnArrival;
+            total.refusedAfterWaiting += result.counts(rank).refusedAfterWaiting;
         }
         System.out.println(String.format(
                 Locale.ROOT,
                 "| %s | %s | %.3f | %.3f | %.3f | %.3f | %d | %d |",
-                flood,
+                overload,
                 scheduler,
                 result.goodput("urgent"),
                 result.goodput("stock"),
                 result.goodput("ledger"),
                 result.totalGoodput(),
-                all.refusedOnArrival,
-                all.refusedAfterWaiting));
+                total.refusedOnArrival,
+                total.refusedAfterWaiting));
     }
 
-    private static double guaranteedGoodput(OverloadSimulation calm, String rank) {
+    private static double guaranteedGoodput(OverloadSimulation normal, String rank) {
         double share = SETTINGS.get(RANKS.indexOf(rank)).share();
-        return Math.min(share, calm.goodput(rank));
+        return Math.min(share, normal.goodput(rank));
     }
 
-    private static void assertRefusalsOnlyIn(OverloadSimulation flood, List<String> flooding) {
+    private static void assertRefusalsOnlyIn(OverloadSimulation overload, List<String> overloadedRanks) {
         for (String rank : RANKS) {
-            Counts counts = flood.counts(rank);
+            Counts counts = overload.counts(rank);
             assertWithMessage(rank).that(counts.unexpectedRefusals).isEqualTo(0);
-            if (!flooding.contains(rank)) {
+            if (!overloadedRanks.contains(rank)) {
                 int refused = counts.refusedOnArrival + counts.refusedAfterWaiting;
                 assertWithMessage(rank).that(refused).isAtMost(counts.offered / 100);
             }
         }
     }
 
-    private static List<Double> overloaded(List<Double> calm, int... ranks) {
-        List<Double> loads = new ArrayList<>(calm);
+    private static List<Double> overloaded(List<Double> normalLoads, int... ranks) {
+        List<Double> loads = new ArrayList<>(normalLoads);
         for (int rank : ranks) {
-            loads.set(rank, calm.get(rank) * OVERLOAD_FACTOR);
+            loads.set(rank, normalLoads.get(rank) * OVERLOAD_FACTOR);
         }
         return loads;
     }
 
     private static OverloadSimulation run(int slots, SchedulerFactory factory, List<Double> loads, long seed) {
-        List<OfferedLoad> all = new ArrayList<>();
+        List<OfferedLoad> offeredLoads = new ArrayList<>();
         for (int i = 0; i < loads.size(); i++) {
-            all.add(new OfferedLoad(SETTINGS.get(i), TARGETS.get(i), loads.get(i)));
+            offeredLoads.add(new OfferedLoad(SETTINGS.get(i), TARGETS.get(i), loads.get(i)));
         }
-        return OverloadSimulation.run(slots, factory, all, MEASURED_TIME, seed);
+        return OverloadSimulation.run(slots, factory, offeredLoads, MEASURED_TIME, seed);
     }
 }
--- a/core/src/test/java/org/hornbeamspread/core/admission/RankSchedulerTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/admission/RankSchedulerTest.java
@@ -59,7 +59,7 @@
                 .isEqualTo(FailureType.DEADLINE_BEFORE_START);
     }
 
-    /** Attempts to connect to an instance that is dark end without service; the queue is not longer for it afterwards. */
+    /** Connection attempts to an unresponsive instance end without service, which must not raise the estimated wait. */
     @Test
     void abandonedRequestsDoNotRaiseTheEstimatedWait() {
         for (int i = 0; i < 20; i++) {
@@ -83,21 +83,21 @@
         assertThat(scheduler.offer(request("ledger", 1000)).orElseThrow().type())
                 .isEqualTo(FailureType.QUEUE_FULL);
         assertThat(scheduler.offer(request("urgent", 1000))).isEmpty();
-        assertThat(scheduler.offer(request("nobody", 1000)).orElseThrow().type())
+        assertThat(scheduler.offer(request("unknown", 1000)).orElseThrow().type())
                 .isEqualTo(FailureType.UNKNOWN_RANK);
     }
 
     @Test
     void expiredAndCancelledRequestsAreNotStarted() {
-        SlotRequest late = enqueue("urgent", 10);
+        SlotRequest expired = enqueue("urgent", 10);
         SlotRequest cancelled = enqueue("urgent", 1000);
-        SlotRequest kept = enqueue("ledger", 1000);
+        SlotRequest remaining = enqueue("ledger", 1000);
         assertThat(scheduler.cancel(cancelled)).isTrue();
         assertThat(scheduler.cancel(cancelled)).isFalse();
         assertThat(scheduler.removeExpired(clock.instant())).isEmpty();
         clock.advance(Duration.ofMillis(11));
-        assertThat(scheduler.poll(clock.instant())).hasValue(kept);
-        assertThat(scheduler.removeExpired(clock.instant())).containsExactly(late);
+        assertThat(scheduler.poll(clock.instant())).hasValue(remaining);
+        assertThat(scheduler.removeExpired(clock.instant())).containsExactly(expired);
         assertThat(scheduler.removeExpired(clock.instant())).isEmpty();
         assertThat(scheduler.waitingRequests()).isEqualTo(0);
     }
@@ -112,15 +112,15 @@
         assertThat(refused.type()).isEqualTo(FailureType.INVALID_CONFIGURATION);
     }
 
-    private SlotRequest enqueue(String rank, long patienceMs) {
-        SlotRequest request = request(rank, patienceMs);
+    private SlotRequest enqueue(String rank, long startWithinMs) {
+        SlotRequest request = request(rank, startWithinMs);
         assertThat(scheduler.offer(request)).isEmpty();
         return request;
     }
 
-    private SlotRequest request(String rank, long patienceMs) {
+    private SlotRequest request(String rank, long startWithinMs) {
         Instant now = clock.instant();
-        return new SlotRequest(nextId++, rank, now, now.plusMillis(patienceMs));
+        return new SlotRequest(nextId++, rank, now, now.plusMillis(startWithinMs));
     }
 
     /** Runs the next request for 5 ms. */
--- a/core/src/test/java/org/hornbeamspread/core/admission/RetryBudgetTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/admission/RetryBudgetTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 final class RetryBudgetTest {
-    /** Every request is retried as often as allowed, twice at most. */
+    /** Every request is retried as often as the budget allows, at most twice. */
     @ParameterizedTest
     @CsvSource({"1, 1000, 101", "1000, 1000, 120", "10000, 10000, 1020", "100, 10000, 1020"})
     void retriesAreAtMostATenthOfRequests(int callers, int requests, int allowedRetries) {
