--- a/core/src/main/java/org/hornbeamspread/core/routing/ReplicationLag.java
+++ b/core/src/main/java/org/hornbeamspread/core/routing/ReplicationLag.java
@@ -16,19 +16,19 @@
     private static final int MAX_PENDING_POSITIONS = 64;
     private static final double NEW_SAMPLE_WEIGHT = 0.2;
 
-    private final Deque<PrimaryPosition> pendingPositions = new ArrayDeque<>();
+    private final Deque<PendingPosition> pendingPositions = new ArrayDeque<>();
 
     /** Exponentially smoothed lag; negative until the first sample. */
     private double smoothedNs = -1;
 
     /** Records a position that the primary reported. */
     public void recordPrimaryPosition(LogPosition position, Instant now) {
-        PrimaryPosition last = pendingPositions.peekLast();
+        PendingPosition last = pendingPositions.peekLast();
         if (last != null && last.position.covers(position)) {
             return;
         }
         if (pendingPositions.size() < MAX_PENDING_POSITIONS) {
-            pendingPositions.addLast(new PrimaryPosition(position, now));
+            pendingPositions.addLast(new PendingPosition(position, now));
         }
     }
 
@@ -55,5 +55,5 @@
         return Optional.of(Duration.ofNanos(Math.max(waitedNs, (long) smoothedNs)));
     }
 
-    private record PrimaryPosition(LogPosition position, Instant reportedAt) {}
+    private record PendingPosition(LogPosition position, Instant reportedAt) {}
 }
