--- a/core/src/main/java/org/hornbeamspread/core/routing/ReadRouter.java
+++ b/core/src/main/java/org/hornbeamspread/core/routing/ReadRouter.java
@@ -15,10 +15,9 @@
  * are balanced by the statements that wait there. The primary serves when no replica is eligible, or when the only
  * eligible replica is in another region and the primary is not.
  *
- * <p>A session that reads right after a write finds all replicas slightly behind. When a near replica usually catches up
- * within the maximum wait, and sooner than a round trip to a primary in another region takes, the read waits for
- * that replica, which leaves the primary's slots to writes. A read waits at most once; after the wait the primary
- * serves it.
+ * <p>A session that reads right after a write finds all replicas slightly behind. When a near replica usually catches
+ * up within the maximum wait, and sooner than a round trip to a primary in another region takes, the read waits for that
+ * replica, which leaves the primary's slots to writes. A read waits at most once; after the wait the primary serves it.
  *
  * @param maxCatchUpWait the longest wait for a replica to catch up
  * @param crossRegionRoundTrip the additional latency of a primary in another region over a near replica
