--- a/core/src/test/java/org/hornbeamspread/core/placement/InstanceSelectorTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/placement/InstanceSelectorTest.java
@@ -23,7 +23,7 @@
         return Stream.of(
                 Arguments.of("idle", near(10, 0, 0), far(10, 0), "near"),
                 Arguments.of("a queue at the near instance", near(10, 12, 0), far(10, 0), "far"),
-                Arguments.of("a short queue does not justify another region", near(10, 4, 0), far(10, 0), "near"),
+                Arguments.of("a short queue is no reason to cross regions", near(10, 4, 0), far(10, 0), "near"),
                 Arguments.of("the near instance is slow", near(60, 0, 0), far(10, 0), "far"),
                 Arguments.of("the near instance may be unresponsive", silent(60), far(10, 0), "far"),
                 Arguments.of("the near instance is executing", silent(20), far(10, 0), "near"),
