--- a/core/src/main/java/org/hornbeamspread/core/routing/ReplicationLag.java
+++ b/core/src/main/java/org/hornbeamspread/core/routing/ReplicationLag.java
@@ -8,47 +8,52 @@
 import org.hornbeamspread.core.misc.LogPosition;
 
 /**
- * Estimates how long a write takes from the primary to one replica: the time between the primary's report of a position
- * and the replica's, smoothed. An estimate for choosing, never a proof of age. Not safe for use by several threads.
+ * Estimates the replication lag of one replica: the time between the primary's report of a position and the replica's
+ * report that it has applied that position, smoothed. The estimate serves to select a database and never proves a
+ * staleness. Not thread-safe.
  */
 public final class ReplicationLag {
-    private static final int MAX_WAITING = 64;
-    private static final double NEW_WEIGHT = 0.2;
+    private static final int MAX_PENDING_POSITIONS = 64;
+    private static final double NEW_SAMPLE_WEIGHT = 0.2;
 
-    private final Deque<Seen> primarySeen = new ArrayDeque<>();
+    private final Deque<PendingPosition> pendingPositions = new ArrayDeque<>();
 
-    /** Smoothed, negative until the first measurement. */
+    /** Exponentially smoothed lag; negative until the first sample. */
     private double smoothedNs = -1;
 
-    /** The primary reported a position. */
-    public void primaryAt(LogPosition position, Instant now) {
-        Seen last = primarySeen.peekLast();
+    /** Records a position that the primary reported. */
+    public void recordPrimaryPosition(LogPosition position, Instant now) {
+        PendingPosition last = pendingPositions.peekLast();
         if (last != null && last.position.covers(position)) {
             return;
         }
-        if (primarySeen.size() < MAX_WAITING) {
-            primarySeen.addLast(new Seen(position, now));
+        if (pendingPositions.size() < MAX_PENDING_POSITIONS) {
+            pendingPositions.addLast(new PendingPosition(position, now));
         }
     }
 
-    /** The replica reported what it has applied. */
-    public void replicaAt(LogPosition applied, Instant now) {
-        while (!primarySeen.isEmpty() && applied.covers(primarySeen.peekFirst().position)) {
-            long lagNs = Duration.between(primarySeen.removeFirst().at, now).toNanos();
-            smoothedNs = smoothedNs < 0 ? lagNs : smoothedNs + NEW_WEIGHT * (lagNs - smoothedNs);
+    /** Records the position that the replica reported as applied. */
+    public void recordReplicaPosition(LogPosition applied, Instant now) {
+        while (!pendingPositions.isEmpty() && applied.covers(pendingPositions.peekFirst().position)) {
+            long lagNs = Duration.between(pendingPositions.removeFirst().reportedAt, now)
+                    .toNanos();
+            smoothedNs = smoothedNs < 0 ? lagNs : smoothedNs + NEW_SAMPLE_WEIGHT * (lagNs - smoothedNs);
         }
     }
 
-    /** The usual lag: at least what the oldest write that is still missing has waited; empty when nothing is known. */
-    public Optional<Duration> typical(Instant now) {
-        long waitedNs = primarySeen.isEmpty()
+    /**
+     * The usual lag, at least the time for which the oldest write still missing at the replica has waited; empty when
+     * nothing is known.
+     */
+    public Optional<Duration> typicalLag(Instant now) {
+        long waitedNs = pendingPositions.isEmpty()
                 ? 0
-                : Duration.between(primarySeen.peekFirst().at, now).toNanos();
+                : Duration.between(pendingPositions.peekFirst().reportedAt, now).toNanos();
         if (smoothedNs < 0 && waitedNs == 0) {
             return Optional.empty();
         }
         return Optional.of(Duration.ofNanos(Math.max(waitedNs, (long) smoothedNs)));
     }
 
-    private record Seen(LogPosition position, Instant at) {}
+    private record PendingPosition(LogPosition position, Instant reportedAt) {}
 }
