--- a/core/src/main/java/org/hornbeamspread/core/failover/CommandThrottle.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/CommandThrottle.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Holds an effect back until its last sending is old enough to be taken for lost. Confined to one thread. */
+/** Suppresses repeats of an effect until the previous attempt is old enough to count as lost. Confined to one thread. */
 final class CommandThrottle {
     private final Clock clock;
     private final FailoverTimings timings;
@@ -17,18 +17,18 @@
         this.timings = timings;
     }
 
-    /** The effect when it is due, else nothing. */
+    /** Returns the effect if it is due, and records the attempt; returns empty otherwise. */
     Optional<FailoverEffect> sendIfDue(FailoverEffect effect) {
         Instant now = clock.instant();
-        Instant last = sentAt.get(effect);
-        if (last != null && now.isBefore(last.plusMillis(timings.retryMs()))) {
+        Instant lastSentAt = sentAt.get(effect);
+        if (lastSentAt != null && now.isBefore(lastSentAt.plusMillis(timings.retryMs()))) {
             return Optional.empty();
         }
         sentAt.put(effect, now);
         return Optional.of(effect);
     }
 
-    /** Forgets everything, at a new term. */
+    /** Clears all attempts, at a new term. */
     void clear() {
         sentAt.clear();
     }
--- a/core/src/main/java/org/hornbeamspread/core/failover/FencingState.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FencingState.java
@@ -13,36 +13,36 @@
 import org.hornbeamspread.core.sql.ReplicaStatus;
 
 /**
- * What the members of a group have answered since a token was raised, and which of them holds all that was acknowledged, as far
- * as the answers of the last moment prove it. Confined to one thread.
+ * The statuses that the members of a group have reported since a token was raised, and the candidate that recent statuses prove
+ * to hold every acknowledged commit. Confined to one thread.
  */
 final class FencingState {
-    /** The replacement of a primary that works is given up after this, unless it is demoted already. */
+    /** The replacement of a working primary is abandoned after this long, unless the primary is already demoted. */
     static final long LIVE_REPLACEMENT_TIMEOUT_MS = 1_500;
 
     private final Clock clock;
     private final SyncFailoverTimings timings;
 
-    /** The last answers to status, pause and demote. */
+    /** Each member's last response to a status request, a pause or a demotion. */
     private final Map<String, ReplicaStatus> statuses = new HashMap<>();
 
     private final Map<String, Long> statusReceivedAtMs = new HashMap<>();
 
-    /** The terms of pauses without an answer. */
+    /** The terms of pauses without a response. */
     private final Map<String, Long> pendingPauseTerms = new HashMap<>();
 
-    /** The highest term at which a pause was refused: some instance, perhaps out of reach, is at a later one. */
+    /** The highest term at which a pause was refused: some instance, possibly unreachable, is at a later term. */
     private long highestRefusedTerm;
 
     private Optional<String> demotedId = Optional.empty();
 
-    /** What the demoted primary answered then: the term that it had led, and the end of its log. */
+    /** The demoted primary's response to the demotion: the term that it had led, and the end of its log. */
     private ReplicaStatus demotedStatus = new ReplicaStatus(false, 0, LogPosition.NONE, 0);
 
-    /** Chosen under earlier tokens; their orders may be under way. */
+    /** Candidates chosen under earlier tokens; promotion requests for them may be in flight. */
     private Set<String> earlierCandidates = Set.of();
 
-    /** Members that followed a lost copy at its address: what that one had acknowledged may be missing in their logs. */
+    /** Members at the address of a lost copy; their logs may lack commits that the lost copy had acknowledged. */
     private Set<String> unprovenLogIds = Set.of();
 
     private long startedAtMs;
@@ -52,17 +52,17 @@
         this.timings = timings;
     }
 
-    /** Forgets all answers, under a new token. */
-    void reset(Set<String> chosenEarlier) {
+    /** Clears all statuses, under a new token. */
+    void reset(Set<String> candidates) {
         statuses.clear();
         statusReceivedAtMs.clear();
         pendingPauseTerms.clear();
         demotedId = Optional.empty();
-        earlierCandidates = Set.copyOf(chosenEarlier);
+        earlierCandidates = Set.copyOf(candidates);
         startedAtMs = clock.millis();
     }
 
-    /** Takes over whose logs are proven. */
+    /** Updates which members have unproven logs. */
     void updateMembers(List<MemberView> members) {
         unprovenLogIds = members.stream()
                 .filter(MemberView::logUnproven)
@@ -70,17 +70,17 @@
                 .collect(Collectors.toUnmodifiableSet());
     }
 
-    /** Since the token was raised. */
+    /** Time since the token was raised. */
     long elapsedMs() {
         return clock.millis() - startedAtMs;
     }
 
-    /** The old primary, once it confirmed that it is a replica. */
+    /** The old primary, once it has confirmed that it is a replica. */
     Optional<String> demotedId() {
         return demotedId;
     }
 
-    /** A member answered; false when it refused to pause. */
+    /** Stores a member's status; returns false when the member refused to pause. */
     boolean onStatus(String instanceId, ReplicaStatus status) {
         statuses.put(instanceId, status);
         statusReceivedAtMs.put(instanceId, clock.millis());
@@ -101,16 +101,16 @@
         pendingPauseTerms.put(instanceId, term);
     }
 
-    /** A term above all that are known, for a pause or a demotion. */
+    /** A term above every reported and refused term, for a pause or a demotion. */
     long nextTerm() {
-        long known = statuses.values().stream()
+        long highestReportedTerm = statuses.values().stream()
                 .mapToLong(status -> Math.max(status.term(), status.heldTerm()))
                 .max()
                 .orElse(0);
-        return 1 + Math.max(known, highestRefusedTerm);
+        return 1 + Math.max(highestReportedTerm, highestRefusedTerm);
     }
 
-    /** A member's last answer, unless it is too old to count. */
+    /** A member's last status, unless it is too old to count. */
     Optional<ReplicaStatus> recentStatus(String id) {
         return isStale(id) ? Optional.empty() : Optional.ofNullable(statuses.get(id));
     }
@@ -120,48 +120,50 @@
     }
 
     /**
-     * The instance that certainly holds every acknowledged commit. The latest primary and one replica hold each of them. So
-     * one of any set of members does that lacks a single one, whichever that is; and so does a primary that is demoted. What is
-     * chosen covers all that answered, so that a primary of an earlier term does not stand for the latest.
+     * Returns an instance that certainly holds every acknowledged commit. The latest primary and one replica hold each of them.
+     * Therefore any set of all members but one, whichever is missing, includes an instance that holds all of them, and a demoted
+     * primary holds all of them too. The log of the candidate covers the logs of all members that responded, so that a demoted
+     * primary of an earlier term is not taken for the latest primary.
      *
-     * @param members present members
+     * @param members current members
      * @param copies how many logs may hold an acknowledged commit: those of members, and lost ones
      */
     Optional<String> candidate(List<MemberView> members, long copies) {
-        List<MemberView> answered = members.stream()
+        List<MemberView> replicas = members.stream()
                 .filter(member -> isRespondingReplica(member.instanceId()))
                 .toList();
-        Optional<MemberView> best = answered.stream()
+        Optional<MemberView> mostAdvanced = replicas.stream()
                 .max(Comparator.comparing(this::receivedPosition)
                         .thenComparing(member -> !isDemoted(member.instanceId()))
                         .thenComparing(member -> earlierCandidates.contains(member.instanceId()))
                         .thenComparing(member -> !member.draining()));
-        boolean demotedAnswered = answered.stream().anyMatch(member -> isDemoted(member.instanceId()));
-        long fenced = answered.stream()
+        boolean demotedResponding = replicas.stream().anyMatch(member -> isDemoted(member.instanceId()));
+        long fenced = replicas.stream()
                 .filter(member -> isFenced(member.instanceId()))
                 .count();
-        boolean allButOneFenced = fenced >= copies - 1 && fenced == answered.size();
-        if (best.isEmpty() || !(demotedAnswered || allButOneFenced)) {
+        boolean allButOneFenced = fenced >= copies - 1 && fenced == replicas.size();
+        if (mostAdvanced.isEmpty() || !(demotedResponding || allButOneFenced)) {
             return Optional.empty();
         }
         long waitedMs = elapsedMs();
-        boolean better = isDemoted(best.get().instanceId()) || isPrimaryResponding(members);
-        boolean patient = (better && waitedMs <= LIVE_REPLACEMENT_TIMEOUT_MS)
-                || (differsFromEarlierCandidate(members, best.get()) && waitedMs <= timings.promotionTimeoutMs());
-        return patient ? Optional.empty() : best.map(MemberView::instanceId);
+        boolean betterCandidatePossible = isDemoted(mostAdvanced.get().instanceId()) || isPrimaryResponding(members);
+        boolean keepWaiting = (betterCandidatePossible && waitedMs <= LIVE_REPLACEMENT_TIMEOUT_MS)
+                || (differsFromEarlierCandidate(members, mostAdvanced.get())
+                        && waitedMs <= timings.promotionTimeoutMs());
+        return keepWaiting ? Optional.empty() : mostAdvanced.map(MemberView::instanceId);
     }
 
     /**
-     * Whether another instance was chosen before. Its order may have been accepted and be about to take effect: what it then
-     * acknowledges until this choice leads would be lost.
+     * Whether another instance was chosen earlier. Its promotion may have been accepted and be about to take effect: commits that
+     * it then acknowledges before this candidate leads would be lost.
      */
-    private boolean differsFromEarlierCandidate(List<MemberView> members, MemberView choice) {
+    private boolean differsFromEarlierCandidate(List<MemberView> members, MemberView candidate) {
         return members.stream()
                 .map(MemberView::instanceId)
-                .anyMatch(id -> earlierCandidates.contains(id) && !id.equals(choice.instanceId()));
+                .anyMatch(id -> earlierCandidates.contains(id) && !id.equals(candidate.instanceId()));
     }
 
-    /** Whether a primary answered a moment ago: it can be demoted, so that it acknowledges nothing until its successor leads. */
+    /** Whether a primary responded recently: it can be demoted, so that it acknowledges nothing until its successor leads. */
     private boolean isPrimaryResponding(List<MemberView> members) {
         return members.stream()
                 .map(MemberView::instanceId)
@@ -169,8 +171,9 @@
     }
 
     /**
-     * Whether an instance is the demoted primary, and its log ends where it was demoted: no instance leads or follows a later term,
-     * as after an earlier order that took effect. A log that was lost since, or may have been before, proves nothing.
+     * Whether an instance is the demoted primary, and its log ends where it was demoted: no instance leads or follows a later
+     * term, as would be the case after an earlier promotion request took effect. A log that was lost after the demotion, or may
+     * have been lost before, proves nothing.
      */
     boolean isDemoted(String id) {
         return demotedId.equals(Optional.of(id))
@@ -179,13 +182,13 @@
                 && statuses.values().stream().allMatch(status -> status.term() <= demotedStatus.term());
     }
 
-    /** Whether an instance answered a moment ago that it does not lead. */
+    /** Whether an instance reported recently that it does not lead. */
     boolean isRespondingReplica(String id) {
         ReplicaStatus status = statuses.get(id);
         return status != null && !status.primary() && !isStale(id);
     }
 
-    /** Whether an instance answered a moment ago that it neither leads nor receives. */
+    /** Whether an instance reported recently that it neither leads nor receives. */
     private boolean isFenced(String id) {
         return isRespondingReplica(id)
                 && !hasUnexplainedEmptyLog(id)
@@ -193,8 +196,8 @@
     }
 
     /**
-     * Whether an instance has an empty log while others do not, and no loss is known of: it may have started again a moment ago
-     * and not announced itself yet.
+     * Whether an instance has an empty log while others do not, and no loss of its log is recorded: the instance may have just
+     * restarted and not announced itself yet.
      */
     private boolean hasUnexplainedEmptyLog(String id) {
         return statuses.get(id).received().equals(LogPosition.NONE)
--- a/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
@@ -12,18 +12,19 @@
 import org.hornbeamspread.core.membership.DatabaseStatus;
 
 /**
- * Keeps a group's other members behind its primary, and its registrations true.
+ * Makes a group's other members follow the primary, and keeps the group's registrations up to date.
  *
- * <p>A returned old primary reports a lower term: it is fenced, then follows. A database that lost its disk is first
- * registered as untrusted, and sent nothing before that is committed; else it could restart with the term that it was
- * given meanwhile and pass for one that never lost anything. It follows like the others, and is registered as trusted
- * again once {@link PromotionRules#mayReadmit} holds. Confined to one thread.
+ * <p>An old primary that returns reports a lower term; it is fenced, then follows. A database that lost its disk is first
+ * registered as untrusted, and no command is sent to the database before that registration is committed. Otherwise the
+ * database could restart with a term that it received in the meantime, and be taken for one that never lost its disk. It
+ * follows like the other members, and is registered as trusted again once {@link PromotionRules#mayReadmit} holds. Confined
+ * to one thread.
  */
 final class Followers {
     private final PromotionRules rules;
     private final CommandThrottle commands;
 
-    /** The incarnation of each database that follows at the present term. */
+    /** The incarnation of each database that follows at the current term. */
     private final Map<String, Long> followingIncarnations = new HashMap<>();
 
     Followers(PromotionRules rules, CommandThrottle commands) {
@@ -31,16 +32,16 @@
         this.commands = commands;
     }
 
-    /** The registrations that the log should get next. */
+    /** The registrations to append to the log next. */
     Optional<FailoverEffect> nextRegistrations(GroupInput input) {
         if (input.registrations().size() < input.declaredDatabases()) {
             return input.record().term() == 0 ? registerInitialMembers(input) : Optional.empty();
         }
         List<Registration> changes = new ArrayList<>();
         for (DatabaseStatus status : input.members()) {
-            Registration known = input.registrations().get(status.databaseId());
-            boolean trusted = rules.isTrusted(status, Optional.of(known), input.record());
-            if (!trusted && known.trusted()) {
+            Registration registration = input.registrations().get(status.databaseId());
+            boolean trusted = rules.isTrusted(status, Optional.of(registration), input.record());
+            if (!trusted && registration.trusted()) {
                 changes.add(new Registration(status.databaseId(), status.incarnation(), false));
             } else if (!trusted && mayReadmit(input, status)) {
                 changes.add(new Registration(status.databaseId(), status.incarnation(), true));
@@ -49,14 +50,14 @@
         return changes.isEmpty() ? Optional.empty() : Optional.of(new AppendRegistrations(changes));
     }
 
-    /** Whether the log agrees with the trust in a database, so that commands may be sent to it. */
+    /** Whether a database is trusted, or its loss of trust is committed to the log, so that commands may be sent to it. */
     boolean isTrustCommitted(GroupInput input, DatabaseStatus status) {
-        Optional<Registration> known = input.registration(status.databaseId());
-        return rules.isTrusted(status, known, input.record())
-                || known.filter(Registration::trusted).isEmpty();
+        Optional<Registration> registration = input.registration(status.databaseId());
+        return rules.isTrusted(status, registration, input.record())
+                || registration.filter(Registration::trusted).isEmpty();
     }
 
-    /** What brings the other members behind a primary that is promoted. */
+    /** The commands that make the other members follow a promoted primary. */
     List<FailoverEffect> follow(GroupInput input) {
         long term = input.record().term();
         Optional<DatabaseStatus> primary = input.primary().filter(status -> status.isPrimaryAt(term));
@@ -78,12 +79,12 @@
         return effects;
     }
 
-    /** A database answered that it follows. */
+    /** Handles a database's confirmation that it follows. */
     void onFollowing(String databaseId, long incarnation) {
         followingIncarnations.put(databaseId, incarnation);
     }
 
-    /** Forgets who follows, at a new term. */
+    /** Clears the confirmations, at a new term. */
     void clear() {
         followingIncarnations.clear();
     }
@@ -110,16 +111,19 @@
                 .isPresent();
     }
 
-    /** The members of a group are the first that announce themselves; without control's log their own word counts. */
+    /**
+     * Registers the first databases that announce themselves as the members of the group. With nothing in control's log, trust
+     * follows from what the databases report: each is trusted if all are empty, else if it reports to be trusted at a term.
+     */
     private Optional<FailoverEffect> registerInitialMembers(GroupInput input) {
         if (input.statuses().size() < input.declaredDatabases()) {
             return Optional.empty();
         }
-        List<DatabaseStatus> first = input.statuses().subList(0, input.declaredDatabases());
-        boolean fresh = first.stream().allMatch(DatabaseStatus::isEmpty);
-        return Optional.of(new AppendRegistrations(first.stream()
+        List<DatabaseStatus> initialMembers = input.statuses().subList(0, input.declaredDatabases());
+        boolean allEmpty = initialMembers.stream().allMatch(DatabaseStatus::isEmpty);
+        return Optional.of(new AppendRegistrations(initialMembers.stream()
                 .map(status -> new Registration(
-                        status.databaseId(), status.incarnation(), fresh || (status.trusted() && status.term() > 0)))
+                        status.databaseId(), status.incarnation(), allEmpty || (status.trusted() && status.term() > 0)))
                 .toList()));
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/failover/PrimaryProof.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/PrimaryProof.java
@@ -3,9 +3,9 @@
 import org.hornbeamspread.core.misc.LogPosition;
 
 /**
- * A primary's proof that it leads.
+ * Proof that an instance leads as the primary.
  *
- * @param position the end of its log
- * @param askedAtMs when it was asked, by the leader's clock
+ * @param position the end of the primary's log
+ * @param requestedAtMs when the proof was requested, by the leader's clock
  */
 public record PrimaryProof(LogPosition position, long requestedAtMs) {}
--- a/core/src/main/java/org/hornbeamspread/core/failover/ReplicaCoverage.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/ReplicaCoverage.java
@@ -13,31 +13,32 @@
 import org.hornbeamspread.core.route.LostCopy;
 
 /**
- * Whether a present replica holds all that was acknowledged up to some moment.
+ * Determines up to which time every acknowledged commit is held by the primary and a present replica.
  *
  * <p>An acknowledged commit is held by the primary and at least one replica. When that replica's log is lost, or the replica is
- * out of reach and may be gone, the primary alone holds the commit, and a fencing quorum without the primary proves nothing. It
- * does again once another replica has received the position that the primary had after the loss. Confined to one thread.
+ * unreachable and may be gone, the primary alone holds the commit, and a fencing quorum without the primary proves nothing. The
+ * quorum is a proof again once another replica has received the position that the primary had after the loss. Confined to one
+ * thread.
  */
 final class ReplicaCoverage {
-    /** A database that announced its departure acknowledges until its process ends: it may wait a second for an answer, and ask again. */
+    /** A database that announced its departure acknowledges until its process ends: it may wait 1 s for a response, and retry. */
     private static final long DEPARTURE_GRACE_MS = 2_000;
 
     private final Clock clock;
     private final SyncFailoverTimings timings;
 
-    /** From when each lost copy surely acknowledges nothing. */
+    /** The time from which each lost copy certainly acknowledges nothing. */
     private final Map<LostCopy, Long> lostAtMs = new HashMap<>();
 
-    /** Since when connections to a member are refused without an answer or an announcement from it. */
+    /** The time since which connections to a member are refused, with no response or announcement from the member. */
     private final Map<String, Long> refusedSinceMs = new HashMap<>();
 
     private final Map<String, Long> refusedAtMs = new HashMap<>();
 
-    /** What a replica has yet to receive. */
+    /** The proof whose position a replica has yet to receive. */
     private Optional<PrimaryProof> target = Optional.empty();
 
-    /** All that was acknowledged before is held by the primary and a present replica; long ago before the first check. */
+    /** The primary and a present replica hold all commits acknowledged before this time; far in the past at first. */
     private long coveredUntilMs = Long.MIN_VALUE / 2;
 
     ReplicaCoverage(Clock clock, SyncFailoverTimings timings) {
@@ -45,19 +46,19 @@
         this.timings = timings;
     }
 
-    /** Takes over what is lost at present. */
-    void updateLosses(GroupSnapshot situation) {
-        lostAtMs.keySet().retainAll(situation.lostCopies());
-        for (LostCopy copy : situation.lostCopies()) {
-            long endsInMs = situation.departedCopies().contains(copy) ? DEPARTURE_GRACE_MS : 0;
-            lostAtMs.putIfAbsent(copy, clock.millis() + endsInMs);
+    /** Updates the lost copies, and the members that announce themselves again. */
+    void updateLosses(GroupSnapshot snapshot) {
+        lostAtMs.keySet().retainAll(snapshot.lostCopies());
+        for (LostCopy copy : snapshot.lostCopies()) {
+            long graceMs = snapshot.departedCopies().contains(copy) ? DEPARTURE_GRACE_MS : 0;
+            lostAtMs.putIfAbsent(copy, clock.millis() + graceMs);
         }
-        situation.members().stream()
+        snapshot.members().stream()
                 .filter(member -> !isSilent(member))
                 .forEach(member -> onResponse(member.instanceId()));
     }
 
-    /** A member's address refused a connection: its process has ended. */
+    /** Handles a connection refused at a member's address, which shows that the member's process has ended. */
     void onConnectionRefused(String instanceId) {
         refusedSinceMs.putIfAbsent(instanceId, clock.millis());
         refusedAtMs.put(instanceId, clock.millis());
@@ -68,17 +69,17 @@
         refusedAtMs.remove(instanceId);
     }
 
-    /** Whether there is anything to find out now. */
-    boolean isCheckDue(GroupSnapshot situation) {
-        boolean renewal = clock.millis() - coveredUntilMs >= timings.coverageCheckIntervalMs();
-        return !lostAtMs.isEmpty() || (renewal && situation.members().stream().anyMatch(this::isSilent));
+    /** Whether a check is due: a copy is lost, or a member is silent and the last check is too old. */
+    boolean isCheckDue(GroupSnapshot snapshot) {
+        boolean intervalElapsed = clock.millis() - coveredUntilMs >= timings.coverageCheckIntervalMs();
+        return !lostAtMs.isEmpty()
+                || (intervalElapsed && snapshot.members().stream().anyMatch(this::isSilent));
     }
 
-    /** Compares what replicas have received to what the primary had. */
-    void check(GroupSnapshot situation, Collection<LogPosition> received) {
+    /** Compares the positions that replicas have received with the position that the primary had after the latest loss. */
+    void check(GroupSnapshot snapshot, Collection<LogPosition> received) {
         if (target.isEmpty()) {
-            target = situation
-                    .primaryProof()
+            target = snapshot.primaryProof()
                     .filter(proof -> proof.requestedAtMs() > Math.max(coveredUntilMs, latestLossMs()));
         }
         if (target.isPresent()
@@ -89,11 +90,11 @@
         }
     }
 
-    /** The lost copies without which no acknowledged commit is missed any more. */
+    /** The lost copies that no acknowledged commit depends on any more. */
     List<LostCopy> recoveredCopies() {
         List<LostCopy> recovered = new ArrayList<>();
-        lostAtMs.forEach((copy, atMs) -> {
-            if (coveredUntilMs > atMs) {
+        lostAtMs.forEach((copy, copyLostAtMs) -> {
+            if (coveredUntilMs > copyLostAtMs) {
                 recovered.add(copy);
             }
         });
@@ -101,8 +102,8 @@
     }
 
     /**
-     * Whether a member need not be fenced: its process has ended, and all that it may have acknowledged is held without it. Silence alone
-     * does not show that, since a database that control does not reach may go on acknowledging.
+     * Whether a member need not be fenced: its process has ended, and other members hold every commit that it may have
+     * acknowledged. Silence alone does not prove that, because a database that control cannot reach may continue to acknowledge.
      */
     boolean needsNoFencing(MemberView member) {
         Long sinceMs = refusedSinceMs.get(member.instanceId());
--- a/core/src/main/java/org/hornbeamspread/core/failover/SyncFailoverEffect.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/SyncFailoverEffect.java
@@ -4,13 +4,13 @@
 import java.util.Set;
 import org.hornbeamspread.core.route.LostCopy;
 
-/** What {@link SyncGroupFailover} wants done. */
+/** An action that {@link SyncGroupFailover} has decided on. */
 public sealed interface SyncFailoverEffect {
     /**
      * Commit the next fencing token to the log, without a chosen instance.
      *
-     * @param expectedToken the present one
-     * @param unsettledChoices chosen under earlier tokens, and perhaps ordered
+     * @param expectedToken the current token
+     * @param unsettledChoices candidates chosen under earlier tokens, whose promotion may have been requested
      */
     record RaiseToken(long expectedToken, Set<String> unsettledChoices) implements SyncFailoverEffect {
         /** Copies the set. */
@@ -18,13 +18,13 @@
             unsettledChoices = Set.copyOf(unsettledChoices);
         }
 
-        /** Where nothing was chosen before. */
+        /** A token raise without unsettled choices. */
         RaiseToken(long expectedToken) {
             this(expectedToken, Set.of());
         }
     }
 
-    /** Ask an instance for its status. */
+    /** Request the status of an instance. */
     record AskStatus(String instanceId) implements SyncFailoverEffect {}
 
     /** Stop a replica from receiving. */
@@ -39,13 +39,13 @@
     /** Commit the chosen instance under the token. */
     record Choose(long token, String instanceId) implements SyncFailoverEffect {}
 
-    /** Have the platform promote the chosen instance. */
+    /** Request the promotion of the chosen instance from the platform. */
     record Promote(long token, String instanceId) implements SyncFailoverEffect {}
 
-    /** Commit that the token's promotion is over. */
+    /** Commit the end of the token's promotion. */
     record Conclude(long token, String instanceId) implements SyncFailoverEffect {}
 
-    /** Commit that nothing acknowledged depends on these copies any more. */
+    /** Commit that no acknowledged commit depends on these copies any more. */
     record Recover(List<LostCopy> copies) implements SyncFailoverEffect {
         /** Copies the list. */
         public Recover {
--- a/core/src/main/java/org/hornbeamspread/core/failover/SyncFailoverTimings.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/SyncFailoverTimings.java
@@ -1,18 +1,20 @@
 package org.hornbeamspread.core.failover;
 
 /**
- * The waits of {@link SyncGroupFailover}.
+ * The timeouts and intervals of {@link SyncGroupFailover}.
  *
- * @param detectionMs without a proof of life a primary is replaced after this long
- * @param refusedMs the same, where its address refuses connections: the process is gone, not merely out of reach
- * @param firstDetectionMs the same for a leader that has just taken over and may not have asked yet
- * @param promotionMs an instance that was ordered may take this long until it leads
- * @param writeStallMs a primary on which writes wait this long without one succeeding is replaced
- * @param commandRetryMs between two attempts of one command
- * @param answerAgeMs answers of databases older than this do not count for a choice
- * @param announceLimitMs a database that did not announce itself for this long is not waited for to lead
- * @param silenceMs a replica that did not announce itself for this long is taken for gone, as far as others hold all that it may hold
- * @param coverageMs how often that is checked while a replica is taken for gone
+ * @param detectionMs a primary without a proof that it works is replaced after this long
+ * @param refusedDetectionMs the same while the primary's address refuses connections, which shows that its process has ended
+ *     and is not merely unreachable
+ * @param initialDetectionMs the same for a new leader, which may not have requested a proof yet
+ * @param promotionTimeoutMs an accepted promotion may take this long until the instance leads
+ * @param writeStallTimeoutMs a primary on which writes wait this long without one succeeding is replaced
+ * @param commandRetryIntervalMs time between two attempts of one command
+ * @param maxStatusAgeMs database statuses older than this do not count in the choice of a candidate
+ * @param maxCandidateSilenceMs a database that has not announced itself for this long is not considered as a candidate
+ * @param silenceMs a replica that has not announced itself for this long counts as gone, provided that other members hold
+ *     every commit that the replica may hold
+ * @param coverageCheckIntervalMs interval at which that condition is checked while a replica counts as gone
  */
 public record SyncFailoverTimings(
         long detectionMs,
@@ -26,9 +28,9 @@
         long silenceMs,
         long coverageCheckIntervalMs) {
     /**
-     * A second of silence: three questions of 250 ms in a row and the way between regions; half of it where two in a row were
-     * refused; a first round of connections and questions for a new leader. Answers count for less time than a
-     * database takes to restart. Ten missed announcements are no delay any more.
+     * The default timings. Detection takes 1 s: three consecutive proof requests of 250 ms and the latency between regions. Half
+     * of that is enough when two consecutive requests were refused. A new leader needs time for a first round of connections and
+     * requests. Statuses expire sooner than a database can restart. Ten missed announcements cannot be explained by delay.
      */
     public static final SyncFailoverTimings DEFAULT =
             new SyncFailoverTimings(1_000, 500, 600, 3_000, 2_000, 300, 250, 4_000, 12_000, 1_000);
--- a/core/src/main/java/org/hornbeamspread/core/failover/SyncGroupFailover.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/SyncGroupFailover.java
@@ -25,33 +25,36 @@
 /**
  * Decides when the primary of a group with synchronous replication is replaced, and by which instance.
  *
- * <p>A commit is acknowledged once the primary and one replica hold it. Whoever is promoted must hold every such commit, and
- * none may be acknowledged behind the choice. A replica that is asked for its position and then receives more would break
- * both; so would a choice among some of the replicas, since the one left out may be the only holder. The steps:
+ * <p>A commit is acknowledged once the primary and one replica hold it. The promoted instance must hold every acknowledged
+ * commit, and no commit that it lacks may be acknowledged after it is chosen. A replica that reports its position and then
+ * receives more entries would violate both conditions. So would a choice among only some of the replicas, because an excluded
+ * replica may be the only holder of a commit. A promotion therefore takes these steps:
  *
  * <ol>
- *   <li>A new fencing token is committed to the log. A promotion that another leader, or this one earlier, ordered under a
- *       lower token is refused by the platform from the moment it has seen this one.
- *   <li>The old primary is demoted if it can be reached. Every replica is paused, which stops it from acknowledging.
- *   <li>Once all members but one are paused or demoted, the one with the latest position holds all that was ever
- *       acknowledged, since the primary and a replica hold each commit. A replica that holds all of a demoted primary's log
- *       does too. A pause ends with a restart and with any promotion, an earlier order that is carried out late included; so only
- *       answers of the last moment count. A log that was lost with a database counts as a member that does not answer, until
- *       {@link ReplicaCoverage} shows that nothing acknowledged depends on it.
- *   <li>The choice is committed, then ordered, and ordered again until there is a clear answer, as long as it still holds all:
- *       an order without an answer may be carried out much later. Until then no replica is told to receive again.
- *   <li>The end is committed. An accepted order takes a while to take effect, and the old primary may lead until then: the other
- *       replicas receive again only once the promoted instance has announced that it leads.
+ *   <li>A new fencing token is committed to the log. Once the platform has received a promotion request with this token, it
+ *       rejects every request with a lower token, whether from another leader or from this leader earlier.
+ *   <li>The old primary is demoted if it is reachable. Every replica is paused, which stops it from acknowledging.
+ *   <li>Once all members but one are paused or demoted, the one with the latest position holds every acknowledged commit,
+ *       because the primary and a replica hold each of them. A replica that holds the whole log of a demoted primary does too.
+ *       A pause ends when the replica restarts and when any instance is promoted, also by an earlier request that is carried
+ *       out late; therefore only recent statuses count. A log that was lost with a database counts as a member that does not
+ *       respond, until {@link ReplicaCoverage} shows that no acknowledged commit depends on it.
+ *   <li>The chosen candidate is committed to the log, then its promotion is requested from the platform. The request is
+ *       repeated until it has a definite result, as long as the candidate still holds every acknowledged commit: a request
+ *       without a result may be carried out much later. Until there is a result, no replica is resumed.
+ *   <li>The end of the promotion is committed to the log. An accepted request takes effect after a delay, and the old primary
+ *       may lead until then. The other replicas are resumed only once the promoted instance has announced that it leads.
  * </ol>
  *
- * <p>A leader that finds a promotion unfinished begins again with a token of its own. While the instance chosen before still
- * qualifies it stays the choice: if its order is carried out late, the new order changes nothing; another is ordered only when an
- * order accepted before would have taken effect. If the old primary proves to be alive while replicas are still missing, it stays, and the replicas are resumed. Where an earlier order may still be under way, the
- * old primary is ordered under the new token first, which changes nothing but has the earlier order refused. Confined to one
- * thread.
+ * <p>A leader that finds an unfinished promotion starts again with its own token. The instance chosen earlier remains the
+ * candidate while it qualifies: if the earlier request is carried out late, the new request changes nothing. Another instance
+ * is chosen only after an accepted earlier request would have taken effect. If the old primary is confirmed to work while
+ * replicas are still missing, it stays the primary and the replicas are resumed. If an earlier request may still be in flight,
+ * promotion of the old primary is requested under the new token first, which changes nothing except that the platform then
+ * rejects the earlier request. Confined to one thread.
  */
 public final class SyncGroupFailover {
-    /** An order without an answer that may not be repeated, since a replica receives again, is given up after this. */
+    /** A request without a result that may not be repeated, because a replica receives again, is abandoned after this long. */
     private static final long PROMOTION_RESULT_TIMEOUT_MS = 1_500;
 
     private final Clock clock;
@@ -61,19 +64,19 @@
     private final Map<String, Long> commandsSentAtMs = new HashMap<>();
     private final Set<String> pausedIds = new HashSet<>();
 
-    /** Members of which this leader knows whether they are paused. */
+    /** Members that have reported to this leader whether they are paused. */
     private final Set<String> respondedIds = new HashSet<>();
 
     /** The token that this leader raised; 0 for none. */
     private long ownToken;
 
-    /** Whether an order under an earlier token may still be carried out. */
+    /** Whether a promotion request under an earlier token may still be carried out. */
     private boolean earlierPromotionPending;
 
-    /** Refused by the platform for good, so that no order for it is under way. */
+    /** The candidate that the platform rejected permanently, so that no request for it is in flight. */
     private Optional<String> rejectedCandidate = Optional.empty();
 
-    /** Whether the present promotion replaces a primary that works. */
+    /** Whether the current promotion replaces a working primary. */
     private boolean replacesLivePrimary;
 
     private boolean logCommitPending;
@@ -81,19 +84,19 @@
     private boolean promotionRequested;
     private Optional<Boolean> promotionResult = Optional.empty();
 
-    /** Since when the group is without a proof of its primary. */
+    /** The time since which the group has had no proof of a working primary. */
     private long lastPrimaryProofAtMs;
 
-    /** The latest promotion that this leader saw concluded; -1 before the first. */
+    /** The token of the latest promotion that this leader observed as concluded; -1 before the first. */
     private long concludedToken = -1;
 
-    /** When its order was accepted, or first seen as accepted; long ago where nothing was ordered. */
+    /** When that promotion was accepted, or first observed as accepted; far in the past if none was requested. */
     private long promotionAcceptedAtMs;
 
-    /** Whether the promoted instance had not begun to lead when last looked at. */
+    /** Whether the promoted instance was not yet the primary at the last check. */
     private boolean takeoverPending;
 
-    /** A group's failover under a new leader. */
+    /** Creates the failover of a group under a new leader. */
     public SyncGroupFailover(Clock clock, SyncFailoverTimings timings) {
         this.clock = clock;
         this.timings = timings;
@@ -105,30 +108,32 @@
     /**
      * A member of the group.
      *
-     * @param instanceId its id
-     * @param draining whether it is about to leave
-     * @param primary whether it says that it is the primary
-     * @param silentMs since its last announcement to this leader
-     * @param logUnproven whether another incarnation was lost at its address, and with it perhaps acknowledged commits
+     * @param instanceId the member's id
+     * @param draining whether the member is about to leave
+     * @param primary whether the member reports that it is the primary
+     * @param silentMs time since the member's last announcement to this leader
+     * @param logUnproven whether another incarnation at the member's address was lost, possibly with acknowledged commits
      */
     public record MemberView(
             String instanceId, boolean draining, boolean primary, long silentMs, boolean logUnproven) {}
 
     /**
-     * What is known of the group.
+     * The state of the group that the next effects are decided from.
      *
-     * @param token of the latest promotion in the log; 0 for none
-     * @param chosenId of that promotion, once chosen
-     * @param unsettledChoices chosen under tokens before, without an end since; their orders may be under way
-     * @param concluded whether it is over
-     * @param members present members
+     * @param token the token of the latest promotion in the log; 0 for none
+     * @param chosenId the candidate of that promotion, once chosen
+     * @param unsettledChoices candidates chosen under earlier tokens, with no promotion concluded since; requests for them may
+     *     be in flight
+     * @param concluded whether the latest promotion is concluded
+     * @param members current members
      * @param lostCopies logs that may have been lost with a database, and have not been recovered
-     * @param departedCopies those of them that nobody followed at their address, so that their process may not have ended yet
-     * @param proof the latest that this leader got itself
-     * @param primaryProofAgeMs since any observer last had proof that the primary works
+     * @param departedCopies the lost copies at whose address no other instance has started, so that their process may not have
+     *     ended yet
+     * @param primaryProof the latest proof that this leader obtained itself
+     * @param primaryProofAgeMs time since any observer last had proof that the primary works
      * @param stalledWriteMs how long writes have waited at the primary while none succeeded; 0 for none
-     * @param refused whether the primary's address refuses connections
-     * @param cutOff whether too many proxies can't reach the primary, though it works
+     * @param connectionRefused whether the primary's address refuses connections
+     * @param unreachableFromProxies whether too many proxies cannot reach the primary, although it works
      */
     public record GroupSnapshot(
             long token,
@@ -152,31 +157,32 @@
         }
     }
 
-    /** Decides what to do next. To be called at each tick and after each report. */
-    public List<SyncFailoverEffect> step(GroupSnapshot situation) {
+    /** Decides the next effects. Called at each tick and after each report. */
+    public List<SyncFailoverEffect> step(GroupSnapshot snapshot) {
         long nowMs = clock.millis();
-        lastPrimaryProofAtMs = Math.max(lastPrimaryProofAtMs, nowMs - situation.primaryProofAgeMs());
-        fencing.updateMembers(situation.members());
-        coverage.updateLosses(situation);
-        if (logCommitPending || situation.members().isEmpty()) {
+        lastPrimaryProofAtMs = Math.max(lastPrimaryProofAtMs, nowMs - snapshot.primaryProofAgeMs());
+        fencing.updateMembers(snapshot.members());
+        coverage.updateLosses(snapshot);
+        if (logCommitPending || snapshot.members().isEmpty()) {
             return List.of();
         }
-        boolean settled = situation.token() == 0 || situation.concluded();
-        if (settled) {
-            return monitorPrimary(situation, nowMs);
+        boolean concluded = snapshot.token() == 0 || snapshot.concluded();
+        if (concluded) {
+            return monitorPrimary(snapshot, nowMs);
         }
-        if (situation.token() != ownToken) {
-            return raiseToken(situation);
+        if (snapshot.token() != ownToken) {
+            return raiseToken(snapshot);
         }
-        return situation.chosenId().isPresent()
-                ? promote(situation, situation.chosenId().get(), nowMs)
-                : fence(situation, nowMs);
+        return snapshot.chosenId().isPresent()
+                ? promote(snapshot, snapshot.chosenId().get(), nowMs)
+                : fence(snapshot, nowMs);
     }
 
     /**
-     * A change of the log that was asked for has ended.
+     * Handles the end of a requested commit to the log.
      *
-     * @param committed whether it surely took effect. A token that may be another leader's is not this one's: it is raised again.
+     * @param committed whether the commit certainly took effect. If not, a raised token may be another leader's; it is not used
+     *     as this leader's token, and a token is raised again.
      */
     public void onLogCommitEnded(boolean committed) {
         logCommitPending = false;
@@ -186,7 +192,7 @@
         tokenCommitPending = false;
     }
 
-    /** An instance answered a status question, a pause or a demotion. */
+    /** Handles an instance's response to a status request, a pause or a demotion. */
     public void onStatus(String instanceId, ReplicaStatus status) {
         if (fencing.onStatus(instanceId, status)) {
             commandsSentAtMs.remove(instanceId);
@@ -199,12 +205,12 @@
         }
     }
 
-    /** An instance's address refused a connection. */
+    /** Handles a connection that was refused at an instance's address. */
     public void onConnectionRefused(String instanceId) {
         coverage.onConnectionRefused(instanceId);
     }
 
-    /** The old primary confirmed that it is a replica now. */
+    /** Handles the old primary's response to a demotion, which counts only if the instance reports that it is a replica. */
     public void onDemoted(String instanceId, ReplicaStatus status) {
         onStatus(instanceId, status);
         if (!status.primary()) {
@@ -212,15 +218,16 @@
         }
     }
 
-    /** A paused replica confirmed that it receives again. */
+    /** Handles a paused replica's confirmation that it receives again. */
     public void onResumed(String instanceId) {
         pausedIds.remove(instanceId);
     }
 
     /**
-     * The platform answered an order.
+     * Handles the platform's result of a promotion request.
      *
-     * @param accepted false when it refused for good: a higher token was used, or the instance does not run
+     * @param accepted false when the platform rejected the request permanently: a higher token was used, or the instance does
+     *     not run
      */
     public void onPromotionResult(long token, boolean accepted) {
         if (token == ownToken) {
@@ -228,130 +235,133 @@
         }
     }
 
-    /** How long the group has had no proof of a working primary. */
+    /** Returns how long the group has had no proof of a working primary. */
     public long outageMs() {
         return clock.millis() - lastPrimaryProofAtMs;
     }
 
-    /** How many logs may hold an acknowledged commit that others lack; all but one must be fenced. */
-    public long copyCount(GroupSnapshot situation) {
-        long dispensable = situation.members().stream()
+    /** Returns how many logs may hold an acknowledged commit that others lack; all but one must be fenced. */
+    public long copyCount(GroupSnapshot snapshot) {
+        long exempt = snapshot.members().stream()
                 .filter(member -> !fencing.isRespondingReplica(member.instanceId()))
                 .filter(member -> coverage.needsNoFencing(member))
                 .count();
-        return situation.members().size() - dispensable + situation.lostCopies().size();
+        return snapshot.members().size() - exempt + snapshot.lostCopies().size();
     }
 
-    /** What each member answered last and how long ago, in words for the log. */
-    public List<String> describeStatuses(GroupSnapshot situation) {
-        return situation.members().stream().map(fencing::describe).toList();
+    /** Describes each member's last status and its age, for the event log. */
+    public List<String> describeStatuses(GroupSnapshot snapshot) {
+        return snapshot.members().stream().map(fencing::describe).toList();
     }
 
-    private List<SyncFailoverEffect> monitorPrimary(GroupSnapshot situation, long nowMs) {
-        if (awaitsTakeover(situation, nowMs)) {
-            return keepFenced(situation, nowMs);
+    private List<SyncFailoverEffect> monitorPrimary(GroupSnapshot snapshot, long nowMs) {
+        if (awaitsTakeover(snapshot, nowMs)) {
+            return keepFenced(snapshot, nowMs);
         }
-        long limitMs = situation.connectionRefused() ? timings.refusedDetectionMs() : timings.detectionMs();
+        long limitMs = snapshot.connectionRefused() ? timings.refusedDetectionMs() : timings.detectionMs();
         boolean lost =
-                nowMs - lastPrimaryProofAtMs > limitMs || situation.stalledWriteMs() > timings.writeStallTimeoutMs();
-        Optional<MemberView> primary = primary(situation);
-        boolean leaving = primary.isPresent() && primary.get().draining();
+                nowMs - lastPrimaryProofAtMs > limitMs || snapshot.stalledWriteMs() > timings.writeStallTimeoutMs();
+        Optional<MemberView> primary = primary(snapshot);
+        boolean draining = primary.isPresent() && primary.get().draining();
         boolean demotable = primary.isEmpty() || !primary.get().logUnproven();
-        // A repeated order of the last promotion may take effect until then, and would undo a demotion.
-        boolean quiet = situation.token() == 0 || nowMs - promotionAcceptedAtMs > timings.promotionTimeoutMs();
-        replacesLivePrimary = quiet && demotable && (leaving || situation.unreachableFromProxies());
-        boolean replaceable = situation.members().stream().anyMatch(this::isEligible);
-        if ((lost || replacesLivePrimary) && replaceable && situation.members().size() > 1) {
-            return raiseToken(situation);
+        // Until the promotion timeout, a repeated request of the last promotion may take effect and undo a demotion.
+        boolean noPromotionPending =
+                snapshot.token() == 0 || nowMs - promotionAcceptedAtMs > timings.promotionTimeoutMs();
+        replacesLivePrimary = noPromotionPending && demotable && (draining || snapshot.unreachableFromProxies());
+        boolean hasEligibleReplica = snapshot.members().stream().anyMatch(this::isEligible);
+        if ((lost || replacesLivePrimary)
+                && hasEligibleReplica
+                && snapshot.members().size() > 1) {
+            return raiseToken(snapshot);
         }
         List<SyncFailoverEffect> effects = new ArrayList<>();
-        for (String paused : List.copyOf(pausedIds)) {
-            if (isDue("resume " + paused, nowMs)) {
-                effects.add(new Resume(paused));
+        for (String pausedId : List.copyOf(pausedIds)) {
+            if (isDue("resume " + pausedId, nowMs)) {
+                effects.add(new Resume(pausedId));
             }
         }
-        effects.addAll(queryUnknownPauseStates(situation, nowMs));
-        effects.addAll(checkCoverage(situation, nowMs));
+        effects.addAll(queryUnknownPauseStates(snapshot, nowMs));
+        effects.addAll(checkCoverage(snapshot, nowMs));
         return effects;
     }
 
-    /** The leader before may have left replicas paused. */
-    private List<SyncFailoverEffect> queryUnknownPauseStates(GroupSnapshot situation, long nowMs) {
+    /** Requests the status of replicas that have not reported any, because the previous leader may have left them paused. */
+    private List<SyncFailoverEffect> queryUnknownPauseStates(GroupSnapshot snapshot, long nowMs) {
         respondedIds.retainAll(
-                situation.members().stream().map(MemberView::instanceId).toList());
-        return announcedReplicas(situation).stream()
+                snapshot.members().stream().map(MemberView::instanceId).toList());
+        return announcedReplicas(snapshot).stream()
                 .filter(member -> !respondedIds.contains(member.instanceId()))
                 .filter(member -> isDue("first " + member.instanceId(), nowMs))
                 .<SyncFailoverEffect>map(member -> new AskStatus(member.instanceId()))
                 .toList();
     }
 
-    private List<MemberView> announcedReplicas(GroupSnapshot situation) {
-        return situation.members().stream()
+    private List<MemberView> announcedReplicas(GroupSnapshot snapshot) {
+        return snapshot.members().stream()
                 .filter(member -> !member.primary() && member.silentMs() < timings.maxCandidateSilenceMs())
                 .toList();
     }
 
-    /** Finds out whether all that was acknowledged is held without the copies that were lost or may be. */
-    private List<SyncFailoverEffect> checkCoverage(GroupSnapshot situation, long nowMs) {
-        if (!coverage.isCheckDue(situation)) {
+    /** Checks whether every acknowledged commit is held without the copies that are lost or may be lost. */
+    private List<SyncFailoverEffect> checkCoverage(GroupSnapshot snapshot, long nowMs) {
+        if (!coverage.isCheckDue(snapshot)) {
             return List.of();
         }
-        List<MemberView> replicas = announcedReplicas(situation);
+        List<MemberView> replicas = announcedReplicas(snapshot);
         List<LogPosition> received = replicas.stream()
                 .flatMap(member -> fencing.recentStatus(member.instanceId()).stream())
                 .filter(status -> !status.primary())
                 .map(ReplicaStatus::received)
                 .toList();
-        coverage.check(situation, received);
+        coverage.check(snapshot, received);
         List<LostCopy> recovered = coverage.recoveredCopies();
         if (!recovered.isEmpty()) {
             return isDue("recover", nowMs) ? List.of(new Recover(recovered)) : List.of();
         }
-        return situation.members().stream()
+        return snapshot.members().stream()
                 .filter(member -> replicas.contains(member) || coverage.isSilent(member))
                 .filter(member -> isDue("coverage " + member.instanceId(), nowMs))
                 .<SyncFailoverEffect>map(member -> new AskStatus(member.instanceId()))
                 .toList();
     }
 
-    private Optional<String> candidate(GroupSnapshot situation) {
-        long dispensable = situation.members().stream()
+    private Optional<String> candidate(GroupSnapshot snapshot) {
+        long exempt = snapshot.members().stream()
                 .filter(member -> !fencing.isRespondingReplica(member.instanceId()))
                 .filter(member -> coverage.needsNoFencing(member))
                 .count();
         return fencing.candidate(
-                situation.members(),
-                situation.members().size()
-                        - dispensable
-                        + situation.lostCopies().size());
+                snapshot.members(),
+                snapshot.members().size() - exempt + snapshot.lostCopies().size());
     }
 
     /**
-     * Whether an accepted order may not have taken effect yet. Until then the primary before it may still lead: a replica that
-     * is told to receive again would acknowledge for it, and another promotion would build on what the first is about to undo.
+     * Whether an accepted promotion may not have taken effect yet. Until it has, the previous primary may still lead: a resumed
+     * replica would acknowledge commits for that primary, and another promotion would rely on state that the first one is about
+     * to undo.
      */
-    private boolean awaitsTakeover(GroupSnapshot situation, long nowMs) {
-        if (concludedToken != situation.token()) {
-            concludedToken = situation.token();
+    private boolean awaitsTakeover(GroupSnapshot snapshot, long nowMs) {
+        if (concludedToken != snapshot.token()) {
+            concludedToken = snapshot.token();
             beginTakeover(nowMs);
         }
-        Optional<MemberView> promoted = situation.members().stream()
-                .filter(member -> situation.chosenId().equals(Optional.of(member.instanceId())))
+        Optional<MemberView> promoted = snapshot.members().stream()
+                .filter(member -> snapshot.chosenId().equals(Optional.of(member.instanceId())))
                 .findFirst();
-        boolean own = concludedToken == ownToken;
-        boolean awaited = promoted.filter(
-                        member -> !member.primary() || (own && member.silentMs() >= nowMs - promotionAcceptedAtMs))
+        boolean ownPromotion = concludedToken == ownToken;
+        boolean promotedNotLeading = promoted.filter(member ->
+                        !member.primary() || (ownPromotion && member.silentMs() >= nowMs - promotionAcceptedAtMs))
                 .isPresent();
-        boolean earlierAwaited = earlierPromotionPending && own;
-        if ((awaited || earlierAwaited) && nowMs - promotionAcceptedAtMs <= timings.promotionTimeoutMs()) {
+        boolean earlierRequestPending = earlierPromotionPending && ownPromotion;
+        if ((promotedNotLeading || earlierRequestPending)
+                && nowMs - promotionAcceptedAtMs <= timings.promotionTimeoutMs()) {
             return true;
         }
         if (takeoverPending) {
             takeoverPending = false;
-            boolean sawTakeover = promotionAcceptedAtMs < nowMs;
-            lastPrimaryProofAtMs =
-                    Math.max(lastPrimaryProofAtMs, sawTakeover && !awaited ? nowMs : lastPrimaryProofAtMs);
+            boolean waitedForTakeover = promotionAcceptedAtMs < nowMs;
+            lastPrimaryProofAtMs = Math.max(
+                    lastPrimaryProofAtMs, waitedForTakeover && !promotedNotLeading ? nowMs : lastPrimaryProofAtMs);
         }
         return false;
     }
@@ -365,56 +375,58 @@
         return !member.primary() && !member.draining() && member.silentMs() < timings.maxCandidateSilenceMs();
     }
 
-    private List<SyncFailoverEffect> raiseToken(GroupSnapshot situation) {
+    private List<SyncFailoverEffect> raiseToken(GroupSnapshot snapshot) {
         commandsSentAtMs.clear();
-        earlierPromotionPending = situation.token() > 0 && !situation.concluded();
+        earlierPromotionPending = snapshot.token() > 0 && !snapshot.concluded();
         Set<String> unsettled = new HashSet<>();
         if (earlierPromotionPending) {
-            unsettled.addAll(situation.unsettledChoices());
-            situation.chosenId().ifPresent(unsettled::add);
+            unsettled.addAll(snapshot.unsettledChoices());
+            snapshot.chosenId().ifPresent(unsettled::add);
             rejectedCandidate.ifPresent(unsettled::remove);
         }
         rejectedCandidate = Optional.empty();
         fencing.reset(unsettled);
         promotionResult = Optional.empty();
         promotionRequested = false;
-        ownToken = situation.token() + 1;
+        ownToken = snapshot.token() + 1;
         logCommitPending = true;
         tokenCommitPending = true;
-        return List.of(new RaiseToken(situation.token(), unsettled));
+        return List.of(new RaiseToken(snapshot.token(), unsettled));
     }
 
-    private List<SyncFailoverEffect> fence(GroupSnapshot situation, long nowMs) {
-        Optional<MemberView> primary = primary(situation);
-        boolean vain = fencing.elapsedMs() > FencingState.LIVE_REPLACEMENT_TIMEOUT_MS;
-        if ((!replacesLivePrimary || vain) && isPrimaryConfirmed(situation, nowMs) && primary.isPresent()) {
+    private List<SyncFailoverEffect> fence(GroupSnapshot snapshot, long nowMs) {
+        Optional<MemberView> primary = primary(snapshot);
+        boolean replacementTimedOut = fencing.elapsedMs() > FencingState.LIVE_REPLACEMENT_TIMEOUT_MS;
+        if ((!replacesLivePrimary || replacementTimedOut)
+                && isPrimaryConfirmed(snapshot, nowMs)
+                && primary.isPresent()) {
             logCommitPending = true;
-            Choose stay = new Choose(ownToken, primary.get().instanceId());
+            Choose keepPrimary = new Choose(ownToken, primary.get().instanceId());
             if (earlierPromotionPending) {
-                return List.of(stay);
+                return List.of(keepPrimary);
             }
             concludedToken = ownToken;
             promotionAcceptedAtMs = nowMs - timings.promotionTimeoutMs() - 1;
-            return List.of(stay, new Conclude(ownToken, primary.get().instanceId()));
+            return List.of(keepPrimary, new Conclude(ownToken, primary.get().instanceId()));
         }
-        Optional<String> choice = candidate(situation);
-        if (choice.isPresent()) {
+        Optional<String> candidate = candidate(snapshot);
+        if (candidate.isPresent()) {
             logCommitPending = true;
-            return List.of(new Choose(ownToken, choice.get()));
+            return List.of(new Choose(ownToken, candidate.get()));
         }
-        return fencingCommands(situation, nowMs);
+        return fencingCommands(snapshot, nowMs);
     }
 
-    private boolean isPrimaryConfirmed(GroupSnapshot situation, long nowMs) {
-        boolean proven = nowMs - lastPrimaryProofAtMs < timings.commandRetryIntervalMs()
+    private boolean isPrimaryConfirmed(GroupSnapshot snapshot, long nowMs) {
+        boolean recentlyProven = nowMs - lastPrimaryProofAtMs < timings.commandRetryIntervalMs()
                 && lastPrimaryProofAtMs > nowMs - fencing.elapsedMs();
-        return proven && fencing.demotedId().isEmpty() && !promotionRequested && situation.stalledWriteMs() == 0;
+        return recentlyProven && fencing.demotedId().isEmpty() && !promotionRequested && snapshot.stalledWriteMs() == 0;
     }
 
-    private List<SyncFailoverEffect> fencingCommands(GroupSnapshot situation, long nowMs) {
+    private List<SyncFailoverEffect> fencingCommands(GroupSnapshot snapshot, long nowMs) {
         List<SyncFailoverEffect> effects = new ArrayList<>();
         long term = fencing.nextTerm();
-        for (MemberView member : situation.members()) {
+        for (MemberView member : snapshot.members()) {
             String id = member.instanceId();
             if (!isDue(id, nowMs)) {
                 continue;
@@ -423,7 +435,7 @@
             if (status.isEmpty()) {
                 effects.add(new AskStatus(id));
             } else if (status.get().primary()) {
-                demote(situation, member, term).ifPresent(effects::add);
+                demote(snapshot, member, term).ifPresent(effects::add);
             } else if (status.get().heldTerm() == 0 && !fencing.isDemoted(id)) {
                 effects.add(pause(id, term));
             } else {
@@ -435,23 +447,23 @@
 
     private Pause pause(String instanceId, long term) {
         fencing.onPauseSent(instanceId, term);
-        // Its answer may be lost.
+        // Recorded before the response, which may be lost.
         pausedIds.add(instanceId);
         return new Pause(instanceId, term);
     }
 
     /**
-     * Pauses whoever receives while an order may be about to take effect: a replica that came or started again since the choice would
-     * acknowledge behind it for a primary that control does not reach.
+     * Pauses replicas that receive while a promotion may be about to take effect. A replica that joined or restarted after the
+     * candidate was chosen would otherwise acknowledge commits that the candidate lacks, for a primary that control cannot reach.
      */
-    private List<SyncFailoverEffect> keepFenced(GroupSnapshot situation, long nowMs) {
-        if (situation.chosenId().filter(id -> isCurrentPrimary(situation, id)).isPresent()) {
+    private List<SyncFailoverEffect> keepFenced(GroupSnapshot snapshot, long nowMs) {
+        if (snapshot.chosenId().filter(id -> isCurrentPrimary(snapshot, id)).isPresent()) {
             return List.of();
         }
         List<SyncFailoverEffect> effects = new ArrayList<>();
-        for (MemberView member : situation.members()) {
+        for (MemberView member : snapshot.members()) {
             String id = member.instanceId();
-            if (member.primary() || situation.chosenId().equals(Optional.of(id)) || !isDue("fenced " + id, nowMs)) {
+            if (member.primary() || snapshot.chosenId().equals(Optional.of(id)) || !isDue("fenced " + id, nowMs)) {
                 continue;
             }
             Optional<ReplicaStatus> status = fencing.recentStatus(id);
@@ -464,18 +476,21 @@
         return effects;
     }
 
-    /** A primary whose log is unproven would prove nothing by its demotion, and nobody could prove to lead any more. */
-    private Optional<SyncFailoverEffect> demote(GroupSnapshot situation, MemberView primary, long term) {
-        if (hasRespondingCandidate(situation) && !primary.logUnproven()) {
+    /**
+     * Demotes a primary, unless its log is unproven or no candidate responds. The demotion of a primary with an unproven log
+     * would prove nothing, and afterwards no instance could provide a proof that it leads.
+     */
+    private Optional<SyncFailoverEffect> demote(GroupSnapshot snapshot, MemberView primary, long term) {
+        if (hasRespondingCandidate(snapshot) && !primary.logUnproven()) {
             return Optional.of(new Demote(primary.instanceId(), term));
         }
         commandsSentAtMs.remove(primary.instanceId());
         return Optional.empty();
     }
 
-    /** Whether a replica that could lead has just answered. A primary that works is not demoted for nothing. */
-    private boolean hasRespondingCandidate(GroupSnapshot situation) {
-        return situation.members().stream()
+    /** Whether an eligible replica has responded recently. A working primary is not demoted without a possible successor. */
+    private boolean hasRespondingCandidate(GroupSnapshot snapshot) {
+        return snapshot.members().stream()
                 .filter(this::isEligible)
                 .anyMatch(member -> fencing.recentStatus(member.instanceId()).isPresent());
     }
@@ -489,7 +504,7 @@
         return true;
     }
 
-    private List<SyncFailoverEffect> promote(GroupSnapshot situation, String chosenId, long nowMs) {
+    private List<SyncFailoverEffect> promote(GroupSnapshot snapshot, String chosenId, long nowMs) {
         if (promotionResult.isPresent()) {
             boolean accepted = promotionResult.get();
             promotionResult = Optional.empty();
@@ -506,30 +521,30 @@
             return List.of(new Conclude(ownToken, chosenId));
         }
         if (!promotionRequested
-                || isCurrentPrimary(situation, chosenId)
-                || candidate(situation).equals(Optional.of(chosenId))) {
+                || isCurrentPrimary(snapshot, chosenId)
+                || candidate(snapshot).equals(Optional.of(chosenId))) {
             if (!isDue("promote", nowMs)) {
-                return keepFenced(situation, nowMs);
+                return keepFenced(snapshot, nowMs);
             }
             promotionRequested = true;
             return List.of(new Promote(ownToken, chosenId));
         }
         if (nowMs - commandsSentAtMs.getOrDefault("promote", nowMs) > PROMOTION_RESULT_TIMEOUT_MS) {
-            return raiseToken(situation);
+            return raiseToken(snapshot);
         }
-        return fencingCommands(situation, nowMs);
+        return fencingCommands(snapshot, nowMs);
     }
 
-    /** Whether the choice is the primary itself, which an order does not change. */
-    private boolean isCurrentPrimary(GroupSnapshot situation, String chosenId) {
-        return primary(situation)
+    /** Whether the candidate is the primary itself, for which a promotion request changes nothing. */
+    private boolean isCurrentPrimary(GroupSnapshot snapshot, String chosenId) {
+        return primary(snapshot)
                 .filter(member -> member.instanceId().equals(chosenId))
                 .isPresent();
     }
 
-    /** The member that says it leads; of several, the one that was heard last. */
-    private Optional<MemberView> primary(GroupSnapshot situation) {
-        return situation.members().stream()
+    /** The member that reports itself as primary and was not demoted; of several, the one with the latest announcement. */
+    private Optional<MemberView> primary(GroupSnapshot snapshot) {
+        return snapshot.members().stream()
                 .filter(member -> !fencing.demotedId().equals(Optional.of(member.instanceId())))
                 .filter(MemberView::primary)
                 .min(Comparator.comparingLong(MemberView::silentMs));
