--- a/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
@@ -233,7 +233,7 @@
         return databases.stream().filter(database -> database.primary).findFirst();
     }
 
-    /** Appends an entry at the primary. Receiving replicas catch up at once or some steps later; one acknowledges the entry. */
+    /** Appends an entry at the primary. Receiving replicas catch up at once or some steps later; one of them is enough. */
     private void appendAndReplicate() {
         Optional<SimulatedDatabase> primary = primary().filter(database -> database.up);
         if (primary.isEmpty()) {
