--- a/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
@@ -181,7 +181,7 @@
             startOrFinishDeparture(database);
         }
         if (random.nextInt(150) == 0) {
-            addTrace("control leader changed");
+            addTrace("control leader changes");
             failover = new SyncGroupFailover(clock, SyncFailoverTimings.DEFAULT);
             announcedAtMs.replaceAll((id, announced) -> clock.millis());
         }
