--- a/core/src/main/java/org/hornbeamspread/core/failover/Commands.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/CommandThrottle.java
@@ -6,29 +6,29 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Holds an effect back until its last sending is old enough to be taken for lost. Confined to one thread. */
-final class Commands {
+/** Suppresses repeats of an effect until the previous attempt is old enough to count as lost. Confined to one thread. */
+final class CommandThrottle {
     private final Clock clock;
     private final FailoverTimings timings;
     private final Map<FailoverEffect, Instant> sentAt = new HashMap<>();
 
-    Commands(Clock clock, FailoverTimings timings) {
+    CommandThrottle(Clock clock, FailoverTimings timings) {
         this.clock = clock;
         this.timings = timings;
     }
 
-    /** The effect when it is due, else nothing. */
-    Optional<FailoverEffect> send(FailoverEffect effect) {
+    /** Returns the effect if it is due, and records the attempt; returns empty otherwise. */
+    Optional<FailoverEffect> sendIfDue(FailoverEffect effect) {
         Instant now = clock.instant();
-        Instant last = sentAt.get(effect);
-        if (last != null && now.isBefore(last.plusMillis(timings.retryMs()))) {
+        Instant lastSentAt = sentAt.get(effect);
+        if (lastSentAt != null && now.isBefore(lastSentAt.plusMillis(timings.retryMs()))) {
             return Optional.empty();
         }
         sentAt.put(effect, now);
         return Optional.of(effect);
     }
 
-    /** Forgets everything, at a new term. */
+    /** Clears all attempts, at a new term. */
     void clear() {
         sentAt.clear();
     }
--- /dev/null
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FencingState.java
@@ -0,0 +1,226 @@
+package org.hornbeamspread.core.failover;
+
+import java.time.Clock;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.stream.Collectors;
+import org.hornbeamspread.core.failover.SyncGroupFailover.MemberView;
+import org.hornbeamspread.core.misc.LogPosition;
+import org.hornbeamspread.core.sql.ReplicaStatus;
+
+/**
+ * The statuses that the members of a group have reported since a token was raised, and the candidate that recent statuses prove
+ * to hold every acknowledged commit. Confined to one thread.
+ */
+final class FencingState {
+    /** The replacement of a working primary is abandoned after this long, unless the primary is already demoted. */
+    static final long LIVE_REPLACEMENT_TIMEOUT_MS = 1_500;
+
+    private final Clock clock;
+    private final SyncFailoverTimings timings;
+
+    /** Each member's last response to a status request, a pause or a demotion. */
+    private final Map<String, ReplicaStatus> statuses = new HashMap<>();
+
+    private final Map<String, Long> statusReceivedAtMs = new HashMap<>();
+
+    /** The terms of pauses without a response. */
+    private final Map<String, Long> pendingPauseTerms = new HashMap<>();
+
+    /** The highest term at which a pause was refused: some instance, possibly unreachable, is at a later term. */
+    private long highestRefusedTerm;
+
+    private Optional<String> demotedId = Optional.empty();
+
+    /** The demoted primary's response to the demotion: the term that it had led, and the end of its log. */
+    private ReplicaStatus demotedStatus = new ReplicaStatus(false, 0, LogPosition.NONE, 0);
+
+    /** Candidates chosen under earlier tokens; promotion requests for them may be in flight. */
+    private Set<String> earlierCandidates = Set.of();
+
+    /** Members at the address of a lost copy; their logs may lack commits that the lost copy had acknowledged. */
+    private Set<String> unprovenLogIds = Set.of();
+
+    private long startedAtMs;
+
+    FencingState(Clock clock, SyncFailoverTimings timings) {
+        this.clock = clock;
+        this.timings = timings;
+    }
+
+    /** Clears all statuses, under a new token. */
+    void reset(Set<String> candidates) {
+        statuses.clear();
+        statusReceivedAtMs.clear();
+        pendingPauseTerms.clear();
+        demotedId = Optional.empty();
+        earlierCandidates = Set.copyOf(candidates);
+        startedAtMs = clock.millis();
+    }
+
+    /** Updates which members have unproven logs. */
+    void updateMembers(List<MemberView> members) {
+        unprovenLogIds = members.stream()
+                .filter(MemberView::logUnproven)
+                .map(MemberView::instanceId)
+                .collect(Collectors.toUnmodifiableSet());
+    }
+
+    /** Time since the token was raised. */
+    long elapsedMs() {
+        return clock.millis() - startedAtMs;
+    }
+
+    /** The old primary, once it has confirmed that it is a replica. */
+    Optional<String> demotedId() {
+        return demotedId;
+    }
+
+    /** Stores a member's status; returns false when the member refused to pause. */
+    boolean onStatus(String instanceId, ReplicaStatus status) {
+        statuses.put(instanceId, status);
+        statusReceivedAtMs.put(instanceId, clock.millis());
+        Long pauseTerm = pendingPauseTerms.remove(instanceId);
+        boolean refused = pauseTerm != null && status.heldTerm() == 0;
+        if (refused) {
+            highestRefusedTerm = Math.max(highestRefusedTerm, pauseTerm);
+        }
+        return !refused;
+    }
+
+    void onDemoted(String instanceId, ReplicaStatus status) {
+        demotedId = Optional.of(instanceId);
+        demotedStatus = status;
+    }
+
+    void onPauseSent(String instanceId, long term) {
+        pendingPauseTerms.put(instanceId, term);
+    }
+
+    /** A term above every reported and refused term, for a pause or a demotion. */
+    long nextTerm() {
+        long highestReportedTerm = statuses.values().stream()
+                .mapToLong(status -> Math.max(status.term(), status.heldTerm()))
+                .max()
+                .orElse(0);
+        return 1 + Math.max(highestReportedTerm, highestRefusedTerm);
+    }
+
+    /** A member's last status, unless it is too old to count. */
+    Optional<ReplicaStatus> recentStatus(String id) {
+        return isStale(id) ? Optional.empty() : Optional.ofNullable(statuses.get(id));
+    }
+
+    private boolean isStale(String id) {
+        return clock.millis() - statusReceivedAtMs.getOrDefault(id, Long.MIN_VALUE / 2) > timings.maxStatusAgeMs();
+    }
+
+    /**
+     * Returns an instance that certainly holds every acknowledged commit. The latest primary and one replica hold each of them.
+     * Therefore any set of all members but one, whichever is missing, includes an instance that holds all of them, and a demoted
+     * primary holds all of them too. The log of the candidate covers the logs of all members that responded, so that a demoted
+     * primary of an earlier term is not taken for the latest primary.
+     *
+     * @param members current members
+     * @param copies how many logs may hold an acknowledged commit: those of members, and lost ones
+     */
+    Optional<String> candidate(List<MemberView> members, long copies) {
+        List<MemberView> replicas = members.stream()
+                .filter(member -> isRespondingReplica(member.instanceId()))
+                .toList();
+        Optional<MemberView> mostAdvanced = replicas.stream()
+                .max(Comparator.comparing(this::receivedPosition)
+                        .thenComparing(member -> !isDemoted(member.instanceId()))
+                        .thenComparing(member -> earlierCandidates.contains(member.instanceId()))
+                        .thenComparing(member -> !member.draining()));
+        boolean demotedResponding = replicas.stream().anyMatch(member -> isDemoted(member.instanceId()));
+        long fenced = replicas.stream()
+                .filter(member -> isFenced(member.instanceId()))
+                .count();
+        boolean allButOneFenced = fenced >= copies - 1 && fenced == replicas.size();
+        if (mostAdvanced.isEmpty() || !(demotedResponding || allButOneFenced)) {
+            return Optional.empty();
+        }
+        long waitedMs = elapsedMs();
+        boolean betterCandidatePossible = isDemoted(mostAdvanced.get().instanceId()) || isPrimaryResponding(members);
+        boolean keepWaiting = (betterCandidatePossible && waitedMs <= LIVE_REPLACEMENT_TIMEOUT_MS)
+                || (differsFromEarlierCandidate(members, mostAdvanced.get())
+                        && waitedMs <= timings.promotionTimeoutMs());
+        return keepWaiting ? Optional.empty() : mostAdvanced.map(MemberView::instanceId);
+    }
+
+    /**
+     * Whether another instance was chosen earlier. Its promotion may have been accepted and be about to take effect: commits that
+     * it then acknowledges before this candidate leads would be lost.
+     */
+    private boolean differsFromEarlierCandidate(List<MemberView> members, MemberView candidate) {
+        return members.stream()
+                .map(MemberView::instanceId)
+                .anyMatch(id -> earlierCandidates.contains(id) && !id.equals(candidate.instanceId()));
+    }
+
+    /** Whether a primary responded recently: it can be demoted, so that it acknowledges nothing until its successor leads. */
+    private boolean isPrimaryResponding(List<MemberView> members) {
+        return members.stream()
+                .map(MemberView::instanceId)
+                .anyMatch(id -> statuses.containsKey(id) && statuses.get(id).primary() && !isStale(id));
+    }
+
+    /**
+     * Whether an instance is the demoted primary, and its log ends where it was demoted: no instance leads or follows a later
+     * term, as would be the case after an earlier promotion request took effect. A log that was lost after the demotion, or may
+     * have been lost before, proves nothing.
+     */
+    boolean isDemoted(String id) {
+        return demotedId.equals(Optional.of(id))
+                && !unprovenLogIds.contains(id)
+                && statuses.get(id).received().covers(demotedStatus.received())
+                && statuses.values().stream().allMatch(status -> status.term() <= demotedStatus.term());
+    }
+
+    /** Whether an instance reported recently that it does not lead. */
+    boolean isRespondingReplica(String id) {
+        ReplicaStatus status = statuses.get(id);
+        return status != null && !status.primary() && !isStale(id);
+    }
+
+    /** Whether an instance reported recently that it neither leads nor receives. */
+    private boolean isFenced(String id) {
+        return isRespondingReplica(id)
+                && !hasUnexplainedEmptyLog(id)
+                && (statuses.get(id).heldTerm() > 0 || isDemoted(id));
+    }
+
+    /**
+     * Whether an instance has an empty log while others do not, and no loss of its log is recorded: the instance may have just
+     * restarted and not announced itself yet.
+     */
+    private boolean hasUnexplainedEmptyLog(String id) {
+        return statuses.get(id).received().equals(LogPosition.NONE)
+                && !unprovenLogIds.contains(id)
+                && statuses.values().stream()
+                        .anyMatch(status -> !status.received().equals(LogPosition.NONE));
+    }
+
+    String describe(MemberView member) {
+        String id = member.instanceId();
+        ReplicaStatus status = statuses.get(id);
+        if (status == null) {
+            return id + " no answer, silent for " + member.silentMs() + " ms";
+        }
+        return id + (status.primary() ? " primary" : " replica") + " received "
+                + status.received().term() + ":" + status.received().indexEntries() + " held_term " + status.heldTerm()
+                + " age_ms " + (clock.millis() - statusReceivedAtMs.get(id))
+                + (isFenced(id) ? " fenced" : "")
+                + (member.logUnproven() ? " log unproven" : "");
+    }
+
+    private LogPosition receivedPosition(MemberView member) {
+        ReplicaStatus status = statuses.get(member.instanceId());
+        return status == null ? LogPosition.NONE : status.received();
+    }
+}
--- a/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
@@ -45,7 +45,7 @@
     private final PromotionRules rules;
     private final FailoverTimings timings;
     private final FailoverListener listener;
-    private final Commands commands;
+    private final CommandThrottle commands;
     private final Followers followers;
     private final PrimarySelector selector;
 
@@ -85,7 +85,7 @@
         this.rules = rules;
         this.timings = timings;
         this.listener = listener;
-        this.commands = new Commands(clock, timings);
+        this.commands = new CommandThrottle(clock, timings);
         this.followers = new Followers(rules, commands);
         this.selector = new PrimarySelector(rules);
         this.termStartedAt = clock.instant();
@@ -97,7 +97,7 @@
         if (proposalPendingSince != null && millisSince(proposalPendingSince) <= timings.promoteTimeoutMs()) {
             return List.of();
         }
-        Optional<FailoverEffect> registration = followers.register(input);
+        Optional<FailoverEffect> registration = followers.nextRegistrations(input);
         if (registration.isPresent()) {
             proposalPendingSince = clock.instant();
             return List.of(registration.get());
@@ -131,7 +131,7 @@
     /** Called when a database confirmed that it follows the primary at a term. */
     public void onFollowing(String databaseId, long incarnation, long term) {
         if (term == currentTerm) {
-            followers.confirmed(databaseId, incarnation);
+            followers.onFollowing(databaseId, incarnation);
         }
     }
 
@@ -229,8 +229,8 @@
         long term = input.record().term();
         List<FailoverEffect> effects = new ArrayList<>();
         for (DatabaseStatus status : input.members()) {
-            if (status.term() < term && followers.isSettled(input, status)) {
-                commands.send(new Fence(status.databaseId(), term)).ifPresent(effects::add);
+            if (status.term() < term && followers.isTrustCommitted(input, status)) {
+                commands.sendIfDue(new Fence(status.databaseId(), term)).ifPresent(effects::add);
             }
         }
         return effects;
@@ -274,7 +274,7 @@
         if (unavailable || restarted || promoteRefused || chosen.get().term() != term) {
             return List.of();
         }
-        return commands.send(new Promote(chosen.get().databaseId(), term)).stream()
+        return commands.sendIfDue(new Promote(chosen.get().databaseId(), term)).stream()
                 .toList();
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/failover/ReplicaCoverage.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/ReplicaCoverage.java
@@ -7,91 +7,94 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.hornbeamspread.core.failover.SyncGroupFailover.GroupSnapshot;
 import org.hornbeamspread.core.failover.SyncGroupFailover.MemberView;
-import org.hornbeamspread.core.failover.SyncGroupFailover.Situation;
 import org.hornbeamspread.core.misc.LogPosition;
 import org.hornbeamspread.core.route.LostCopy;
 
 /**
- * Whether a present replica holds all that was acknowledged up to some moment.
+ * Determines up to which time every acknowledged commit is held by the primary and a present replica.
  *
  * <p>An acknowledged commit is held by the primary and at least one replica. When that replica's log is lost, or the replica is
- * out of reach and may be gone, the primary alone holds the commit, and a fencing quorum without the primary proves nothing. It
- * does again once another replica has received the position that the primary had after the loss. Confined to one thread.
+ * unreachable and may be gone, the primary alone holds the commit, and a fencing quorum without the primary proves nothing. The
+ * quorum is a proof again once another replica has received the position that the primary had after the loss. Confined to one
+ * thread.
  */
 final class ReplicaCoverage {
-    /** A database that announced its departure acknowledges until its process ends: it may wait a second for an answer, and ask again. */
-    private static final long DEPARTURE_MS = 2_000;
+    /** A database that announced its departure acknowledges until its process ends: it may wait 1 s for a response, and retry. */
+    private static final long DEPARTURE_GRACE_MS = 2_000;
 
     private final Clock clock;
     private final SyncFailoverTimings timings;
 
-    /** From when each lost copy surely acknowledges nothing. */
+    /** The time from which each lost copy certainly acknowledges nothing. */
     private final Map<LostCopy, Long> lostAtMs = new HashMap<>();
 
-    /** Since when connections to a member are refused without an answer or an announcement from it. */
+    /** The time since which connections to a member are refused, with no response or announcement from the member. */
     private final Map<String, Long> refusedSinceMs = new HashMap<>();
 
     private final Map<String, Long> refusedAtMs = new HashMap<>();
 
-    /** What a replica has yet to receive. */
+    /** The proof whose position a replica has yet to receive. */
     private Optional<PrimaryProof> target = Optional.empty();
 
-    /** All that was acknowledged before is held by the primary and a present replica; long ago before the first check. */
-    private long coveredAtMs = Long.MIN_VALUE / 2;
+    /** The primary and a present replica hold all commits acknowledged before this time; far in the past at first. */
+    private long coveredUntilMs = Long.MIN_VALUE / 2;
 
     ReplicaCoverage(Clock clock, SyncFailoverTimings timings) {
         this.clock = clock;
         this.timings = timings;
     }
 
-    /** Takes over what is lost at present. */
-    void observe(Situation situation) {
-        lostAtMs.keySet().retainAll(situation.lostCopies());
-        for (LostCopy copy : situation.lostCopies()) {
-            long endsInMs = situation.departedCopies().contains(copy) ? DEPARTURE_MS : 0;
-            lostAtMs.putIfAbsent(copy, clock.millis() + endsInMs);
+    /** Updates the lost copies, and the members that announce themselves again. */
+    void updateLosses(GroupSnapshot snapshot) {
+        lostAtMs.keySet().retainAll(snapshot.lostCopies());
+        for (LostCopy copy : snapshot.lostCopies()) {
+            long graceMs = snapshot.departedCopies().contains(copy) ? DEPARTURE_GRACE_MS : 0;
+            lostAtMs.putIfAbsent(copy, clock.millis() + graceMs);
         }
-        situation.members().stream()
+        snapshot.members().stream()
                 .filter(member -> !isSilent(member))
-                .forEach(member -> onAnswered(member.instanceId()));
+                .forEach(member -> onResponse(member.instanceId()));
     }
 
-    /** A member's address refused a connection: its process has ended. */
-    void onRefused(String instanceId) {
+    /** Handles a connection refused at a member's address, which shows that the member's process has ended. */
+    void onConnectionRefused(String instanceId) {
         refusedSinceMs.putIfAbsent(instanceId, clock.millis());
         refusedAtMs.put(instanceId, clock.millis());
     }
 
-    void onAnswered(String instanceId) {
+    void onResponse(String instanceId) {
         refusedSinceMs.remove(instanceId);
         refusedAtMs.remove(instanceId);
     }
 
-    /** Whether there is anything to find out now. */
-    boolean isWanted(Situation situation) {
-        boolean renewal = clock.millis() - coveredAtMs >= timings.coverageMs();
-        return !lostAtMs.isEmpty() || (renewal && situation.members().stream().anyMatch(this::isSilent));
+    /** Whether a check is due: a copy is lost, or a member is silent and the last check is too old. */
+    boolean isCheckDue(GroupSnapshot snapshot) {
+        boolean intervalElapsed = clock.millis() - coveredUntilMs >= timings.coverageCheckIntervalMs();
+        return !lostAtMs.isEmpty()
+                || (intervalElapsed && snapshot.members().stream().anyMatch(this::isSilent));
     }
 
-    /** Compares what replicas have received to what the primary had. */
-    void check(Situation situation, Collection<LogPosition> received) {
+    /** Compares the positions that replicas have received with the position that the primary had after the latest loss. */
+    void check(GroupSnapshot snapshot, Collection<LogPosition> received) {
         if (target.isEmpty()) {
-            target = situation.proof().filter(proof -> proof.askedAtMs() > Math.max(coveredAtMs, latestLossMs()));
+            target = snapshot.primaryProof()
+                    .filter(proof -> proof.requestedAtMs() > Math.max(coveredUntilMs, latestLossMs()));
         }
         if (target.isPresent()
                 && received.stream()
                         .anyMatch(position -> position.covers(target.get().position()))) {
-            coveredAtMs = target.get().askedAtMs();
+            coveredUntilMs = target.get().requestedAtMs();
             target = Optional.empty();
         }
     }
 
-    /** The lost copies without which no acknowledged commit is missed any more. */
-    List<LostCopy> recovered() {
+    /** The lost copies that no acknowledged commit depends on any more. */
+    List<LostCopy> recoveredCopies() {
         List<LostCopy> recovered = new ArrayList<>();
-        lostAtMs.forEach((copy, atMs) -> {
-            if (coveredAtMs > atMs) {
+        lostAtMs.forEach((copy, copyLostAtMs) -> {
+            if (coveredUntilMs > copyLostAtMs) {
                 recovered.add(copy);
             }
         });
@@ -99,15 +102,15 @@
     }
 
     /**
-     * Whether a member need not be fenced: its process has ended, and all that it may have acknowledged is held without it. Silence alone
-     * does not show that, since a database that control does not reach may go on acknowledging.
+     * Whether a member need not be fenced: its process has ended, and other members hold every commit that it may have
+     * acknowledged. Silence alone does not prove that, because a database that control cannot reach may continue to acknowledge.
      */
-    boolean isDispensable(MemberView member) {
+    boolean needsNoFencing(MemberView member) {
         Long sinceMs = refusedSinceMs.get(member.instanceId());
         return isSilent(member)
                 && sinceMs != null
-                && sinceMs < coveredAtMs
-                && clock.millis() - refusedAtMs.get(member.instanceId()) <= 2 * timings.coverageMs();
+                && sinceMs < coveredUntilMs
+                && clock.millis() - refusedAtMs.get(member.instanceId()) <= 2 * timings.coverageCheckIntervalMs();
     }
 
     boolean isSilent(MemberView member) {
--- a/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelChecker.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelChecker.java
@@ -27,7 +27,7 @@
  */
 final class PromotionModelChecker {
     private final PromotionRules rules;
-    private final Acknowledgement acknowledgement;
+    private final AcknowledgementPolicy acknowledgement;
     private final int maxWrites;
     private final int maxPromotions;
     private final int maxDiskLosses;
@@ -42,7 +42,7 @@
 
     PromotionModelChecker(
             PromotionRules rules,
-            Acknowledgement acknowledgement,
+            AcknowledgementPolicy acknowledgement,
             int maxWrites,
             int maxPromotions,
             int maxDiskLosses) {
--- a/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelTest.java
@@ -25,7 +25,7 @@
     @CsvSource({"3, 0, 286390", "2, 1, 355034"})
     void noHistoryLosesAnAcknowledgedWrite(int promotions, int lostDisks, int states) {
         PromotionModelChecker checker = new PromotionModelChecker(
-                new SafePromotionRules(), Acknowledgement.byQuorumTracker(), WRITES, promotions, lostDisks);
+                new SafePromotionRules(), AcknowledgementPolicy.byQuorumTracker(), WRITES, promotions, lostDisks);
         assertThat(checker.findLossTrace()).isEmpty();
         assertThat(checker.visitedStates()).isEqualTo(states);
     }
@@ -72,18 +72,19 @@
     @ParameterizedTest
     @MethodSource("omittedRules")
     void omittingOneRuleLosesAnAcknowledgedWrite(PromotionRules rules, int lostDisks) {
-        assertFindsLoss(new PromotionModelChecker(rules, Acknowledgement.byQuorumTracker(), WRITES, 3, lostDisks));
+        assertFindsLoss(
+                new PromotionModelChecker(rules, AcknowledgementPolicy.byQuorumTracker(), WRITES, 3, lostDisks));
     }
 
     static Stream<Arguments> prematureAcknowledgements() {
         return Stream.of(
-                Arguments.of(Named.of("rule 1, a quorum of holders", Acknowledgement.byQuorumTracker(1))),
-                Arguments.of(Named.of("rule 4, the marker of a term", Acknowledgement.withoutMarker())));
+                Arguments.of(Named.of("rule 1, a quorum of holders", AcknowledgementPolicy.byQuorumTracker(1))),
+                Arguments.of(Named.of("rule 4, the marker of a term", AcknowledgementPolicy.withoutMarker())));
     }
 
     @ParameterizedTest
     @MethodSource("prematureAcknowledgements")
-    void prematureAcknowledgementLosesAnAcknowledgedWrite(Acknowledgement acknowledgement) {
+    void prematureAcknowledgementLosesAnAcknowledgedWrite(AcknowledgementPolicy acknowledgement) {
         assertFindsLoss(new PromotionModelChecker(new SafePromotionRules(), acknowledgement, WRITES, 3, 0));
     }
 
--- a/core/src/test/java/org/hornbeamspread/core/failover/SimulatedDatabase.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/SimulatedDatabase.java
@@ -5,98 +5,98 @@
 import org.hornbeamspread.core.route.DatabaseInstance;
 import org.hornbeamspread.core.sql.ReplicaStatus;
 
-/** A database of {@link SimulatedGroup}. Its log is a length, since the group has one writer. */
+/** A database of {@link SimulatedGroup}. The log is modelled by its length, because the group has one writer. */
 final class SimulatedDatabase {
     static final String SERVICE = "s";
     private static final int SLOTS = 2;
 
-    final int seat;
+    final int addressIndex;
     final String id;
     final long bornMs;
     long sequence;
     boolean up = true;
     long downSinceMs;
 
-    /** Whether its log is lost when it crashes, so that it is followed by an empty one. */
-    boolean lostForGood;
+    /** Whether the log was lost in the crash, so that the next incarnation starts with an empty log. */
+    boolean logLost;
 
-    /** Whether control reaches it. */
+    /** Whether control can reach the database. */
     boolean reachable = true;
 
-    /** The term that it leads, or whose primary it received from last. */
+    /** The term that the database leads, or the term of the primary that it last received from. */
     long term;
 
     long entries;
     long pausedTerm;
     boolean primary;
 
-    /** Receives nothing before. */
-    long deafUntilMs;
+    /** The database receives nothing before this time. */
+    long replicationStalledUntilMs;
 
-    /** Since when it leaves; 0 while it does not. */
-    long leavingSinceMs;
+    /** When the database began to drain; 0 while it does not. */
+    long drainingSinceMs;
 
-    /** Whether an announcement of this incarnation has arrived. A database at a place of its own receives only then. */
-    boolean known;
+    /** Whether an announcement of this incarnation has arrived. A database that starts empty receives only after that. */
+    boolean announced;
 
-    private boolean toldPrimary;
-    private boolean toldLeaving;
+    private boolean announcedPrimary;
+    private boolean announcedDraining;
 
-    SimulatedDatabase(int seat, String id, long bornMs) {
-        this.seat = seat;
+    SimulatedDatabase(int addressIndex, String id, long bornMs) {
+        this.addressIndex = addressIndex;
         this.id = id;
         this.bornMs = bornMs;
     }
 
     /** Another incarnation at the same address, with the log of this one. */
-    SimulatedDatabase restarted(String nextId, long nextBornMs) {
-        SimulatedDatabase next = new SimulatedDatabase(seat, nextId, nextBornMs);
+    SimulatedDatabase restartWithLog(String nextId, long nextBornMs) {
+        SimulatedDatabase next = new SimulatedDatabase(addressIndex, nextId, nextBornMs);
         next.term = term;
         next.entries = entries;
         next.primary = primary;
         next.reachable = reachable;
-        next.toldPrimary = !primary;
-        next.known = true;
+        next.announcedPrimary = !primary;
+        next.announced = true;
         return next;
     }
 
     /** Another incarnation at the same address, with an empty log. */
-    SimulatedDatabase emptied(String nextId, long nextBornMs) {
-        SimulatedDatabase next = new SimulatedDatabase(seat, nextId, nextBornMs);
+    SimulatedDatabase restartEmpty(String nextId, long nextBornMs) {
+        SimulatedDatabase next = new SimulatedDatabase(addressIndex, nextId, nextBornMs);
         next.reachable = reachable;
         return next;
     }
 
-    boolean receives(long nowMs) {
-        return !primary && up && known && pausedTerm == 0 && nowMs >= deafUntilMs;
+    boolean isReceiving(long nowMs) {
+        return !primary && up && announced && pausedTerm == 0 && nowMs >= replicationStalledUntilMs;
     }
 
     LogPosition position() {
         return entries == 0 ? LogPosition.NONE : new LogPosition(term, entries);
     }
 
-    /** Its answer to commands; without working pauses a replica claims to be paused. */
-    ReplicaStatus status(boolean pausesWork) {
-        long heldTerm = pausesWork || primary ? pausedTerm : term + 1;
+    /** The response to commands. If pauses take no effect, a replica still reports that it is paused. */
+    ReplicaStatus status(boolean pauseTakesEffect) {
+        long heldTerm = pauseTakesEffect || primary ? pausedTerm : term + 1;
         return new ReplicaStatus(primary, term, position(), heldTerm);
     }
 
-    /** Whether it has something to tell that its last announcement did not. */
-    boolean hasNews() {
-        return !known || toldPrimary != primary || toldLeaving != (leavingSinceMs > 0);
+    /** Whether the state has changed since the last announcement. */
+    boolean needsAnnouncement() {
+        return !announced || announcedPrimary != primary || announcedDraining != (drainingSinceMs > 0);
     }
 
     DatabaseInstance announcement() {
         sequence++;
-        toldPrimary = primary;
-        toldLeaving = leavingSinceMs > 0;
+        announcedPrimary = primary;
+        announcedDraining = drainingSinceMs > 0;
         return new DatabaseInstance(
                 id,
                 SERVICE,
-                new Address("10.0.0." + seat, 1),
-                "domain-" + seat,
+                new Address("10.0.0." + addressIndex, 1),
+                "domain-" + addressIndex,
                 SLOTS,
-                leavingSinceMs > 0,
+                drainingSinceMs > 0,
                 primary,
                 bornMs,
                 sequence);
