--- a/control/src/main/java/org/hornbeamspread/control/failover/Coordinator.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/Coordinator.java
@@ -226,7 +226,7 @@
 
     private void announced(AnnouncedDatabase database) {
         Set<String> changed = registry.announce(database);
-        if (!registry.isCurrent(database.status())) {
+        if (!registry.isCurrentIncarnation(database.status())) {
             return;
         }
         detector.heard(database.databaseId());
@@ -237,8 +237,8 @@
     }
 
     private void reported(DatabaseStatus status) {
-        registry.report(status);
-        if (registry.isCurrent(status)) {
+        registry.updateStatus(status);
+        if (registry.isCurrentIncarnation(status)) {
             detector.heard(status.databaseId());
         }
         registry.find(status.databaseId()).ifPresent(database -> {
--- a/control/src/main/java/org/hornbeamspread/control/failover/GroupState.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/GroupState.java
@@ -69,7 +69,7 @@
 
     /** The announced members; before the group has members, the first announced databases. */
     List<AnnouncedDatabase> databases(DatabaseRegistry registry) {
-        List<AnnouncedDatabase> announced = registry.ofGroup(name());
+        List<AnnouncedDatabase> announced = registry.findByGroup(name());
         if (registrations.isEmpty()) {
             return announced.subList(0, Math.min(announced.size(), declaredDatabases()));
         }
--- a/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
@@ -174,7 +174,7 @@
         Optional<LiveProxy> known = view.leases().find(proxy.proxyId());
         ViewLease answer = view.grant(proxy, request, arrivedAt);
         metrics.leaseGranted(answer.getFull());
-        proxiesChanged |= known.filter(proxy::describesSame).isEmpty();
+        proxiesChanged |= known.filter(proxy::hasSameDescription).isEmpty();
         return answer;
     }
 
@@ -267,7 +267,7 @@
         holdersUnsettled = false;
         for (GroupState group : groups.values()) {
             for (AnnouncedDatabase database : group.databases(registry)) {
-                boolean changed = holders.step(
+                boolean changed = holders.reconcile(
                         database,
                         candidates,
                         view.nextVersion(),
@@ -276,7 +276,7 @@
                 if (changed) {
                     group.markChanged();
                 }
-                holdersUnsettled |= !holders.isSettled(database.databaseId());
+                holdersUnsettled |= !holders.hasHolder(database.databaseId());
             }
         }
     }
--- a/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
@@ -229,7 +229,7 @@
     }
 
     private void reported(FakeDatabase database) {
-        registry.report(database.status());
+        registry.updateStatus(database.status());
         detector.heard(database.id);
         session.markChanged(List.of(GROUP));
     }
--- a/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
@@ -112,7 +112,7 @@
             return Optional.empty();
         }
         List<DatabaseStatus> first = input.statuses().subList(0, input.declaredDatabases());
-        boolean fresh = first.stream().allMatch(DatabaseStatus::isEmpty);
+        boolean fresh = first.stream().allMatch(DatabaseStatus::isUninitialized);
         return Optional.of(new AppendRegistrations(first.stream()
                 .map(status -> new Registration(
                         status.databaseId(), status.incarnation(), fresh || (status.trusted() && status.term() > 0)))
--- a/core/src/main/java/org/hornbeamspread/core/failover/SafePromotionRules.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/SafePromotionRules.java
@@ -32,7 +32,7 @@
             return false;
         }
         if (registration.get().incarnation() == status.incarnation()) {
-            boolean wiped = status.isEmpty() && record.term() > 0 && !status.trusted();
+            boolean wiped = status.isUninitialized() && record.term() > 0 && !status.trusted();
             return registration.get().trusted() && !wiped;
         }
         // A restart with its disk keeps the term and the trust; without its disk it reports either nothing or false.
--- a/core/src/main/java/org/hornbeamspread/core/membership/AnnouncedDatabase.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/AnnouncedDatabase.java
@@ -42,7 +42,7 @@
     }
 
     /** Whether everything but the status equals, and the status is of the same incarnation. */
-    public boolean describesSame(AnnouncedDatabase other) {
+    public boolean hasSameDescription(AnnouncedDatabase other) {
         return status.incarnation() == other.status.incarnation()
                 && withStatus(other.status).equals(other);
     }
--- a/core/src/main/java/org/hornbeamspread/core/membership/DatabaseRegistry.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/DatabaseRegistry.java
@@ -21,12 +21,12 @@
  */
 public final class DatabaseRegistry {
     private final Clock clock;
-    private final Duration reachableFor;
-    private final Duration expiry;
-    private final Map<String, Entry> databases = new HashMap<>();
+    private final Duration reachabilityTimeout;
+    private final Duration entryTtl;
+    private final Map<String, Entry> entriesById = new HashMap<>();
 
     /** The names by group, sorted. */
-    private final Map<String, TreeMap<String, Entry>> groups = new HashMap<>();
+    private final Map<String, TreeMap<String, Entry>> entriesByGroup = new HashMap<>();
 
     /** Announcements of an incarnation that a later one has replaced. */
     private long refusedAnnouncements;
@@ -39,13 +39,13 @@
      */
     public DatabaseRegistry(Clock clock, Duration reachableFor, Duration expiry) {
         this.clock = clock;
-        this.reachableFor = reachableFor;
-        this.expiry = expiry;
+        this.reachabilityTimeout = reachableFor;
+        this.entryTtl = expiry;
     }
 
     /** Takes an announcement in. Returns the groups whose description changed by it. */
     public Set<String> announce(AnnouncedDatabase announced) {
-        Entry known = databases.get(announced.databaseId());
+        Entry known = entriesById.get(announced.databaseId());
         if (known != null
                 && announced.status().incarnation() < known.database.status().incarnation()) {
             refusedAnnouncements++;
@@ -60,18 +60,20 @@
             changed.add(known.database.group());
         }
         Entry entry = new Entry(announced, clock.instant());
-        databases.put(announced.databaseId(), entry);
-        groups.computeIfAbsent(announced.group(), name -> new TreeMap<>()).put(announced.databaseId(), entry);
+        entriesById.put(announced.databaseId(), entry);
+        entriesByGroup
+                .computeIfAbsent(announced.group(), name -> new TreeMap<>())
+                .put(announced.databaseId(), entry);
         changed.add(announced.group());
         return changed;
     }
 
     /** Takes in a status that came by another way than an announcement, for example with the answer to a fence. */
-    public void report(DatabaseStatus status) {
-        Entry known = databases.get(status.databaseId());
+    public void updateStatus(DatabaseStatus status) {
+        Entry known = entriesById.get(status.databaseId());
         if (known != null && status.supersedes(known.database.status())) {
             known.database = known.database.withStatus(status);
-            known.heardAt = clock.instant();
+            known.lastContactAt = clock.instant();
         }
     }
 
@@ -80,12 +82,12 @@
         Instant now = clock.instant();
         Set<String> changed = new HashSet<>();
         List<Entry> expired = new ArrayList<>();
-        for (Entry entry : databases.values()) {
-            if (entry.reachable && now.isAfter(entry.heardAt.plus(reachableFor))) {
+        for (Entry entry : entriesById.values()) {
+            if (entry.reachable && now.isAfter(entry.lastContactAt.plus(reachabilityTimeout))) {
                 entry.reachable = false;
                 changed.add(entry.database.group());
             }
-            if (now.isAfter(entry.heardAt.plus(expiry))) {
+            if (now.isAfter(entry.lastContactAt.plus(entryTtl))) {
                 expired.add(entry);
                 changed.add(entry.database.group());
             }
@@ -96,30 +98,31 @@
 
     /** The last announcement of a database, if it has not expired. */
     public Optional<AnnouncedDatabase> find(String databaseId) {
-        return Optional.ofNullable(databases.get(databaseId)).map(entry -> entry.database);
+        return Optional.ofNullable(entriesById.get(databaseId)).map(entry -> entry.database);
     }
 
     /** Whether a status is of the latest known process of its name. */
-    public boolean isCurrent(DatabaseStatus status) {
-        Entry entry = databases.get(status.databaseId());
+    public boolean isCurrentIncarnation(DatabaseStatus status) {
+        Entry entry = entriesById.get(status.databaseId());
         return entry != null && entry.database.status().incarnation() == status.incarnation();
     }
 
     /** Whether the database gave a sign of life lately. */
     public boolean isReachable(String databaseId) {
-        Entry entry = databases.get(databaseId);
+        Entry entry = entriesById.get(databaseId);
         return entry != null && entry.reachable;
     }
 
     /** The databases of a group, sorted by name. */
-    public List<AnnouncedDatabase> ofGroup(String group) {
-        Collection<Entry> entries = groups.getOrDefault(group, new TreeMap<>()).values();
+    public List<AnnouncedDatabase> findByGroup(String group) {
+        Collection<Entry> entries =
+                entriesByGroup.getOrDefault(group, new TreeMap<>()).values();
         return entries.stream().map(entry -> entry.database).toList();
     }
 
     /** The names of all databases. */
     public Set<String> databaseIds() {
-        return Collections.unmodifiableSet(databases.keySet());
+        return Collections.unmodifiableSet(entriesById.keySet());
     }
 
     /** How many announcements came from replaced incarnations. */
@@ -130,31 +133,31 @@
     private Set<String> refresh(Entry known, AnnouncedDatabase announced) {
         boolean current = announced.status().supersedes(known.database.status());
         AnnouncedDatabase next = current ? announced : announced.withStatus(known.database.status());
-        boolean changed = !known.reachable || !known.database.describesSame(next);
+        boolean changed = !known.reachable || !known.database.hasSameDescription(next);
         known.database = next;
-        known.heardAt = clock.instant();
+        known.lastContactAt = clock.instant();
         known.reachable = true;
         return changed ? Set.of(announced.group()) : Set.of();
     }
 
     private void remove(Entry entry) {
-        databases.remove(entry.database.databaseId());
-        TreeMap<String, Entry> group = groups.get(entry.database.group());
+        entriesById.remove(entry.database.databaseId());
+        TreeMap<String, Entry> group = entriesByGroup.get(entry.database.group());
         group.remove(entry.database.databaseId());
         if (group.isEmpty()) {
-            groups.remove(entry.database.group());
+            entriesByGroup.remove(entry.database.group());
         }
     }
 
     /** One database and when it was last heard. */
     private static final class Entry {
         private AnnouncedDatabase database;
-        private Instant heardAt;
+        private Instant lastContactAt;
         private boolean reachable = true;
 
         Entry(AnnouncedDatabase database, Instant heardAt) {
             this.database = database;
-            this.heardAt = heardAt;
+            this.lastContactAt = heardAt;
         }
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/membership/DatabaseStatus.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/DatabaseStatus.java
@@ -34,7 +34,7 @@
     }
 
     /** Whether the database was never fenced, promoted or written to. */
-    public boolean isEmpty() {
+    public boolean isUninitialized() {
         return term == 0 && synced.equals(LogPosition.NONE);
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/membership/HolderAssignment.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/HolderAssignment.java
@@ -25,7 +25,7 @@
 public final class HolderAssignment {
     private static final int TERM_SHIFT_BITS = 32;
 
-    private final Map<String, Holding> holdings = new HashMap<>();
+    private final Map<String, Assignment> assignments = new HashMap<>();
     private long nextEpoch;
 
     /** Starts empty under a control leader's term. */
@@ -35,12 +35,12 @@
 
     /** Who holds a database as published; absent for none. */
     public Optional<String> holder(String databaseId) {
-        return Optional.ofNullable(holdings.get(databaseId)).flatMap(Holding::holder);
+        return Optional.ofNullable(assignments.get(databaseId)).flatMap(Assignment::holder);
     }
 
     /** The epoch of the database's current holder, 0 before the first. */
     public long epoch(String databaseId) {
-        Holding holding = holdings.get(databaseId);
+        Assignment holding = assignments.get(databaseId);
         return holding == null ? 0 : holding.epoch;
     }
 
@@ -49,8 +49,8 @@
      * Returns whether the holder changed.
      */
     public boolean adopt(String databaseId, String proxyId, long epoch) {
-        Holding holding = holdings.computeIfAbsent(databaseId, id -> new Holding());
-        if (epoch <= holding.epoch || holding.releasing != null) {
+        Assignment holding = assignments.computeIfAbsent(databaseId, id -> new Assignment());
+        if (epoch <= holding.epoch || holding.releasingHolderId != null) {
             return false;
         }
         holding.holderId = proxyId;
@@ -67,20 +67,20 @@
      * @param release tells whether a proxy no longer acts on views older than a version
      * @param mayAssign false while leases of an earlier leader may still run
      */
-    public boolean step(
+    public boolean reconcile(
             AnnouncedDatabase database,
             HolderCandidates candidates,
             long nextVersion,
             ReleaseCheck release,
             boolean mayAssign) {
-        Holding holding = holdings.computeIfAbsent(database.databaseId(), id -> new Holding());
-        Optional<String> wished = candidates.wish(database);
+        Assignment holding = assignments.computeIfAbsent(database.databaseId(), id -> new Assignment());
+        Optional<String> wished = candidates.selectHolder(database);
         if (holding.holderId != null) {
             if (wished.equals(holding.holder())) {
                 return false;
             }
-            holding.releasing = holding.holderId;
-            holding.releasedVersion = nextVersion;
+            holding.releasingHolderId = holding.holderId;
+            holding.releaseVersion = nextVersion;
             holding.holderId = null;
             assignReleased(holding, wished, release, mayAssign);
             return true;
@@ -89,24 +89,26 @@
     }
 
     /** Whether the database has a holder; it stays so until the candidates change. */
-    public boolean isSettled(String databaseId) {
-        Holding holding = holdings.get(databaseId);
+    public boolean hasHolder(String databaseId) {
+        Assignment holding = assignments.get(databaseId);
         return holding != null && holding.holderId != null;
     }
 
     /** Forgets a database that has expired. */
     public void remove(String databaseId) {
-        holdings.remove(databaseId);
+        assignments.remove(databaseId);
     }
 
-    private boolean assignReleased(Holding holding, Optional<String> wished, ReleaseCheck release, boolean mayAssign) {
+    private boolean assignReleased(
+            Assignment holding, Optional<String> wished, ReleaseCheck release, boolean mayAssign) {
         if (wished.isEmpty() || !mayAssign) {
             return false;
         }
-        if (holding.releasing != null && !release.isReleased(holding.releasing, holding.releasedVersion)) {
+        if (holding.releasingHolderId != null
+                && !release.isReleased(holding.releasingHolderId, holding.releaseVersion)) {
             return false;
         }
-        holding.releasing = null;
+        holding.releasingHolderId = null;
         holding.holderId = wished.get();
         nextEpoch++;
         holding.epoch = nextEpoch;
@@ -121,14 +123,14 @@
     }
 
     /** The state of one database's assignment. */
-    private static final class Holding {
+    private static final class Assignment {
         /** The published holder; null for none. */
         private String holderId;
 
         /** The former holder that has not let go yet; null for none. */
-        private String releasing;
+        private String releasingHolderId;
 
-        private long releasedVersion;
+        private long releaseVersion;
         private long epoch;
 
         Optional<String> holder() {
--- a/core/src/main/java/org/hornbeamspread/core/membership/HolderCandidates.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/HolderCandidates.java
@@ -35,7 +35,7 @@
     }
 
     /** The proxy that should hold a database; absent when there is no candidate. */
-    public Optional<String> wish(AnnouncedDatabase database) {
+    public Optional<String> selectHolder(AnnouncedDatabase database) {
         List<Candidate> nearest = byFailureDomain.get(database.failureDomain());
         if (nearest == null) {
             nearest = byRegion.getOrDefault(database.region(), all);
--- a/core/src/main/java/org/hornbeamspread/core/membership/LiveProxy.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/LiveProxy.java
@@ -32,11 +32,11 @@
     }
 
     /** Whether the other proxies need to learn of the difference. */
-    public boolean describesSame(LiveProxy other) {
-        return withVersion(other.configurationVersion).equals(other);
+    public boolean hasSameDescription(LiveProxy other) {
+        return withConfigurationVersion(other.configurationVersion).equals(other);
     }
 
-    private LiveProxy withVersion(long version) {
+    private LiveProxy withConfigurationVersion(long version) {
         return new LiveProxy(proxyId, failureDomain, region, peer, http, version, draining, incarnation);
     }
 }
--- a/core/src/test/java/org/hornbeamspread/core/membership/HolderAssignmentTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/membership/HolderAssignmentTest.java
@@ -23,19 +23,19 @@
         "-bole|sabian, sabian",
         "-bole, none"
     })
-    void theNearestLivingProxyHolds(String living, String holder) {
+    void theNearestProxyThatIsNotDrainingIsSelected(String living, String holder) {
         List<LiveProxy> proxies = new ArrayList<>();
         for (String name : living.split("\\|", -1)) {
             String domain = name.replace("-", "");
             String region = domain.equals("sabian") ? "dire-dawa" : "addis";
             proxies.add(proxy(domain, domain, region, name.startsWith("-")));
         }
-        Optional<String> wished = new HolderCandidates(proxies).wish(database("d1"));
+        Optional<String> wished = new HolderCandidates(proxies).selectHolder(database("d1"));
         assertThat(wished.orElse("none")).isEqualTo(holder);
     }
 
     @Test
-    void aLeavingProxyMovesOnlyItsOwnShare() {
+    void removingAProxyReassignsOnlyTheDatabasesThatItHeld() {
         List<LiveProxy> proxies = new ArrayList<>(IntStream.range(0, 8)
                 .mapToObj(i -> proxy("p" + i, "bole", "addis", false))
                 .toList());
@@ -44,11 +44,11 @@
         HolderCandidates after = new HolderCandidates(proxies);
         int held = 0;
         for (int i = 0; i < DATABASES; i++) {
-            Optional<String> holder = before.wish(database("d" + i));
+            Optional<String> holder = before.selectHolder(database("d" + i));
             if (holder.equals(Optional.of("p3"))) {
                 held++;
             } else {
-                assertThat(after.wish(database("d" + i))).isEqualTo(holder);
+                assertThat(after.selectHolder(database("d" + i))).isEqualTo(holder);
             }
         }
         assertThat(held).isGreaterThan(DATABASES / 16);
@@ -56,20 +56,20 @@
     }
 
     @Test
-    void aNewHolderIsNamedOnlyAfterTheOldOneLetGo() {
+    void aNewHolderIsAssignedOnlyAfterThePreviousHolderReleasedTheDatabase() {
         HolderAssignment assignment = new HolderAssignment(1);
         AnnouncedDatabase database = database("d1");
         HolderCandidates first = new HolderCandidates(List.of(proxy("p1", "bole", "addis", false)));
         HolderCandidates second = new HolderCandidates(List.of(proxy("p2", "bole", "addis", false)));
-        assertThat(assignment.step(database, first, 1, (id, version) -> true, true))
+        assertThat(assignment.reconcile(database, first, 1, (id, version) -> true, true))
                 .isTrue();
         long epoch = assignment.epoch("d1");
-        assertThat(assignment.step(database, second, 2, (id, version) -> false, true))
+        assertThat(assignment.reconcile(database, second, 2, (id, version) -> false, true))
                 .isTrue();
         assertThat(assignment.holder("d1")).isEqualTo(Optional.empty());
-        assertThat(assignment.step(database, second, 3, (id, version) -> version > 2, true))
+        assertThat(assignment.reconcile(database, second, 3, (id, version) -> version > 2, true))
                 .isFalse();
-        assertThat(assignment.step(database, second, 3, (id, version) -> version <= 2, true))
+        assertThat(assignment.reconcile(database, second, 3, (id, version) -> version <= 2, true))
                 .isTrue();
         assertThat(assignment.holder("d1")).isEqualTo(Optional.of("p2"));
         assertThat(assignment.epoch("d1")).isGreaterThan(epoch);
