--- a/bench/src/main/java/org/hornbeamspread/bench/LeaseRelayBenchmark.java
+++ b/bench/src/main/java/org/hornbeamspread/bench/LeaseRelayBenchmark.java
@@ -35,7 +35,7 @@
     public void lease() {
         relay = new LeaseRelay(clock, LEASE);
         clock.advance(LEASE.multipliedBy(2));
-        relay.onUpstream(clock.instant(), 1, 1, LEASE);
+        relay.onLeaderResponse(clock.instant(), 1, 1, LEASE);
         proxyIds = new String[proxies];
         for (int i = 0; i < proxies; i++) {
             proxyIds[i] = "proxy-" + i;
--- a/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
@@ -164,7 +164,7 @@
                         observation.getSilentMs());
             }
         }
-        if (view.leases().earlierLeasesMayRun()) {
+        if (view.leases().previousLeadersLeasesMayBeValid()) {
             adoptHoldings(request, proxy);
         }
     }
@@ -187,7 +187,7 @@
             quietStepAt = now;
         }
         publish();
-        long oldestVersion = view.leases().oldestVersion();
+        long oldestVersion = view.leases().oldestActiveVersion();
         Map<String, List<FailoverEffect>> effects = new LinkedHashMap<>();
         for (GroupState group : groups.values()) {
             if (quietStep || group.isActive()) {
@@ -254,13 +254,13 @@
             return;
         }
         proxiesChanged = false;
-        candidates = new HolderCandidates(view.leases().living());
+        candidates = new HolderCandidates(view.leases().liveProxies());
         view.publishProxies();
         holdersUnsettled = true;
     }
 
     private void assignHolders() {
-        boolean mayAssign = !view.leases().earlierLeasesMayRun();
+        boolean mayAssign = !view.leases().previousLeadersLeasesMayBeValid();
         if (!holdersUnsettled || !mayAssign) {
             return;
         }
@@ -271,7 +271,7 @@
                         database,
                         candidates,
                         view.nextVersion(),
-                        (id, version) -> view.leases().isOver(id, version),
+                        (id, version) -> view.leases().isReleased(id, version),
                         true);
                 if (changed) {
                     group.markChanged();
--- a/control/src/main/java/org/hornbeamspread/control/view/ViewPublisher.java
+++ b/control/src/main/java/org/hornbeamspread/control/view/ViewPublisher.java
@@ -83,13 +83,13 @@
     public void publish(Configuration next) {
         if (next.getVersion() != configuration.getVersion()) {
             configuration = next;
-            configurationVersion = groups.raise();
+            configurationVersion = groups.incrementVersion();
         }
     }
 
     /** Publishes that the living proxies changed. */
     public void publishProxies() {
-        proxiesVersion = groups.raise();
+        proxiesVersion = groups.incrementVersion();
     }
 
     /** The version that first showed a group's term; {@link Long#MAX_VALUE} when that term is not published. */
@@ -105,7 +105,7 @@
 
     /** All living proxies. */
     public List<ProxyEntry> proxies() {
-        return wire(leases.living());
+        return wire(leases.liveProxies());
     }
 
     /** The version that a proxy holds of this view; 0 for a view of another leader. */
--- a/core/src/main/java/org/hornbeamspread/core/dissemination/Lease.java
+++ b/core/src/main/java/org/hornbeamspread/core/dissemination/Lease.java
@@ -12,7 +12,7 @@
  * @param viewVersion the version of the view that it is for
  * @param until the first instant at which it no longer holds
  */
-public record Lease(long leaderTerm, long viewVersion, Instant until) {
+public record Lease(long leaderTerm, long viewVersion, Instant expiresAt) {
     /** No lease at all. */
     public static final Lease NONE = new Lease(0, 0, Instant.EPOCH);
 
@@ -24,13 +24,13 @@
     }
 
     /** Whether it holds at an instant. */
-    public boolean holdsAt(Instant now) {
-        return now.isBefore(until);
+    public boolean isValidAt(Instant now) {
+        return now.isBefore(expiresAt);
     }
 
     /** How much is left at an instant; zero when it has run out. */
     public Duration remainingAt(Instant now) {
-        return holdsAt(now) ? Duration.between(now, until) : Duration.ZERO;
+        return isValidAt(now) ? Duration.between(now, expiresAt) : Duration.ZERO;
     }
 
     /** Whether this lease is for a later view than another: by leader's term, then version. */
--- a/core/src/main/java/org/hornbeamspread/core/dissemination/LeaseRelay.java
+++ b/core/src/main/java/org/hornbeamspread/core/dissemination/LeaseRelay.java
@@ -33,13 +33,13 @@
  */
 public final class LeaseRelay {
     private final Clock clock;
-    private final Duration longestLease;
+    private final Duration maxLeaseDuration;
 
     /** The leases handed out under the present leader. */
-    private ViewLeases<String> proxies;
+    private ViewLeases<String> proxyLeases;
 
     /** What the leader granted; NONE until the first answer. */
-    private Lease upstream = Lease.NONE;
+    private Lease leaderLease = Lease.NONE;
 
     /**
      * A relay that has just started.
@@ -49,24 +49,24 @@
      */
     public LeaseRelay(Clock clock, Duration longestLease) {
         this.clock = clock;
-        this.longestLease = longestLease;
-        this.proxies = new ViewLeases<>(clock, longestLease);
+        this.maxLeaseDuration = longestLease;
+        this.proxyLeases = new ViewLeases<>(clock, longestLease);
     }
 
     /**
      * The leader answered a renewal that was sent at {@code sentAt}. An answer that is older than what is held, by term
      * and version, changes nothing.
      */
-    public void onUpstream(Instant sentAt, long leaderTerm, long viewVersion, Duration lease) {
+    public void onLeaderResponse(Instant sentAt, long leaderTerm, long viewVersion, Duration lease) {
         Lease answered = new Lease(leaderTerm, viewVersion, sentAt.plus(lease));
-        if (upstream.isLaterThan(answered)) {
+        if (leaderLease.isLaterThan(answered)) {
             return;
         }
-        if (upstream.leaderTerm() != 0 && leaderTerm != upstream.leaderTerm()) {
-            proxies = new ViewLeases<>(clock, longestLease);
+        if (leaderLease.leaderTerm() != 0 && leaderTerm != leaderLease.leaderTerm()) {
+            proxyLeases = new ViewLeases<>(clock, maxLeaseDuration);
         }
-        if (answered.isLaterThan(upstream) || answered.until().isAfter(upstream.until())) {
-            upstream = answered;
+        if (answered.isLaterThan(leaderLease) || answered.expiresAt().isAfter(leaderLease.expiresAt())) {
+            leaderLease = answered;
         }
     }
 
@@ -79,19 +79,19 @@
      * @param heldViewVersion the version that the proxy holds, 0 for none
      */
     public Lease renew(String proxyId, long heldLeaderTerm, long heldViewVersion) {
-        if (!upstream.holdsAt(clock.instant())) {
+        if (!leaderLease.isValidAt(clock.instant())) {
             return Lease.NONE;
         }
-        if (heldLeaderTerm == upstream.leaderTerm()) {
-            proxies.confirm(proxyId, heldViewVersion);
+        if (heldLeaderTerm == leaderLease.leaderTerm()) {
+            proxyLeases.confirm(proxyId, heldViewVersion);
         }
-        proxies.grantUntil(proxyId, proxyId, upstream.viewVersion(), upstream.until());
-        return upstream;
+        proxyLeases.grantUntil(proxyId, proxyId, leaderLease.viewVersion(), leaderLease.expiresAt());
+        return leaderLease;
     }
 
     /** The version to confirm with the next renewal: the oldest that any proxy may still act on; 0 when not known. */
     public long confirmedVersion() {
-        proxies.expire();
-        return Math.min(upstream.viewVersion(), proxies.oldestVersion());
+        proxyLeases.expire();
+        return Math.min(leaderLease.viewVersion(), proxyLeases.oldestActiveVersion());
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/dissemination/VersionedView.java
+++ b/core/src/main/java/org/hornbeamspread/core/dissemination/VersionedView.java
@@ -18,9 +18,9 @@
     private final Map<String, Versioned<V>> entries = new HashMap<>();
 
     /** Which key changed at which version; one entry for each key, at its latest change. */
-    private final NavigableMap<Long, String> changes = new TreeMap<>();
+    private final NavigableMap<Long, String> keysByVersion = new TreeMap<>();
 
-    private final Map<String, Long> removed = new HashMap<>();
+    private final Map<String, Long> tombstones = new HashMap<>();
     private long version;
 
     /** The latest version; 0 while nothing was ever put. */
@@ -35,11 +35,11 @@
 
     /** Puts a value that may carry the version of its change. */
     public V put(String key, LongFunction<V> value) {
-        forget(key);
+        discard(key);
         version++;
         V made = value.apply(version);
         entries.put(key, new Versioned<>(version, made));
-        changes.put(version, key);
+        keysByVersion.put(version, key);
         return made;
     }
 
@@ -48,10 +48,10 @@
         if (!entries.containsKey(key)) {
             return false;
         }
-        forget(key);
+        discard(key);
         version++;
-        removed.put(key, version);
-        changes.put(version, key);
+        tombstones.put(key, version);
+        keysByVersion.put(version, key);
         return true;
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** Raises the version for a change outside the map, which {@link #changesSince} leaves out. */
-    public long raise() {
+    public long incrementVersion() {
         version++;
         return version;
     }
@@ -70,7 +70,7 @@
     /** The values that changed after a version, in the order of their changes; all of them for 0. */
     public List<V> changesSince(long known) {
         List<V> values = new ArrayList<>();
-        for (String key : changes.tailMap(known, false).values()) {
+        for (String key : keysByVersion.tailMap(known, false).values()) {
             Versioned<V> entry = entries.get(key);
             if (entry != null) {
                 values.add(entry.value);
@@ -81,19 +81,19 @@
 
     /** The keys that were removed after a version. */
     public List<String> removedSince(long known) {
-        return changes.tailMap(known, false).values().stream()
-                .filter(removed::containsKey)
+        return keysByVersion.tailMap(known, false).values().stream()
+                .filter(tombstones::containsKey)
                 .toList();
     }
 
-    private void forget(String key) {
+    private void discard(String key) {
         Versioned<V> old = entries.remove(key);
         if (old != null) {
-            changes.remove(old.version);
+            keysByVersion.remove(old.version);
         }
-        Long removedAt = removed.remove(key);
+        Long removedAt = tombstones.remove(key);
         if (removedAt != null) {
-            changes.remove(removedAt);
+            keysByVersion.remove(removedAt);
         }
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/dissemination/ViewLeases.java
+++ b/core/src/main/java/org/hornbeamspread/core/dissemination/ViewLeases.java
@@ -36,15 +36,15 @@
     private static final double CLOCK_RATE_MARGIN = 0.01;
 
     private final Clock clock;
-    private final Duration countedLease;
-    private final Instant earlierLeasesEnd;
+    private final Duration leaseWithMargin;
+    private final Instant previousLeadersLeasesExpireAt;
     private final Map<String, Entry<P>> entries = new HashMap<>();
 
     /** Starts at the moment this leader was elected or later. */
     public ViewLeases(Clock clock, Duration lease) {
         this.clock = clock;
-        this.countedLease = lease.plusNanos((long) (lease.toNanos() * CLOCK_RATE_MARGIN));
-        this.earlierLeasesEnd = clock.instant().plus(countedLease);
+        this.leaseWithMargin = lease.plusNanos((long) (lease.toNanos() * CLOCK_RATE_MARGIN));
+        this.previousLeadersLeasesExpireAt = clock.instant().plus(leaseWithMargin);
     }
 
     /** Notes that a proxy holds a view of this leader's. Without a running lease there is nothing to note. */
@@ -57,7 +57,7 @@
 
     /** Notes a lease whose answer carries a view version, for a request that arrived at the given time. */
     public void grant(String proxyId, P proxy, long version, Instant arrivedAt) {
-        grantUntil(proxyId, proxy, version, arrivedAt.plus(countedLease));
+        grantUntil(proxyId, proxy, version, arrivedAt.plus(leaseWithMargin));
     }
 
     /** Notes a lease whose answer carries a view version, and that has certainly run out at an instant. */
@@ -68,7 +68,7 @@
         Grant last = entry.grants.peekLast();
         if (last != null && last.version == version) {
             entry.grants.removeLast();
-            until = until.isAfter(last.until) ? until : last.until;
+            until = until.isAfter(last.expiresAt) ? until : last.expiresAt;
         }
         entry.grants.addLast(new Grant(version, until));
     }
@@ -80,7 +80,7 @@
         Iterator<Map.Entry<String, Entry<P>>> all = entries.entrySet().iterator();
         while (all.hasNext()) {
             Map.Entry<String, Entry<P>> next = all.next();
-            next.getValue().dropEnded(now);
+            next.getValue().removeExpiredGrants(now);
             if (next.getValue().grants.isEmpty()) {
                 expired.add(next.getKey());
                 all.remove();
@@ -90,26 +90,26 @@
     }
 
     /** Whether leases of earlier leaders may still run. */
-    public boolean earlierLeasesMayRun() {
-        return clock.instant().isBefore(earlierLeasesEnd);
+    public boolean previousLeadersLeasesMayBeValid() {
+        return clock.instant().isBefore(previousLeadersLeasesExpireAt);
     }
 
     /** The oldest version that any proxy may still act on; {@link Long#MAX_VALUE} when no lease runs. */
-    public long oldestVersion() {
-        if (earlierLeasesMayRun()) {
+    public long oldestActiveVersion() {
+        if (previousLeadersLeasesMayBeValid()) {
             return 0;
         }
         Instant now = clock.instant();
         return entries.values().stream()
-                .mapToLong(entry -> entry.oldestVersion(now))
+                .mapToLong(entry -> entry.oldestActiveVersion(now))
                 .min()
                 .orElse(Long.MAX_VALUE);
     }
 
     /** Whether one proxy can't act on a view older than this version any longer, as far as this leader granted it. */
-    public boolean isOver(String proxyId, long version) {
+    public boolean isReleased(String proxyId, long version) {
         Entry<P> entry = entries.get(proxyId);
-        return entry == null || entry.oldestVersion(clock.instant()) >= version;
+        return entry == null || entry.oldestActiveVersion(clock.instant()) >= version;
     }
 
     /** What is known of a proxy with a lease. */
@@ -123,12 +123,12 @@
     }
 
     /** All proxies with a lease. */
-    public Collection<P> living() {
+    public Collection<P> liveProxies() {
         return entries.values().stream().map(entry -> entry.proxy).toList();
     }
 
     /** A lease granted with a view. */
-    private record Grant(long version, Instant until) {}
+    private record Grant(long version, Instant expiresAt) {}
 
     /** One proxy's leases, in the order of their versions. */
     private static final class Entry<P> {
@@ -137,16 +137,16 @@
         private long confirmedVersion;
 
         /** It holds what it confirmed, or else some view that a running lease was granted with. */
-        long oldestVersion(Instant now) {
+        long oldestActiveVersion(Instant now) {
             return grants.stream()
-                    .filter(grant -> grant.until.isAfter(now))
+                    .filter(grant -> grant.expiresAt.isAfter(now))
                     .mapToLong(grant -> Math.max(grant.version, confirmedVersion))
                     .min()
                     .orElse(Long.MAX_VALUE);
         }
 
-        void dropEnded(Instant now) {
-            grants.removeIf(grant -> !grant.until.isAfter(now));
+        void removeExpiredGrants(Instant now) {
+            grants.removeIf(grant -> !grant.expiresAt.isAfter(now));
         }
     }
 }
--- a/core/src/test/java/org/hornbeamspread/core/dissemination/LeaseRelayTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/dissemination/LeaseRelayTest.java
@@ -21,9 +21,9 @@
     private final PausedClock clock = new PausedClock();
 
     @Test
-    void aRelayCutOffFromTheLeaderProlongsNothing() {
+    void aRelayPartitionedFromTheLeaderDoesNotExtendLeases() {
         LeaseRelay relay = new LeaseRelay(clock, LEASE);
-        relay.onUpstream(clock.instant(), 1, 7, LEASE);
+        relay.onLeaderResponse(clock.instant(), 1, 7, LEASE);
         clock.advance(Duration.ofMillis(900));
         assertThat(relay.renew("p1", 1, 7).remainingAt(clock.instant())).isEqualTo(Duration.ofMillis(100));
         clock.advance(Duration.ofMillis(100));
@@ -31,22 +31,22 @@
     }
 
     @Test
-    void aRestartedRelayConfirmsNothingUntilOldLeasesAreOver() {
+    void aRestartedRelayConfirmsNoVersionUntilEarlierLeasesExpire() {
         LeaseRelay relay = new LeaseRelay(clock, LEASE);
-        relay.onUpstream(clock.instant(), 1, 7, LEASE);
+        relay.onLeaderResponse(clock.instant(), 1, 7, LEASE);
         assertThat(relay.confirmedVersion()).isEqualTo(0);
         clock.advance(LEASE.multipliedBy(2));
-        relay.onUpstream(clock.instant(), 1, 8, LEASE);
+        relay.onLeaderResponse(clock.instant(), 1, 8, LEASE);
         assertThat(relay.confirmedVersion()).isEqualTo(8);
     }
 
     @ParameterizedTest
     @CsvSource({"0, 8", "8, 8", "9, 9"})
-    void theOldestViewBehindTheRelayIsConfirmed(long confirmedByLaggard, long confirmed) {
-        LeaseRelay relay = relayWithLeaseOn(8);
+    void theRelayConfirmsTheOldestVersionThatAProxyMayActOn(long confirmedByLaggard, long confirmed) {
+        LeaseRelay relay = relayWithLeaseForVersion(8);
         relay.renew("p1", 0, 0);
         relay.renew("p2", 0, 0);
-        relay.onUpstream(clock.instant(), 1, 9, LEASE);
+        relay.onLeaderResponse(clock.instant(), 1, 9, LEASE);
         relay.renew("p1", 1, 9);
         if (confirmedByLaggard > 0) {
             relay.renew("p2", 1, confirmedByLaggard);
@@ -55,22 +55,22 @@
     }
 
     @Test
-    void aProxyThatNeverGetsAnAnswerHoldsTheOthersUpForOneLeaseOnly() {
-        LeaseRelay relay = relayWithLeaseOn(8);
+    void aProxyThatReceivesNoResponseDelaysConfirmationForAtMostOneLease() {
+        LeaseRelay relay = relayWithLeaseForVersion(8);
         relay.renew("p1", 0, 0);
-        relay.onUpstream(clock.instant(), 1, 9, LEASE);
+        relay.onLeaderResponse(clock.instant(), 1, 9, LEASE);
         for (int i = 0; i < 10; i++) {
             clock.advance(LEASE.dividedBy(10));
-            relay.onUpstream(clock.instant(), 1, 9, LEASE);
+            relay.onLeaderResponse(clock.instant(), 1, 9, LEASE);
             relay.renew("p1", 0, 0);
         }
         assertThat(relay.confirmedVersion()).isEqualTo(9);
     }
 
-    private LeaseRelay relayWithLeaseOn(long version) {
+    private LeaseRelay relayWithLeaseForVersion(long version) {
         LeaseRelay relay = new LeaseRelay(clock, LEASE);
         clock.advance(LEASE.multipliedBy(2));
-        relay.onUpstream(clock.instant(), 1, version, LEASE);
+        relay.onLeaderResponse(clock.instant(), 1, version, LEASE);
         return relay;
     }
 
@@ -80,7 +80,7 @@
      */
     @ParameterizedTest
     @CsvSource({"SAFE, false", "FULL_LEASE, true", "OWN_VERSION, true", "NO_RESTART_WAIT, true"})
-    void theLeadersRecordCoversEveryProxy(Walk.Rule rule, boolean breaks) {
+    void theLeadersRecordForTheRelayCoversEveryProxy(Walk.Variant rule, boolean breaks) {
         boolean broken = false;
         for (long seed = 1; seed <= 200; seed++) {
             broken |= new Walk(seed, rule).run();
@@ -90,34 +90,34 @@
 
     /** One leader, one relay, three proxies, and messages that take from 0 to 400 ms. */
     private static final class Walk {
-        enum Rule {
+        enum Variant {
             SAFE,
             FULL_LEASE,
             OWN_VERSION,
             NO_RESTART_WAIT
         }
 
-        private record Delivery(Instant at, Runnable effect) {}
+        private record Delivery(Instant deliverAt, Runnable action) {}
 
         private final PausedClock clock = new PausedClock();
         private final RandomGenerator random;
-        private final Rule rule;
-        private final Deque<Delivery> network = new ArrayDeque<>();
-        private final List<Lease> proxies = new ArrayList<>(List.of(Lease.NONE, Lease.NONE, Lease.NONE));
+        private final Variant rule;
+        private final Deque<Delivery> pendingDeliveries = new ArrayDeque<>();
+        private final List<Lease> proxyLeases = new ArrayList<>(List.of(Lease.NONE, Lease.NONE, Lease.NONE));
         private LeaseRelay relay;
 
         /** The relay's last answer, which the broken rules hand on in place of what the relay decides. */
-        private Lease relayView = Lease.NONE;
+        private Lease lastLeaderLease = Lease.NONE;
 
-        private int relayRun;
-        private long viewVersion = 1;
+        private int relayIncarnation;
+        private long currentVersion = 1;
 
         /** What the leader knows of the relay. */
-        private long confirmedVersion;
+        private long leaderConfirmedVersion;
 
-        private Instant relayLeaseUntil = Instant.EPOCH;
+        private Instant relayLeaseExpiresAt = Instant.EPOCH;
 
-        Walk(long seed, Rule rule) {
+        Walk(long seed, Variant rule) {
             this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
             this.rule = rule;
             restartRelay();
@@ -127,52 +127,53 @@
         boolean run() {
             for (int step = 0; step < 600; step++) {
                 clock.advance(Duration.ofMillis(random.nextInt(60)));
-                deliver();
-                act();
-                if (broken()) {
+                deliverDueMessages();
+                performRandomAction();
+                if (invariantViolated()) {
                     return true;
                 }
             }
             return false;
         }
 
-        private boolean broken() {
+        private boolean invariantViolated() {
             Instant now = clock.instant();
-            long inUseFrom = now.isBefore(relayLeaseUntil) ? confirmedVersion : viewVersion;
-            return proxies.stream().anyMatch(lease -> lease.holdsAt(now) && lease.viewVersion() < inUseFrom);
+            long inUseFrom = now.isBefore(relayLeaseExpiresAt) ? leaderConfirmedVersion : currentVersion;
+            return proxyLeases.stream().anyMatch(lease -> lease.isValidAt(now) && lease.viewVersion() < inUseFrom);
         }
 
-        private void act() {
+        private void performRandomAction() {
             switch (random.nextInt(10)) {
-                case 0 -> viewVersion++;
+                case 0 -> currentVersion++;
                 case 1, 2, 3 -> renewRelay();
                 case 4 -> {
                     if (random.nextInt(20) == 0) {
                         restartRelay();
                     }
                 }
-                default -> renewProxy(random.nextInt(proxies.size()));
+                default -> renewProxy(random.nextInt(proxyLeases.size()));
             }
         }
 
         private void restartRelay() {
-            relay = new LeaseRelay(clock, rule == Rule.NO_RESTART_WAIT ? Duration.ZERO : LEASE);
-            relayView = Lease.NONE;
-            relayRun++;
+            relay = new LeaseRelay(clock, rule == Variant.NO_RESTART_WAIT ? Duration.ZERO : LEASE);
+            lastLeaderLease = Lease.NONE;
+            relayIncarnation++;
         }
 
         private void renewRelay() {
             Instant sentAt = clock.instant();
-            long confirmed = rule == Rule.OWN_VERSION ? relayView.viewVersion() : relay.confirmedVersion();
-            int run = relayRun;
+            long confirmed = rule == Variant.OWN_VERSION ? lastLeaderLease.viewVersion() : relay.confirmedVersion();
+            int run = relayIncarnation;
             send(() -> {
-                confirmedVersion = Math.max(confirmedVersion, confirmed);
-                relayLeaseUntil = clock.instant().plus(LEASE);
-                long granted = viewVersion;
+                leaderConfirmedVersion = Math.max(leaderConfirmedVersion, confirmed);
+                relayLeaseExpiresAt = clock.instant().plus(LEASE);
+                long granted = currentVersion;
                 send(() -> {
-                    if (run == relayRun) {
-                        relay.onUpstream(sentAt, 1, granted, LEASE);
-                        relayView = new Lease(1, Math.max(granted, relayView.viewVersion()), sentAt.plus(LEASE));
+                    if (run == relayIncarnation) {
+                        relay.onLeaderResponse(sentAt, 1, granted, LEASE);
+                        lastLeaderLease =
+                                new Lease(1, Math.max(granted, lastLeaderLease.viewVersion()), sentAt.plus(LEASE));
                     }
                 });
             });
@@ -180,16 +181,17 @@
 
         private void renewProxy(int index) {
             Instant sentAt = clock.instant();
-            long held = proxies.get(index).viewVersion();
+            long held = proxyLeases.get(index).viewVersion();
             send(() -> {
                 Lease granted = relay.renew("p" + index, held == 0 ? 0 : 1, held);
-                Duration lease = rule == Rule.FULL_LEASE ? LEASE : granted.remainingAt(clock.instant());
-                long version = rule == Rule.FULL_LEASE ? relayView.viewVersion() : granted.viewVersion();
+                Duration lease = rule == Variant.FULL_LEASE ? LEASE : granted.remainingAt(clock.instant());
+                long version = rule == Variant.FULL_LEASE ? lastLeaderLease.viewVersion() : granted.viewVersion();
                 send(() -> {
                     Lease answered = new Lease(1, version, sentAt.plus(lease));
-                    if (!proxies.get(index).isLaterThan(answered)
-                            && answered.until().isAfter(proxies.get(index).until())) {
-                        proxies.set(index, answered);
+                    if (!proxyLeases.get(index).isLaterThan(answered)
+                            && answered.expiresAt()
+                                    .isAfter(proxyLeases.get(index).expiresAt())) {
+                        proxyLeases.set(index, answered);
                     }
                 });
             });
@@ -197,15 +199,15 @@
 
         private void send(Runnable effect) {
             if (random.nextInt(8) > 0) {
-                network.add(new Delivery(clock.instant().plusMillis(random.nextInt(400)), effect));
+                pendingDeliveries.add(new Delivery(clock.instant().plusMillis(random.nextInt(400)), effect));
             }
         }
 
-        private void deliver() {
-            for (Delivery delivery : List.copyOf(network)) {
-                if (!delivery.at().isAfter(clock.instant())) {
-                    network.remove(delivery);
-                    delivery.effect().run();
+        private void deliverDueMessages() {
+            for (Delivery delivery : List.copyOf(pendingDeliveries)) {
+                if (!delivery.deliverAt().isAfter(clock.instant())) {
+                    pendingDeliveries.remove(delivery);
+                    delivery.action().run();
                 }
             }
         }
--- a/core/src/test/java/org/hornbeamspread/core/dissemination/VersionedViewTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/dissemination/VersionedViewTest.java
@@ -17,7 +17,7 @@
     /** A reader that applies deltas from any version on holds what a reader of everything holds. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void deltasLeadToTheSameMap(long seed) {
+    void applyingDeltasYieldsTheSameMap(long seed) {
         Random random = new Random(seed);
         VersionedView<String> view = new VersionedView<>();
         Map<String, String> truth = new HashMap<>();
