--- a/core/src/test/java/org/hornbeamspread/core/dissemination/LeaseRelayTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/dissemination/LeaseRelayTest.java
@@ -80,16 +80,16 @@
      */
     @ParameterizedTest
     @CsvSource({"SAFE, false", "FULL_LEASE, true", "OWN_VERSION, true", "NO_RESTART_WAIT, true"})
-    void theLeadersRecordForTheRelayCoversEveryProxy(Walk.Variant rule, boolean breaks) {
+    void theLeadersRecordForTheRelayCoversEveryProxy(RandomizedRun.Variant rule, boolean breaks) {
         boolean broken = false;
         for (long seed = 1; seed <= 200; seed++) {
-            broken |= new Walk(seed, rule).run();
+            broken |= new RandomizedRun(seed, rule).run();
         }
         assertThat(broken).isEqualTo(breaks);
     }
 
     /** One leader, one relay, three proxies, and messages that take from 0 to 400 ms. */
-    private static final class Walk {
+    private static final class RandomizedRun {
         enum Variant {
             SAFE,
             FULL_LEASE,
@@ -117,7 +117,7 @@
 
         private Instant relayLeaseExpiresAt = Instant.EPOCH;
 
-        Walk(long seed, Variant rule) {
+        RandomizedRun(long seed, Variant rule) {
             this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
             this.rule = rule;
             restartRelay();
