--- a/bench/src/main/java/org/hornbeamspread/bench/ControlMessageBenchmark.java
+++ b/bench/src/main/java/org/hornbeamspread/bench/ControlMessageBenchmark.java
@@ -46,7 +46,7 @@
     public Kind kind;
 
     private Envelope envelope;
-    private long request;
+    private long requestCount;
 
     /** The size of the encoded frame, reported beside the times. */
     @State(Scope.Thread)
@@ -66,7 +66,7 @@
             case LEASE_UNCHANGED -> Envelope.newBuilder().setViewLease(lease()).build();
             case LEASE_ONE_GROUP ->
                 Envelope.newBuilder()
-                        .setViewLease(lease().toBuilder().addGroups(Views.group(1)))
+                        .setViewLease(lease().toBuilder().addGroups(SampleViews.groupView(1)))
                         .build();
             case ANNOUNCEMENT ->
                 Envelope.newBuilder().setAnnounce(announcement()).build();
@@ -80,7 +80,7 @@
     public Envelope encodeAndDecode(Size size) throws InvalidProtocolBufferException {
         byte[] frame = envelope.toBuilder()
                 .setProtocolVersion(1)
-                .setRequestId(1_000_000 + request++ % 1_000)
+                .setRequestId(1_000_000 + requestCount++ % 1_000)
                 .build()
                 .toByteArray();
         size.frameBytes = (long) frame.length + Integer.BYTES;
@@ -89,7 +89,7 @@
 
     private static RenewView renewal(int observations) {
         RenewView.Builder renewal = RenewView.newBuilder()
-                .setProxy(Views.proxy(1_234))
+                .setProxy(SampleViews.proxyEntry(1_234))
                 .setLeaderTerm(7)
                 .setViewVersion(1_000_000);
         for (int i = 0; i < observations; i++) {
@@ -114,7 +114,7 @@
                 .setDatabaseId("rental-core-1-0")
                 .setGroup("rental-core-1")
                 .setIncarnation(1_760_000_000_000L)
-                .setEndpoint(Views.proxy(1).getPeer())
+                .setEndpoint(SampleViews.proxyEntry(1).getPeer())
                 .setFailureDomain("domain-1")
                 .setRegion("region-1")
                 .setSlots(5)
--- a/bench/src/main/java/org/hornbeamspread/bench/LeaseRelayBenchmark.java
+++ b/bench/src/main/java/org/hornbeamspread/bench/LeaseRelayBenchmark.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 import org.hornbeamspread.core.dissemination.Lease;
 import org.hornbeamspread.core.dissemination.LeaseRelay;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Mode;
@@ -25,14 +25,14 @@
     @Param({"10", "100", "500", "5000"})
     public int proxies;
 
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private String[] proxyIds;
     private LeaseRelay relay;
-    private int next;
+    private int nextProxyIndex;
 
     /** Leases all proxies once. */
     @Setup
-    public void lease() {
+    public void grantLeases() {
         relay = new LeaseRelay(clock, LEASE);
         clock.advance(LEASE.multipliedBy(2));
         relay.onLeaderResponse(clock.instant(), 1, 1, LEASE);
@@ -46,8 +46,8 @@
     /** One renewal of a proxy. */
     @Benchmark
     public Lease renewOneProxy() {
-        next = (next + 1) % proxies;
-        return relay.renew(proxyIds[next], 1, 1);
+        nextProxyIndex = (nextProxyIndex + 1) % proxies;
+        return relay.renew(proxyIds[nextProxyIndex], 1, 1);
     }
 
     /** What the relay confirms upstream. */
--- a/bench/src/main/java/org/hornbeamspread/bench/RefusalBenchmark.java
+++ b/bench/src/main/java/org/hornbeamspread/bench/RefusalBenchmark.java
@@ -26,10 +26,12 @@
     /** One refusal. */
     @Benchmark
     public FailureException refuse() {
-        return refuseAt(depth);
+        return refuseAtDepth(depth);
     }
 
-    private static FailureException refuseAt(int left) {
-        return left == 0 ? new FailureException(FailureType.QUEUE_FULL, "urgent", RETRY_AFTER) : refuseAt(left - 1);
+    private static FailureException refuseAtDepth(int left) {
+        return left == 0
+                ? new FailureException(FailureType.QUEUE_FULL, "urgent", RETRY_AFTER)
+                : refuseAtDepth(left - 1);
     }
 }
--- a/bench/src/main/java/org/hornbeamspread/bench/ViewCodecBenchmark.java
+++ b/bench/src/main/java/org/hornbeamspread/bench/ViewCodecBenchmark.java
@@ -36,7 +36,7 @@
     /** Builds and encodes the view. */
     @Setup
     public void build() {
-        view = Views.full(databases);
+        view = SampleViews.fullView(databases);
         encoded = view.toByteArray();
     }
 
--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
@@ -13,7 +13,7 @@
 import org.hornbeamspread.control.CommandResult;
 import org.hornbeamspread.control.Leadership;
 import org.hornbeamspread.control.ReplicatedLog;
-import org.hornbeamspread.core.misc.ClockGuard;
+import org.hornbeamspread.core.misc.ClockJumpDetector;
 import org.hornbeamspread.core.misc.EventLog;
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
@@ -80,7 +80,7 @@
         this.events = events;
         this.thread = new DutyThread<>("routes", RING_EVENTS, Runnable::run, TICK_INTERVAL, this::tick);
         this.heard = new HeardDatabases(clock, events);
-        this.watchers = new WatchingProxies(clock, new ClockGuard(clock, timeOfDay));
+        this.watchers = new WatchingProxies(clock, new ClockJumpDetector(clock, timeOfDay));
         this.promotions = new ServicePromotions(
                 memberId, log, databases, orders, clock, events, metrics, thread::offer, watchers);
     }
--- a/control/src/main/java/org/hornbeamspread/control/routes/SqlAdministration.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/SqlAdministration.java
@@ -64,8 +64,8 @@
 
     @Override
     public CompletableFuture<Optional<LogPosition>> provePrimary(DatabaseInstance instance) {
-        List<SqlRequest> probe =
-                List.of(SqlRequest.own(new SqlStatement.Begin(false)), SqlRequest.own(new SqlStatement.Rollback()));
+        List<SqlRequest> probe = List.of(
+                SqlRequest.internal(new SqlStatement.Begin(false)), SqlRequest.internal(new SqlStatement.Rollback()));
         return send(instance, probe).thenApply(begun -> begun.isSuccess() ? begun.position() : Optional.empty());
     }
 
@@ -82,8 +82,8 @@
     }
 
     private CompletableFuture<ReplicaStatus> command(DatabaseInstance instance, SqlStatement statement) {
-        return send(instance, List.of(SqlRequest.own(statement))).thenApply(result -> {
-            if (result.is(SqlError.BUSY)) {
+        return send(instance, List.of(SqlRequest.internal(statement))).thenApply(result -> {
+            if (result.hasError(SqlError.BUSY)) {
                 throw new FailureException(FailureType.QUEUE_FULL, instance.instanceId());
             }
             return decoder.apply(result);
--- a/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Consumer;
-import org.hornbeamspread.core.misc.ClockGuard;
+import org.hornbeamspread.core.misc.ClockJumpDetector;
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.LogPosition;
 import org.hornbeamspread.protocol.schema.ControlMember;
@@ -51,10 +51,10 @@
     /** The latest proof of each service's primary; dropped when the clock can't tell its age any more. */
     private final Map<String, Proof> proofs = new HashMap<>();
 
-    private final ClockGuard guard;
+    private final ClockJumpDetector guard;
     private long epoch;
 
-    WatchingProxies(Clock clock, ClockGuard guard) {
+    WatchingProxies(Clock clock, ClockJumpDetector guard) {
         this.clock = clock;
         this.guard = guard;
     }
--- a/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
@@ -19,7 +19,7 @@
 import org.hornbeamspread.core.membership.DatabaseRegistry;
 import org.hornbeamspread.core.membership.DatabaseRole;
 import org.hornbeamspread.core.misc.FailureException;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.hornbeamspread.protocol.schema.Configuration;
 import org.hornbeamspread.protocol.schema.ControlCommand;
 import org.hornbeamspread.protocol.schema.ControlRecord;
@@ -44,7 +44,7 @@
     private static final int ANNOUNCE_STEPS = 15;
     private static final List<String> DOMAINS = List.of("bole", "piassa", "sabian");
 
-    final PausedClock clock = new PausedClock();
+    final ManualClock clock = new ManualClock();
     final List<FakeDatabase> databases = new ArrayList<>();
     final List<FakeProxy> proxies = new ArrayList<>();
     final ControlStateMachine log = new ControlStateMachine();
--- a/control/src/test/java/org/hornbeamspread/control/failover/FakeProxy.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/FakeProxy.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.hornbeamspread.protocol.schema.DatabaseEntry;
 import org.hornbeamspread.protocol.schema.GroupView;
 import org.hornbeamspread.protocol.schema.HeldDatabase;
@@ -31,7 +31,7 @@
 
     boolean draining;
 
-    FakeProxy(String id, String failureDomain, PausedClock clock) {
+    FakeProxy(String id, String failureDomain, ManualClock clock) {
         this.id = id;
         this.failureDomain = failureDomain;
         this.clock = clock;
--- a/control/src/test/java/org/hornbeamspread/control/routes/HeardDatabasesTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/HeardDatabasesTest.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.hornbeamspread.core.membership.Address;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.hornbeamspread.core.route.DatabaseInstance;
 import org.hornbeamspread.protocol.schema.ControlState;
 import org.hornbeamspread.protocol.schema.GroupTerm;
@@ -19,7 +19,7 @@
 final class HeardDatabasesTest {
     private static final long SILENCE_LIMIT_MS = 12_000;
 
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private final List<String> events = new ArrayList<>();
     private final HeardDatabases heard =
             new HeardDatabases(clock, (event, fields) -> events.add(event + " " + fields[1] + " " + fields[3]));
--- a/control/src/test/java/org/hornbeamspread/control/routes/RouteControlTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/RouteControlTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.hornbeamspread.core.membership.Address;
 import org.hornbeamspread.core.misc.EventLog;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.hornbeamspread.core.route.DatabaseInstance;
 import org.hornbeamspread.protocol.schema.Envelope;
 import org.hornbeamspread.protocol.schema.RegisteredInstance;
@@ -26,7 +26,7 @@
     private static final long ANSWER_LIMIT_SECONDS = 20;
     private static final Duration PAST_SILENCE = Duration.ofMillis(12_001);
 
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private final ImmediateLog log = new ImmediateLog();
     private final RouteControl control = new RouteControl(
             "c1",
--- a/control/src/test/java/org/hornbeamspread/control/routes/WatchingProxiesTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/WatchingProxiesTest.java
@@ -5,9 +5,9 @@
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
-import org.hornbeamspread.core.misc.ClockGuard;
+import org.hornbeamspread.core.misc.ClockJumpDetector;
 import org.hornbeamspread.core.misc.LogPosition;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.hornbeamspread.protocol.schema.ControlState;
 import org.hornbeamspread.protocol.schema.Envelope;
 import org.hornbeamspread.protocol.schema.GroupTerm;
@@ -25,9 +25,9 @@
             .setRoutes(RouteConfigurationDocument.newBuilder().setVersion(7))
             .build();
 
-    private final PausedClock clock = new PausedClock();
-    private final PausedClock timeOfDay = new PausedClock();
-    private final WatchingProxies proxies = new WatchingProxies(clock, new ClockGuard(clock, timeOfDay));
+    private final ManualClock clock = new ManualClock();
+    private final ManualClock timeOfDay = new ManualClock();
+    private final WatchingProxies proxies = new WatchingProxies(clock, new ClockJumpDetector(clock, timeOfDay));
     private final List<Envelope> answers = new ArrayList<>();
 
     @BeforeEach
--- a/core/src/main/java/org/hornbeamspread/core/sql/SqlRequest.java
+++ b/core/src/main/java/org/hornbeamspread/core/sql/SqlRequest.java
@@ -6,17 +6,17 @@
 /**
  * A statement with its id.
  *
- * @param id the client's id, or {@link #OWN_ID} for a statement that the system issues itself
- * @param after the position that the database's log must hold; absent for none
+ * @param id the client's id, or {@link #INTERNAL_ID} for a statement that the system issues itself
+ * @param requiredPosition the position that the database's log must hold; absent for none
  * @param statement what to run
  */
-public record SqlRequest(String id, Optional<LogPosition> after, SqlStatement statement) {
+public record SqlRequest(String id, Optional<LogPosition> requiredPosition, SqlStatement statement) {
     /** The id of the system's own statements. */
-    public static final String OWN_ID = "-";
+    public static final String INTERNAL_ID = "-";
 
     /** A statement of the system itself. */
-    public static SqlRequest own(SqlStatement statement) {
-        return new SqlRequest(OWN_ID, Optional.empty(), statement);
+    public static SqlRequest internal(SqlStatement statement) {
+        return new SqlRequest(INTERNAL_ID, Optional.empty(), statement);
     }
 
     /** The same request, to run only on a log that holds a position. */
--- a/core/src/main/java/org/hornbeamspread/core/sql/SqlResult.java
+++ b/core/src/main/java/org/hornbeamspread/core/sql/SqlResult.java
@@ -30,12 +30,12 @@
     }
 
     /** Success without a database. */
-    public static SqlResult done(TransactionState state) {
+    public static SqlResult success(TransactionState state) {
         return new SqlResult(List.of(), NO_SIGNATURE, Optional.empty(), "", state, Optional.empty());
     }
 
     /** An error. */
-    public static SqlResult failed(SqlError error, String detail, TransactionState state) {
+    public static SqlResult failure(SqlError error, String detail, TransactionState state) {
         return new SqlResult(List.of(), NO_SIGNATURE, Optional.of(error), detail, state, Optional.empty());
     }
 
@@ -45,12 +45,12 @@
     }
 
     /** Whether the error is this one. */
-    public boolean is(SqlError expected) {
+    public boolean hasError(SqlError expected) {
         return error.filter(expected::equals).isPresent();
     }
 
     /** The same answer in another session state. */
-    public SqlResult in(TransactionState next) {
+    public SqlResult withState(TransactionState next) {
         return new SqlResult(rows, signature, error, detail, next, position);
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/sql/SqlStatement.java
+++ b/core/src/main/java/org/hornbeamspread/core/sql/SqlStatement.java
@@ -23,7 +23,7 @@
     record SetValue(String name, String value) implements SqlStatement {}
 
     /** Gives a statement's shape a name in the session. */
-    record Prepare(String name, PreparedShape shape) implements SqlStatement {}
+    record Prepare(String name, PreparedDefinition definition) implements SqlStatement {}
 
     /** Runs a prepared statement; a write has data. */
     record Execute(String name, String item, Optional<String> data) implements SqlStatement {}
@@ -52,5 +52,5 @@
      * @param write whether it writes
      * @param text the rest of its definition, not interpreted
      */
-    record PreparedShape(boolean write, String text) {}
+    record PreparedDefinition(boolean write, String text) {}
 }
--- a/core/src/test/java/org/hornbeamspread/core/acknowledgement/ViewLeaseStateTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/acknowledgement/ViewLeaseStateTest.java
@@ -4,12 +4,12 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 final class ViewLeaseStateTest {
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
 
     /** The renewal is sent, answered after a while, and checked later still. */
     @ParameterizedTest
--- a/core/src/test/java/org/hornbeamspread/core/admission/FloodSimulation.java
+++ b/core/src/test/java/org/hornbeamspread/core/admission/FloodSimulation.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 
 /**
  * A discrete-event simulation of one database: seeded Poisson arrivals for each rank, exponential service times, a
@@ -28,7 +28,7 @@
 
     private static final Duration WARM_UP = Duration.ofSeconds(10);
 
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private final Instant start = clock.instant();
     private final int slots;
     private final SlotScheduler scheduler;
--- a/core/src/test/java/org/hornbeamspread/core/admission/RankSchedulerTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/admission/RankSchedulerTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -17,7 +17,7 @@
     private static final List<RankSettings> RANKS =
             List.of(new RankSettings("ledger", 5, 20, 3), new RankSettings("urgent", 100, 40, 100));
 
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private final RankScheduler scheduler = new RankScheduler(1, RANKS, clock.instant());
     private long nextId;
 
--- a/core/src/test/java/org/hornbeamspread/core/consensus/LogHarness.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/LogHarness.java
@@ -11,14 +11,14 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 
 /** Members of one log, with the messages and disks between their steps in the hands of a test. */
 final class LogHarness {
     static final long ELECTION_TIMEOUT_MS = 100;
     static final long HEARTBEAT_MS = 20;
 
-    final PausedClock clock = new PausedClock();
+    final ManualClock clock = new ManualClock();
     final SplittableRandom random;
     final LogChecker checker = new LogChecker();
     final Map<String, Host> hosts = new TreeMap<>();
--- a/core/src/test/java/org/hornbeamspread/core/dissemination/LeaseRelayTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/dissemination/LeaseRelayTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 import java.util.random.RandomGeneratorFactory;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -18,7 +18,7 @@
 final class LeaseRelayTest {
     private static final Duration LEASE = Duration.ofSeconds(1);
 
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
 
     @Test
     void aRelayPartitionedFromTheLeaderDoesNotExtendLeases() {
@@ -99,7 +99,7 @@
 
         private record Delivery(Instant deliverAt, Runnable action) {}
 
-        private final PausedClock clock = new PausedClock();
+        private final ManualClock clock = new ManualClock();
         private final RandomGenerator random;
         private final Variant rule;
         private final Deque<Delivery> pendingDeliveries = new ArrayDeque<>();
--- a/core/src/test/java/org/hornbeamspread/core/dissemination/ViewLeasesTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/dissemination/ViewLeasesTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import java.time.Duration;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -12,7 +12,7 @@
 final class ViewLeasesTest {
     private static final Duration LEASE = Duration.ofSeconds(1);
 
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private final ViewLeases<String> leases = new ViewLeases<>(clock, LEASE);
 
     @BeforeEach
--- a/core/src/test/java/org/hornbeamspread/core/failover/FailureDetectorTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/FailureDetectorTest.java
@@ -3,7 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import java.time.Duration;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -11,7 +11,7 @@
     private static final String DATABASE = "d1";
     private static final Duration STEP = Duration.ofMillis(50);
 
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private final FailureDetector detector = new FailureDetector(clock, FailoverTimings.DEFAULT);
 
     /**
--- a/core/src/test/java/org/hornbeamspread/core/failover/PromotionSearch.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PromotionSearch.java
@@ -16,7 +16,7 @@
 import org.hornbeamspread.core.failover.FailoverEffect.Fence;
 import org.hornbeamspread.core.failover.FailoverEffect.Promote;
 import org.hornbeamspread.core.membership.DatabaseStatus;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 
 /**
  * Walks every history of one group of three databases, breadth first. What control does is asked of a fresh {@link
@@ -184,7 +184,7 @@
     }
 
     private void collect(Set<FailoverEffect> effects, GroupInput input) {
-        PausedClock clock = new PausedClock();
+        ManualClock clock = new ManualClock();
         GroupFailover failover = new GroupFailover(clock, rules, FailoverTimings.DEFAULT, FailoverListener.NONE);
         effects.addAll(failover.step(input));
         failover.proposalDone();
--- a/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import org.hornbeamspread.core.failover.SyncGroupFailover.MemberView;
 import org.hornbeamspread.core.failover.SyncGroupFailover.Situation;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.hornbeamspread.core.route.InstanceRegistry;
 import org.hornbeamspread.core.route.InstanceRegistry.Departure;
 import org.hornbeamspread.core.route.LostCopy;
@@ -72,7 +72,7 @@
     /** The latest effects and events, for the message of a failure. */
     final Deque<String> trace = new ArrayDeque<>();
 
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private final boolean traced;
     private final Random random;
     private final Disturbances disturbances;
--- a/core/src/test/java/org/hornbeamspread/core/failover/SyncGroupFailoverTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/SyncGroupFailoverTest.java
@@ -20,7 +20,7 @@
 import org.hornbeamspread.core.failover.SyncGroupFailover.Situation;
 import org.hornbeamspread.core.membership.Address;
 import org.hornbeamspread.core.misc.LogPosition;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.hornbeamspread.core.route.LostCopy;
 import org.hornbeamspread.core.sql.ReplicaStatus;
 import org.junit.jupiter.api.BeforeEach;
@@ -36,7 +36,7 @@
     private static final MemberView A = new MemberView("a", false, false, 100, false);
     private static final MemberView B = new MemberView("b", false, false, 100, false);
 
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private final SyncGroupFailover failover = new SyncGroupFailover(clock, TIMINGS);
     private List<MemberView> members = List.of(PRIMARY, A, B);
     private long token;
--- a/core/src/test/java/org/hornbeamspread/core/routing/ReplicaAgeTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/routing/ReplicaAgeTest.java
@@ -5,13 +5,13 @@
 import java.time.Duration;
 import java.time.Instant;
 import org.hornbeamspread.core.misc.LogPosition;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 final class ReplicaAgeTest {
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
 
     /** The primary is asked at 0, 100 and 200 ms and is at (1,5), (1,8) and (2,9); now is 250 ms. */
     @ParameterizedTest
--- a/protocol/src/test/java/org/hornbeamspread/runtime/JsonEventLogTest.java
+++ b/protocol/src/test/java/org/hornbeamspread/runtime/JsonEventLogTest.java
@@ -11,13 +11,13 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.junit.jupiter.api.Test;
 
 final class JsonEventLogTest {
     private static final Clock TIME_OF_DAY = Clock.fixed(Instant.ofEpochMilli(1_000), ZoneOffset.UTC);
 
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private final LinkedBlockingQueue<String> written = new LinkedBlockingQueue<>();
 
     @Test
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientSession.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientSession.java
@@ -13,7 +13,7 @@
 import org.hornbeamspread.core.sql.SqlRequest;
 import org.hornbeamspread.core.sql.SqlResult;
 import org.hornbeamspread.core.sql.SqlStatement;
-import org.hornbeamspread.core.sql.SqlStatement.PreparedShape;
+import org.hornbeamspread.core.sql.SqlStatement.PreparedDefinition;
 import org.hornbeamspread.core.sql.TransactionState;
 
 /**
@@ -28,7 +28,7 @@
     private final String database;
     private final ClientPort port;
     private final Map<String, String> values = new TreeMap<>();
-    private final Map<String, PreparedShape> prepared = new HashMap<>();
+    private final Map<String, PreparedDefinition> prepared = new HashMap<>();
     private final Map<String, LogPosition> floors = new HashMap<>();
     private final Deque<SqlRequest> pending = new ArrayDeque<>();
     private TransactionState state = TransactionState.IDLE;
@@ -151,8 +151,8 @@
             endTransaction();
             reply(
                     statement instanceof SqlStatement.Rollback
-                            ? SqlResult.done(TransactionState.IDLE)
-                            : SqlResult.failed(
+                            ? SqlResult.success(TransactionState.IDLE)
+                            : SqlResult.failure(
                                     SqlError.ABORTED, reason, ends ? TransactionState.IDLE : TransactionState.FAILED));
         } else if (state == TransactionState.FAILED) {
             handleFailed(statement);
@@ -162,13 +162,13 @@
             rollBack();
         } else if (statement instanceof SqlStatement.SetValue set) {
             values.put(set.name(), set.value());
-            reply(SqlResult.done(state));
+            reply(SqlResult.success(state));
         } else if (statement instanceof SqlStatement.Prepare prepare) {
-            prepared.put(prepare.name(), prepare.shape());
-            reply(SqlResult.done(state));
+            prepared.put(prepare.name(), prepare.definition());
+            reply(SqlResult.success(state));
         } else if (statement instanceof SqlStatement.Deallocate deallocate) {
             prepared.remove(deallocate.name());
-            reply(SqlResult.done(state));
+            reply(SqlResult.success(state));
         } else {
             handleForwarded(request);
         }
@@ -177,34 +177,34 @@
     private void handleFailed(SqlStatement statement) {
         if (statement instanceof SqlStatement.Rollback) {
             endTransaction();
-            reply(SqlResult.done(TransactionState.IDLE));
+            reply(SqlResult.success(TransactionState.IDLE));
         } else if (statement instanceof SqlStatement.Commit) {
             endTransaction();
-            reply(SqlResult.failed(SqlError.ABORTED, "the transaction failed", TransactionState.IDLE));
+            reply(SqlResult.failure(SqlError.ABORTED, "the transaction failed", TransactionState.IDLE));
         } else {
-            reply(SqlResult.failed(SqlError.MALFORMED, "the transaction failed", TransactionState.FAILED));
+            reply(SqlResult.failure(SqlError.MALFORMED, "the transaction failed", TransactionState.FAILED));
         }
     }
 
     private void begin(SqlStatement.Begin begin) {
         Optional<Route> route = context.view().route(database);
         if (state != TransactionState.IDLE) {
-            reply(SqlResult.failed(SqlError.MALFORMED, "already in a transaction", TransactionState.FAILED));
+            reply(SqlResult.failure(SqlError.MALFORMED, "already in a transaction", TransactionState.FAILED));
         } else if (route.isEmpty()) {
-            reply(SqlResult.failed(SqlError.UNKNOWN_DATABASE, database, TransactionState.IDLE));
+            reply(SqlResult.failure(SqlError.UNKNOWN_DATABASE, database, TransactionState.IDLE));
         } else {
             transaction = Optional.of(new SessionTransaction(context, this, route.get(), begin.readOnly()));
-            reply(SqlResult.done(TransactionState.OPEN));
+            reply(SqlResult.success(TransactionState.OPEN));
         }
     }
 
     private void rollBack() {
         if (state == TransactionState.IDLE) {
-            reply(SqlResult.failed(SqlError.MALFORMED, "no transaction", state));
+            reply(SqlResult.failure(SqlError.MALFORMED, "no transaction", state));
             return;
         }
         endTransaction();
-        reply(SqlResult.done(TransactionState.IDLE));
+        reply(SqlResult.success(TransactionState.IDLE));
     }
 
     private void endTransaction() {
@@ -219,14 +219,14 @@
         if (forwarded.isEmpty() || commitOutside) {
             boolean unknownName = request.statement() instanceof SqlStatement.Execute;
             SqlError error = unknownName ? SqlError.UNKNOWN_PREPARED : SqlError.MALFORMED;
-            reply(SqlResult.failed(error, "", failedState()));
+            reply(SqlResult.failure(error, "", failedState()));
             return;
         }
         Optional<Route> route = transaction
                 .map(SessionTransaction::route)
                 .or(() -> context.view().route(database));
         if (route.isEmpty()) {
-            reply(SqlResult.failed(SqlError.UNKNOWN_DATABASE, database, state));
+            reply(SqlResult.failure(SqlError.UNKNOWN_DATABASE, database, state));
             return;
         }
         Operation operation = transaction.isPresent()
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ForwardedStatement.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ForwardedStatement.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.hornbeamspread.core.sql.SqlRequest;
 import org.hornbeamspread.core.sql.SqlStatement;
-import org.hornbeamspread.core.sql.SqlStatement.PreparedShape;
+import org.hornbeamspread.core.sql.SqlStatement.PreparedDefinition;
 
 /**
  * A statement that a database must run.
@@ -13,7 +13,7 @@
  * @param kind what it does
  * @param shape what must be prepared first, if it executes a prepared statement
  */
-record ForwardedStatement(SqlRequest request, Kind kind, Optional<PreparedShape> shape) {
+record ForwardedStatement(SqlRequest request, Kind kind, Optional<PreparedDefinition> shape) {
     /** What a forwarded statement does. */
     enum Kind {
         READ,
@@ -22,9 +22,9 @@
     }
 
     /** Resolves prepared names; empty for an unknown name, data that does not fit, or what no client may send. */
-    static Optional<ForwardedStatement> of(SqlRequest request, Map<String, PreparedShape> prepared) {
+    static Optional<ForwardedStatement> of(SqlRequest request, Map<String, PreparedDefinition> prepared) {
         SqlStatement statement = request.statement();
-        if (request.after().isPresent()) {
+        if (request.requiredPosition().isPresent()) {
             return Optional.empty();
         }
         if (statement instanceof SqlStatement.Read) {
@@ -37,7 +37,7 @@
             return Optional.of(new ForwardedStatement(request, Kind.COMMIT, Optional.empty()));
         }
         if (statement instanceof SqlStatement.Execute execute) {
-            PreparedShape shape = prepared.get(execute.name());
+            PreparedDefinition shape = prepared.get(execute.name());
             if (shape == null || shape.write() != execute.data().isPresent()) {
                 return Optional.empty();
             }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/Placement.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/Placement.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import org.hornbeamspread.core.misc.ClockGuard;
+import org.hornbeamspread.core.misc.ClockJumpDetector;
 import org.hornbeamspread.core.misc.EventLog;
 import org.hornbeamspread.core.misc.LogPosition;
 import org.hornbeamspread.core.placement.InstanceChoice;
@@ -64,7 +64,7 @@
     private final Map<String, String> regionByDomain;
     private final SqlConnector connector;
     private final Clock clock;
-    private final ClockGuard guard;
+    private final ClockJumpDetector guard;
     private final ScheduledExecutorService loop;
     private final EventLog events;
     private final SessionMetrics metrics;
@@ -93,7 +93,7 @@
             Map<String, String> regionByDomain,
             SqlConnector connector,
             Clock clock,
-            ClockGuard guard,
+            ClockJumpDetector guard,
             ScheduledExecutorService loop,
             EventLog events,
             SessionMetrics metrics) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/PooledConnection.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/PooledConnection.java
@@ -13,7 +13,7 @@
 import org.hornbeamspread.core.sql.SqlRequest;
 import org.hornbeamspread.core.sql.SqlResult;
 import org.hornbeamspread.core.sql.SqlStatement;
-import org.hornbeamspread.core.sql.SqlStatement.PreparedShape;
+import org.hornbeamspread.core.sql.SqlStatement.PreparedDefinition;
 
 /**
  * A database connection that sessions use by turns, with the values and prepared statements that it holds. A prepared name is
@@ -28,7 +28,7 @@
     private final Clock clock;
     private long idleSinceMs;
     private final Map<String, String> values = new TreeMap<>();
-    private final Set<PreparedShape> prepared = new HashSet<>();
+    private final Set<PreparedDefinition> prepared = new HashSet<>();
 
     PooledConnection(SqlConnection connection, Reachability reachability, Clock clock) {
         this.connection = connection;
@@ -58,26 +58,26 @@
     }
 
     /** The name under which a shape is prepared here. */
-    static String preparedName(PreparedShape shape) {
+    static String preparedName(PreparedDefinition shape) {
         return (shape.write() ? "w_" : "r_") + shape.text().replace(' ', '_');
     }
 
     /** What must be sent first, so that the connection holds a session's values and a shape; null for no shape. */
-    List<SqlRequest> setUp(Map<String, String> wanted, PreparedShape shape) {
+    List<SqlRequest> setUp(Map<String, String> wanted, PreparedDefinition shape) {
         List<SqlRequest> requests = new ArrayList<>();
         boolean surplus = !wanted.keySet().containsAll(values.keySet());
         if (surplus || prepared.size() >= MAX_PREPARED) {
-            requests.add(SqlRequest.own(new SqlStatement.Reset()));
+            requests.add(SqlRequest.internal(new SqlStatement.Reset()));
             values.clear();
             prepared.clear();
         }
         wanted.forEach((name, value) -> {
             if (!value.equals(values.put(name, value))) {
-                requests.add(SqlRequest.own(new SqlStatement.SetValue(name, value)));
+                requests.add(SqlRequest.internal(new SqlStatement.SetValue(name, value)));
             }
         });
         if (shape != null && prepared.add(shape)) {
-            requests.add(SqlRequest.own(new SqlStatement.Prepare(preparedName(shape), shape)));
+            requests.add(SqlRequest.internal(new SqlStatement.Prepare(preparedName(shape), shape)));
         }
         return requests;
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-import org.hornbeamspread.core.misc.ClockGuard;
+import org.hornbeamspread.core.misc.ClockJumpDetector;
 import org.hornbeamspread.core.misc.EventLog;
 import org.hornbeamspread.core.route.Route;
 import org.hornbeamspread.core.sql.SqlResult;
@@ -18,7 +18,7 @@
 
     private final Placement placement;
     private final Clock clock;
-    private final ClockGuard guard;
+    private final ClockJumpDetector guard;
     private final ScheduledExecutorService loop;
     private final EventLog events;
     private final SessionMetrics metrics;
@@ -28,7 +28,7 @@
     SessionContext(
             Placement placement,
             Clock clock,
-            ClockGuard guard,
+            ClockJumpDetector guard,
             ScheduledExecutorService loop,
             EventLog events,
             SessionMetrics metrics,
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import org.hornbeamspread.core.misc.ClockGuard;
+import org.hornbeamspread.core.misc.ClockJumpDetector;
 import org.hornbeamspread.core.misc.EventLog;
 import org.hornbeamspread.core.misc.LogPosition;
 import org.hornbeamspread.core.route.DatabaseInstance;
@@ -55,7 +55,7 @@
     private static final long FAR_PAST_MS = 3_600_000;
 
     private final Clock clock;
-    private final ClockGuard guard;
+    private final ClockJumpDetector guard;
     private final ScheduledExecutorService loop;
     private final EventLog events;
     private final Placement placement;
@@ -91,7 +91,7 @@
             EventLog events,
             PrometheusRegistry registry) {
         this.clock = clock;
-        this.guard = new ClockGuard(clock, timeOfDay);
+        this.guard = new ClockJumpDetector(clock, timeOfDay);
         this.loop = loop;
         this.events = events;
         SessionMetrics metrics = new SessionMetrics(registry);
@@ -304,7 +304,7 @@
         Route route = new Route("position probe", "", service, RouteKind.PRIMARY, 0, OPEN_LIMIT_MS, 0, 0);
         Unit unit = new Unit(
                 context.nextUnitId(),
-                SqlRequest.OWN_ID,
+                SqlRequest.INTERNAL_ID,
                 route,
                 true,
                 LogPosition.NONE,
@@ -335,8 +335,8 @@
             long askedEpoch = guard.epoch();
             List<CompletableFuture<SqlResult>> results = lease.connection()
                     .send(List.of(
-                            SqlRequest.own(new SqlStatement.Begin(false)),
-                            SqlRequest.own(new SqlStatement.Rollback())));
+                            SqlRequest.internal(new SqlStatement.Begin(false)),
+                            SqlRequest.internal(new SqlStatement.Rollback())));
             loop.schedule(
                     () -> {
                         if (!results.get(1).isDone()) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionTransaction.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionTransaction.java
@@ -58,7 +58,7 @@
             return;
         }
         held.connection()
-                .send(List.of(SqlRequest.own(new SqlStatement.Rollback())))
+                .send(List.of(SqlRequest.internal(new SqlStatement.Rollback())))
                 .get(0)
                 .whenComplete((result, error) -> {
                     if (error == null && result.isSuccess() && result.state() == TransactionState.IDLE) {
@@ -154,7 +154,7 @@
             sentEpoch = context.epoch();
             granted.setRepeatable(true);
             boolean plain = unit.after.isEmpty();
-            SqlRequest begin = SqlRequest.own(new SqlStatement.Begin(!plain));
+            SqlRequest begin = SqlRequest.internal(new SqlStatement.Begin(!plain));
             granted.connection()
                     .send(List.of(plain ? begin : begin.after(unit.after.get())))
                     .get(0)
@@ -182,9 +182,9 @@
             } else {
                 granted.release();
             }
-            if (error == null && result.is(SqlError.READ_ONLY)) {
+            if (error == null && result.hasError(SqlError.READ_ONLY)) {
                 context.placement().onNotPrimary(granted.instance().instanceId());
-            } else if (error == null && result.is(SqlError.REPLICA_LAGGING)) {
+            } else if (error == null && result.hasError(SqlError.REPLICA_LAGGING)) {
                 granted.link().onLagging(Math.max(1, route.maxStalenessMs() / 4));
             }
             if (timedOut) {
@@ -255,7 +255,7 @@
                 if (isPrimaryOnly()) {
                     onProof(held, result);
                 }
-                finish(result.in(TransactionState.OPEN), instanceId, "");
+                finish(result.withState(TransactionState.OPEN), instanceId, "");
                 return;
             }
             lease = Optional.empty();
@@ -268,11 +268,11 @@
                 onProof(held, result);
                 result.position().ifPresent(position -> session.raiseFloor(route.service(), position));
             }
-            finish(result.in(TransactionState.IDLE), instanceId, "");
+            finish(result.withState(TransactionState.IDLE), instanceId, "");
         }
 
         private void onError(Lease held, SqlResult result, boolean commit) {
-            if (result.is(SqlError.BUSY) && result.state() == TransactionState.OPEN && !timedOut && !ended) {
+            if (result.hasError(SqlError.BUSY) && result.state() == TransactionState.OPEN && !timedOut && !ended) {
                 context.onRetry(RetryReason.BUSY);
                 context.schedule(() -> sendAgain(held), BUSY_RETRY_MS);
                 return;
@@ -303,7 +303,7 @@
         private void end(SqlError error, String instanceId, String reason) {
             boolean commit = statement.kind() == ForwardedStatement.Kind.COMMIT;
             TransactionState next = commit ? TransactionState.IDLE : TransactionState.FAILED;
-            finish(SqlResult.failed(error, "", next), instanceId, reason);
+            finish(SqlResult.failure(error, "", next), instanceId, reason);
         }
 
         private void finish(SqlResult result, String instanceId, String reason) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SingleStatement.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SingleStatement.java
@@ -76,7 +76,7 @@
     @Override
     public void onRefused(RefusalReason reason) {
         context.onRefused(reason);
-        end(SqlResult.failed(SqlError.BUSY, "", TransactionState.IDLE), "", reason.name());
+        end(SqlResult.failure(SqlError.BUSY, "", TransactionState.IDLE), "", reason.name());
     }
 
     @Override
@@ -107,7 +107,7 @@
 
     private void beginGuard(Lease granted) {
         granted.connection()
-                .send(List.of(SqlRequest.own(new SqlStatement.Begin(false))))
+                .send(List.of(SqlRequest.internal(new SqlStatement.Begin(false))))
                 .get(0)
                 .whenComplete((begun, error) -> {
                     if (error != null || !begun.isSuccess()) {
@@ -118,7 +118,7 @@
                             granted.discard();
                             return;
                         }
-                        SqlRequest rollBack = SqlRequest.own(new SqlStatement.Rollback());
+                        SqlRequest rollBack = SqlRequest.internal(new SqlStatement.Rollback());
                         send(granted, statement.request(), List.of(rollBack));
                     }
                 });
@@ -184,7 +184,7 @@
             onProof(granted, result);
             result.position().ifPresent(position -> session.raiseFloor(route.service(), position));
         }
-        end(result.in(TransactionState.IDLE), granted.instance().instanceId(), "");
+        end(result.withState(TransactionState.IDLE), granted.instance().instanceId(), "");
     }
 
     private void onProof(Lease granted, SqlResult result) {
@@ -205,7 +205,7 @@
         if (repeatable && error != SqlError.MALFORMED && !timedOut && !ended) {
             context.placement().retry(unit, RetryReason.of(error));
         } else {
-            end(result.in(TransactionState.IDLE), instanceId, result.detail());
+            end(result.withState(TransactionState.IDLE), instanceId, result.detail());
         }
     }
 
@@ -218,7 +218,7 @@
         SqlError lost = isWrite() ? SqlError.IN_DOUBT : SqlError.TIMEOUT;
         SqlError error = sent ? lost : SqlError.BUSY;
         String reason = timedOut ? "no answer within " + route.statementTimeoutMs() + " ms" : failure.getMessage();
-        end(SqlResult.failed(error, "", TransactionState.IDLE), instanceId, reason);
+        end(SqlResult.failure(error, "", TransactionState.IDLE), instanceId, reason);
     }
 
     private void end(SqlResult result, String instanceId, String reason) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRun.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRun.java
@@ -8,7 +8,7 @@
 import org.hornbeamspread.core.sql.SqlError;
 import org.hornbeamspread.core.sql.SqlRequest;
 import org.hornbeamspread.core.sql.SqlResult;
-import org.hornbeamspread.core.sql.SqlStatement.PreparedShape;
+import org.hornbeamspread.core.sql.SqlStatement.PreparedDefinition;
 
 /** Sends a statement on a leased connection, behind what the connection must hold for its session. */
 final class StatementRun {
@@ -27,7 +27,7 @@
             Lease lease,
             ClientSession session,
             SqlRequest request,
-            PreparedShape shape,
+            PreparedDefinition shape,
             List<SqlRequest> behind,
             int priority,
             BooleanSupplier onSend,
@@ -39,7 +39,7 @@
                 return;
             }
             sendNow(lease, session, request, shape, behind, (result, error) -> {
-                gate.leave(error == null && result.is(SqlError.BUSY));
+                gate.leave(error == null && result.hasError(SqlError.BUSY));
                 end.accept(result, error);
             });
         });
@@ -49,7 +49,7 @@
             Lease lease,
             ClientSession session,
             SqlRequest request,
-            PreparedShape shape,
+            PreparedDefinition shape,
             List<SqlRequest> behind,
             BiConsumer<SqlResult, Throwable> end) {
         List<SqlRequest> all = new ArrayList<>(lease.connection().setUp(session.values(), shape));
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ManualDispatcher.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ManualDispatcher.java
@@ -4,11 +4,11 @@
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Deque;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 
 /** A dispatcher that a test steps by hand, on a paused clock. */
 final class ManualDispatcher implements Dispatcher {
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private final TimerQueue timers = new TimerQueue(clock);
     private final Deque<Runnable> work = new ArrayDeque<>();
 
--- a/proxy/src/test/java/org/hornbeamspread/proxy/PartitionTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/PartitionTest.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 import org.hornbeamspread.core.misc.LogPosition;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.hornbeamspread.protocol.schema.Effect;
 import org.hornbeamspread.protocol.schema.ExecuteRequest;
 import org.hornbeamspread.protocol.schema.ExecuteResponse;
@@ -20,7 +20,7 @@
     private static final Duration LEASE = Duration.ofSeconds(1);
     private static final LogPosition END = new LogPosition(1, 5);
 
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private final TestBed bed = new TestBed(clock);
 
     @BeforeEach
--- a/proxy/src/test/java/org/hornbeamspread/proxy/TransactionTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/TransactionTest.java
@@ -4,7 +4,7 @@
 
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.hornbeamspread.protocol.schema.BeginRequest;
 import org.hornbeamspread.protocol.schema.BeginResponse;
 import org.hornbeamspread.protocol.schema.Effect;
@@ -21,7 +21,7 @@
  * answer ends a request; the transport's own timer runs.
  */
 final class TransactionTest {
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private final TestBed bed = new TestBed(clock);
 
     @AfterEach
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ViewPublisherTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ViewPublisherTest.java
@@ -5,13 +5,13 @@
 import java.time.Duration;
 import java.time.Instant;
 import java.util.List;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.hornbeamspread.protocol.schema.Configuration;
 import org.hornbeamspread.protocol.schema.ViewLease;
 import org.junit.jupiter.api.Test;
 
 final class ViewPublisherTest {
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private final ViewPublisher publisher = new ViewPublisher(clock);
 
     @Test
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/EngineHarness.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/EngineHarness.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.hornbeamspread.core.misc.EventLog;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.hornbeamspread.core.route.DatabaseInstance;
 import org.hornbeamspread.core.route.Route;
 import org.hornbeamspread.core.route.RouteConfiguration;
@@ -27,8 +27,8 @@
     static final String BALANCE = "balance";
     static final String SYNC = "fieldsync";
 
-    final PausedClock clock = new PausedClock();
-    final PausedClock timeOfDay = new PausedClock();
+    final ManualClock clock = new ManualClock();
+    final ManualClock timeOfDay = new ManualClock();
     final ManualExecutor executor = new ManualExecutor(clock);
     final FakeDatabase primary = new FakeDatabase("p", 1, executor);
     final FakeDatabase near = new FakeDatabase("a", 2, executor);
@@ -108,7 +108,7 @@
 
     /** A client that keeps what it is told. */
     static final class Client implements ClientPort {
-        private final PausedClock clock;
+        private final ManualClock clock;
         private long sentMs;
         private long repliedMs;
         final List<SqlResult> replies = new ArrayList<>();
@@ -117,7 +117,7 @@
         boolean accepted;
         boolean closed;
 
-        Client(PausedClock clock) {
+        Client(ManualClock clock) {
             this.clock = clock;
         }
 
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/FakeDatabase.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/FakeDatabase.java
@@ -178,7 +178,7 @@
             if (state == TransactionState.FAILED && !(statement instanceof SqlStatement.Rollback)) {
                 return error(SqlError.MALFORMED);
             }
-            if (request.after()
+            if (request.requiredPosition()
                     .filter(position -> position.indexEntries() > entries)
                     .isPresent()) {
                 return error(SqlError.REPLICA_LAGGING);
@@ -193,7 +193,7 @@
                 values.put(set.name(), set.value());
                 return done();
             } else if (statement instanceof SqlStatement.Prepare prepare) {
-                prepared.put(prepare.name(), prepare.shape().text());
+                prepared.put(prepare.name(), prepare.definition().text());
                 return done();
             } else if (statement instanceof SqlStatement.Reset) {
                 values.clear();
@@ -264,7 +264,7 @@
         }
 
         private boolean isWork(SqlRequest request) {
-            return !request.id().equals(SqlRequest.OWN_ID);
+            return !request.id().equals(SqlRequest.INTERNAL_ID);
         }
     }
 
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/ManualExecutor.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/ManualExecutor.java
@@ -12,16 +12,16 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 
 /** Runs tasks in order of their time, moving a paused clock on. */
 final class ManualExecutor extends AbstractExecutorService implements ScheduledExecutorService {
-    private final PausedClock clock;
+    private final ManualClock clock;
     private final PriorityQueue<Task<?>> tasks = new PriorityQueue<>(
             Comparator.<Task<?>>comparingLong(task -> task.atMs).thenComparingLong(task -> task.order));
     private long nextOrder;
 
-    ManualExecutor(PausedClock clock) {
+    ManualExecutor(ManualClock clock) {
         this.clock = clock;
     }
 
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
@@ -13,7 +13,7 @@
 import org.hornbeamspread.core.sql.SqlStatement.Commit;
 import org.hornbeamspread.core.sql.SqlStatement.Execute;
 import org.hornbeamspread.core.sql.SqlStatement.Prepare;
-import org.hornbeamspread.core.sql.SqlStatement.PreparedShape;
+import org.hornbeamspread.core.sql.SqlStatement.PreparedDefinition;
 import org.hornbeamspread.core.sql.SqlStatement.Read;
 import org.hornbeamspread.core.sql.SqlStatement.Rollback;
 import org.hornbeamspread.core.sql.SqlStatement.SetValue;
@@ -127,10 +127,11 @@
     @Test
     void valuesAndPreparedNamesFollowTheSession() {
         Client first = harness.open(EngineHarness.TOPUP).send("1", new SetValue("zone", "addis"));
-        first.send("2", new Prepare("s", new PreparedShape(true, "q1")));
+        first.send("2", new Prepare("s", new PreparedDefinition(true, "q1")));
         first.send("w1", new Execute("s", "item", Optional.of("5")));
         harness.run(100);
-        Client second = harness.open(EngineHarness.TOPUP).send("3", new Prepare("s", new PreparedShape(true, "q2")));
+        Client second =
+                harness.open(EngineHarness.TOPUP).send("3", new Prepare("s", new PreparedDefinition(true, "q2")));
         second.send("w2", new Execute("s", "item", Optional.of("6")));
         harness.run(100);
 
@@ -142,7 +143,8 @@
     @ParameterizedTest
     @ValueSource(strings = {"s", "other"})
     void aNameThatIsNotPreparedIsRefused(String name) {
-        Client client = harness.open(EngineHarness.TOPUP).send("1", new Prepare("s", new PreparedShape(true, "q")));
+        Client client =
+                harness.open(EngineHarness.TOPUP).send("1", new Prepare("s", new PreparedDefinition(true, "q")));
         client.send("2", new SqlStatement.Deallocate("s"));
         client.send("3", new Execute(name, "item", Optional.of("5")));
 
@@ -440,6 +442,6 @@
         harness.run(300);
 
         harness.databases.forEach(
-                database -> assertThat(FakeDatabase.ids(database.runs)).doesNotContain(SqlRequest.OWN_ID));
+                database -> assertThat(FakeDatabase.ids(database.runs)).doesNotContain(SqlRequest.INTERNAL_ID));
     }
 }
