--- a/core/src/main/java/org/hornbeamspread/core/sql/SqlRequest.java
+++ b/core/src/main/java/org/hornbeamspread/core/sql/SqlRequest.java
@@ -20,7 +20,7 @@
     }
 
     /** The same request, to run only on a log that holds a position. */
-    public SqlRequest after(LogPosition position) {
+    public SqlRequest requiringPosition(LogPosition position) {
         return new SqlRequest(id, Optional.of(position), statement);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionTransaction.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionTransaction.java
@@ -156,7 +156,7 @@
             boolean plain = unit.after.isEmpty();
             SqlRequest begin = SqlRequest.internal(new SqlStatement.Begin(!plain));
             granted.connection()
-                    .send(List.of(plain ? begin : begin.after(unit.after.get())))
+                    .send(List.of(plain ? begin : begin.requiringPosition(unit.after.get())))
                     .get(0)
                     .whenComplete((result, error) -> onBegun(granted, plain, result, error));
         }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SingleStatement.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SingleStatement.java
@@ -95,7 +95,7 @@
         if (isWrite()) {
             send(granted, statement.request(), List.of());
         } else if (unit.after.isPresent()) {
-            send(granted, statement.request().after(unit.after.get()), List.of());
+            send(granted, statement.request().requiringPosition(unit.after.get()), List.of());
         } else {
             beginGuard(granted);
         }
