--- a/core/src/main/java/org/hornbeamspread/core/membership/Address.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/Address.java
@@ -15,7 +15,7 @@
     /** Checks the port. */
     public Address {
         if (port < 0 || port > MAX_PORT) {
-            throw new FailureException(FailureType.INVALID_REQUEST, "port " + port);
+            throw new FailureException(FailureType.INVALID_REQUEST, "port out of range: " + port);
         }
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/membership/AnnouncedDatabase.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/AnnouncedDatabase.java
@@ -4,16 +4,16 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * A database's announcement of itself.
+ * A database as described by its own announcement.
  *
- * @param group the database group that it belongs to
- * @param address where it is reached
- * @param failureDomain its failure domain
- * @param region its region
- * @param slots statements that it runs at once
- * @param connectionLimit connections that it accepts
- * @param departing it asks for no new work
- * @param status what it reports of its log
+ * @param group the database group that the database belongs to
+ * @param address the address at which the database accepts connections
+ * @param failureDomain the database's failure domain
+ * @param region the database's region
+ * @param slots the number of statements that the database runs concurrently
+ * @param connectionLimit the number of connections that the database accepts
+ * @param departing whether the database has asked to receive no new work
+ * @param status the database's term, role and log positions
  */
 public record AnnouncedDatabase(
         String group,
@@ -24,7 +24,7 @@
         int connectionLimit,
         boolean departing,
         DatabaseStatus status) {
-    /** Checks that the group is named. */
+    /** Checks that the group's name is set. */
     public AnnouncedDatabase {
         if (group.isEmpty()) {
             throw new FailureException(FailureType.INVALID_REQUEST, "a database without a group");
@@ -41,7 +41,7 @@
         return new AnnouncedDatabase(group, address, failureDomain, region, slots, connectionLimit, departing, other);
     }
 
-    /** Whether everything but the status equals, and the status is of the same incarnation. */
+    /** Whether the two announcements come from the same incarnation and are equal apart from the status. */
     public boolean hasSameDescription(AnnouncedDatabase other) {
         return status.incarnation() == other.status.incarnation()
                 && withStatus(other.status).equals(other);
--- a/core/src/main/java/org/hornbeamspread/core/membership/DatabaseRegistry.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/DatabaseRegistry.java
@@ -15,9 +15,9 @@
 import java.util.TreeMap;
 
 /**
- * The databases that announce themselves. This is soft state: nothing is stored, each announcement renews an entry, and
- * an entry that is not renewed first counts as unreachable and later expires. Of two processes with the same name the
- * one with the higher incarnation wins. Confined to one thread.
+ * The databases that have announced themselves. This is soft state: nothing is stored on disk, and each announcement
+ * renews the database's entry. An entry that is not renewed is first marked unreachable and later removed. Of two
+ * processes with the same database name the one with the higher incarnation is kept. Confined to one thread.
  */
 public final class DatabaseRegistry {
     private final Clock clock;
@@ -25,39 +25,39 @@
     private final Duration entryTtl;
     private final Map<String, Entry> entriesById = new HashMap<>();
 
-    /** The names by group, sorted. */
+    /** The entries of each group, sorted by database name. */
     private final Map<String, TreeMap<String, Entry>> entriesByGroup = new HashMap<>();
 
-    /** Announcements of an incarnation that a later one has replaced. */
+    /** The number of refused announcements of incarnations that a later incarnation has replaced. */
     private long refusedAnnouncements;
 
     /**
-     * Makes an empty registry.
+     * Creates an empty registry.
      *
-     * @param reachableFor how long after its last sign of life a database counts as reachable
-     * @param expiry how long after it the entry is forgotten
+     * @param reachabilityTimeout how long after its last message a database counts as reachable
+     * @param entryTtl how long after the database's last message its entry is removed
      */
-    public DatabaseRegistry(Clock clock, Duration reachableFor, Duration expiry) {
+    public DatabaseRegistry(Clock clock, Duration reachabilityTimeout, Duration entryTtl) {
         this.clock = clock;
-        this.reachabilityTimeout = reachableFor;
-        this.entryTtl = expiry;
+        this.reachabilityTimeout = reachabilityTimeout;
+        this.entryTtl = entryTtl;
     }
 
-    /** Takes an announcement in. Returns the groups whose description changed by it. */
+    /** Applies an announcement. Returns the groups whose description changed. */
     public Set<String> announce(AnnouncedDatabase announced) {
-        Entry known = entriesById.get(announced.databaseId());
-        if (known != null
-                && announced.status().incarnation() < known.database.status().incarnation()) {
+        Entry existing = entriesById.get(announced.databaseId());
+        if (existing != null
+                && announced.status().incarnation() < existing.database.status().incarnation()) {
             refusedAnnouncements++;
             return Set.of();
         }
-        if (known != null && known.database.group().equals(announced.group())) {
-            return refresh(known, announced);
+        if (existing != null && existing.database.group().equals(announced.group())) {
+            return refresh(existing, announced);
         }
         Set<String> changed = new HashSet<>();
-        if (known != null) {
-            remove(known);
-            changed.add(known.database.group());
+        if (existing != null) {
+            remove(existing);
+            changed.add(existing.database.group());
         }
         Entry entry = new Entry(announced, clock.instant());
         entriesById.put(announced.databaseId(), entry);
@@ -68,16 +68,19 @@
         return changed;
     }
 
-    /** Takes in a status that came by another way than an announcement, for example with the answer to a fence. */
+    /** Applies a status received outside an announcement, for example in the response to a fence request. */
     public void updateStatus(DatabaseStatus status) {
-        Entry known = entriesById.get(status.databaseId());
-        if (known != null && status.supersedes(known.database.status())) {
-            known.database = known.database.withStatus(status);
-            known.lastContactAt = clock.instant();
+        Entry existing = entriesById.get(status.databaseId());
+        if (existing != null && status.supersedes(existing.database.status())) {
+            existing.database = existing.database.withStatus(status);
+            existing.lastContactAt = clock.instant();
         }
     }
 
-    /** Marks silent databases unreachable and forgets expired ones. Returns the groups that changed. */
+    /**
+     * Marks databases unreachable after the reachability timeout and removes expired entries. Returns the groups that
+     * changed.
+     */
     public Set<String> expire() {
         Instant now = clock.instant();
         Set<String> changed = new HashSet<>();
@@ -96,18 +99,21 @@
         return changed;
     }
 
-    /** The last announcement of a database, if it has not expired. */
+    /** The latest announcement of a database, if its entry has not expired. */
     public Optional<AnnouncedDatabase> find(String databaseId) {
         return Optional.ofNullable(entriesById.get(databaseId)).map(entry -> entry.database);
     }
 
-    /** Whether a status is of the latest known process of its name. */
+    /** Whether a status comes from the latest known incarnation of its database. */
     public boolean isCurrentIncarnation(DatabaseStatus status) {
         Entry entry = entriesById.get(status.databaseId());
         return entry != null && entry.database.status().incarnation() == status.incarnation();
     }
 
-    /** Whether the database gave a sign of life lately. */
+    /**
+     * Whether the database counts as reachable: not after the reachability timeout has passed without a message, until the
+     * next announcement.
+     */
     public boolean isReachable(String databaseId) {
         Entry entry = entriesById.get(databaseId);
         return entry != null && entry.reachable;
@@ -125,18 +131,18 @@
         return Collections.unmodifiableSet(entriesById.keySet());
     }
 
-    /** How many announcements came from replaced incarnations. */
+    /** The number of announcements refused because a later incarnation had replaced the sender. */
     public long refusedAnnouncements() {
         return refusedAnnouncements;
     }
 
-    private Set<String> refresh(Entry known, AnnouncedDatabase announced) {
-        boolean current = announced.status().supersedes(known.database.status());
-        AnnouncedDatabase next = current ? announced : announced.withStatus(known.database.status());
-        boolean changed = !known.reachable || !known.database.hasSameDescription(next);
-        known.database = next;
-        known.lastContactAt = clock.instant();
-        known.reachable = true;
+    private Set<String> refresh(Entry existing, AnnouncedDatabase announced) {
+        boolean newer = announced.status().supersedes(existing.database.status());
+        AnnouncedDatabase next = newer ? announced : announced.withStatus(existing.database.status());
+        boolean changed = !existing.reachable || !existing.database.hasSameDescription(next);
+        existing.database = next;
+        existing.lastContactAt = clock.instant();
+        existing.reachable = true;
         return changed ? Set.of(announced.group()) : Set.of();
     }
 
@@ -149,7 +155,7 @@
         }
     }
 
-    /** One database and when it was last heard. */
+    /** A database and the time of its last message. */
     private static final class Entry {
         private AnnouncedDatabase database;
         private Instant lastContactAt;
--- a/core/src/main/java/org/hornbeamspread/core/membership/DatabaseRole.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/DatabaseRole.java
@@ -1,11 +1,11 @@
 package org.hornbeamspread.core.membership;
 
-/** What a database says it does in its group. */
+/** The role that a database reports for itself within its group. */
 public enum DatabaseRole {
-    /** Neither: it is fresh, or fenced and not yet told whom to follow. */
+    /** Neither: the database is uninitialized, or is fenced and has not yet been assigned a primary to follow. */
     NONE,
-    /** It takes writes at its term. */
+    /** The database accepts writes at its term. */
     PRIMARY,
-    /** It follows a primary. */
+    /** The database replicates the log of a primary. */
     REPLICA
 }
--- a/core/src/main/java/org/hornbeamspread/core/membership/DatabaseStatus.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/DatabaseStatus.java
@@ -6,16 +6,16 @@
 import org.hornbeamspread.core.misc.LogPosition;
 
 /**
- * What a database reports of its log.
+ * The term, role and log positions that a database reports.
  *
- * @param databaseId its name
+ * @param databaseId the database's name
  * @param incarnation rises with each start of the process
- * @param term the highest term that it was fenced, promoted or told to follow at
- * @param role what it does at that term
- * @param followedTerm the last term whose log it accepted
- * @param synced its last synced log entry
- * @param marker as primary: the entry with which its term began
- * @param trusted false from the loss of its disk until it is readmitted
+ * @param term the highest term at which the database was fenced, promoted or ordered to follow a primary
+ * @param role the database's role at that term
+ * @param followedTerm the latest term whose log the database accepted
+ * @param synced the last log entry that the database has synced to disk
+ * @param marker on a primary, the log entry with which its term began; otherwise absent
+ * @param trusted false from the loss of the database's disk until the database is readmitted
  */
 public record DatabaseStatus(
         String databaseId,
@@ -38,14 +38,14 @@
         return term == 0 && synced.equals(LogPosition.NONE);
     }
 
-    /** Whether it is the primary of this term. */
+    /** Whether the database reports to be the primary of a term. */
     public boolean isPrimaryAt(long expectedTerm) {
         return role == DatabaseRole.PRIMARY && term == expectedTerm;
     }
 
     /**
-     * Whether this status may take the place of an earlier one. Within an incarnation a term never falls, and a primary
-     * stays one for its term; a status that says otherwise comes from a message that was overtaken.
+     * Whether this status may replace an earlier one. Within an incarnation the term never decreases, and a primary
+     * remains primary for its term. A status that contradicts this was delivered out of order.
      */
     public boolean supersedes(DatabaseStatus earlier) {
         if (incarnation != earlier.incarnation) {
--- a/core/src/main/java/org/hornbeamspread/core/membership/HolderAssignment.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/HolderAssignment.java
@@ -5,22 +5,26 @@
 import java.util.Optional;
 
 /**
- * Assigns each database to one holder: the proxy whose connections and queue all others relay to.
+ * Assigns each database to one holder: the proxy that owns the database's connections and request queue, and to which
+ * all other proxies relay their requests.
  *
- * <p>The naive way, a table that is rewritten whenever a proxy comes or goes, has two faults. While views differ, the old
- * and the new holder would both open connections, and the total would pass the database's limit. And a new
- * control leader, which has no table, would move everything.
+ * <p><b>Naive approach.</b> A table that is rewritten whenever a proxy joins or leaves has two faults. While proxies act on
+ * different views, the previous and the new holder would both open connections, and the total would exceed the database's
+ * connection limit. A new control leader, which has no table, would reassign every database.
  *
- * <p>So the wished holder is a pure function, rendezvous hashing: each living proxy gets a hash with the database's name,
- * the greatest wins, and a proxy that comes or goes moves only its own share. Candidates are the proxies that are not
- * draining in the database's failure domain; without any, those of its region; without any, all.
+ * <p><b>Target holder.</b> The desired holder is a pure function, rendezvous hashing: each proxy with a lease is scored by
+ * hashing its name with the database's name, and the highest score wins. A proxy that joins or leaves changes only its own
+ * share of the assignments. Candidates are the proxies in the database's failure domain that are not draining; if there
+ * are none, those of its region; if there are none, all.
  *
- * <p>And a change goes by shrink before grow: first a view is published in which the database has no holder, and the new
- * one is named only once the old holder has confirmed that view, or the lease under which it held has run out. A new
- * leader adopts what living proxies say they hold, and names holders for the rest only after a whole lease.
+ * <p><b>Handover.</b> The previous holder releases the database before the next one acquires it. A view without a holder
+ * for the database is published first. The new holder is assigned only after the previous holder has confirmed that view,
+ * or after the lease under which it held the database has expired. A new leader adopts the holdings that proxies with a
+ * lease report, and assigns holders to the remaining databases only after one full lease.
  *
- * <p>An epoch rises with each change, so that a relayed request which was sent under an older view is refused. Epochs
- * start at the leader's term shifted up, so that they also rise across leaders. Confined to one thread.
+ * <p><b>Epochs.</b> The epoch increases with each assignment, so that a relayed request sent under an older view is refused.
+ * Epochs start at the leader's term shifted left by 32 bits, so that they also increase across leaders. Confined to one
+ * thread.
  */
 public final class HolderAssignment {
     private static final int TERM_SHIFT_BITS = 32;
@@ -28,109 +32,110 @@
     private final Map<String, Assignment> assignments = new HashMap<>();
     private long nextEpoch;
 
-    /** Starts empty under a control leader's term. */
+    /** Creates an assignment without holders, for the term of a control leader. */
     public HolderAssignment(long leaderTerm) {
         this.nextEpoch = leaderTerm << TERM_SHIFT_BITS;
     }
 
-    /** Who holds a database as published; absent for none. */
+    /** The holder of a database in the published view; absent if there is none. */
     public Optional<String> holder(String databaseId) {
         return Optional.ofNullable(assignments.get(databaseId)).flatMap(Assignment::holder);
     }
 
-    /** The epoch of the database's current holder, 0 before the first. */
+    /** The epoch of the database's latest assignment, 0 before the first. */
     public long epoch(String databaseId) {
-        Assignment holding = assignments.get(databaseId);
-        return holding == null ? 0 : holding.epoch;
+        Assignment assignment = assignments.get(databaseId);
+        return assignment == null ? 0 : assignment.epoch;
     }
 
     /**
-     * Takes over what a proxy says it holds since an earlier leader. Of two claims the one with the later epoch wins.
-     * Returns whether the holder changed.
+     * Adopts a assignment that a proxy reports from the term of an earlier leader. Of two claims the one with the higher epoch
+     * wins. Returns whether the holder changed.
      */
     public boolean adopt(String databaseId, String proxyId, long epoch) {
-        Assignment holding = assignments.computeIfAbsent(databaseId, id -> new Assignment());
-        if (epoch <= holding.epoch || holding.releasingHolderId != null) {
+        Assignment assignment = assignments.computeIfAbsent(databaseId, id -> new Assignment());
+        if (epoch <= assignment.epoch || assignment.releasingHolderId != null) {
             return false;
         }
-        holding.holderId = proxyId;
-        holding.epoch = epoch;
+        assignment.holderId = proxyId;
+        assignment.epoch = epoch;
         return true;
     }
 
     /**
-     * Moves a database's assignment one step towards the wished holder. Returns whether what is published changed.
+     * Moves a database's assignment one step towards the desired holder. Returns whether the published state changed.
      *
-     * @param database the database
      * @param candidates the proxies with a lease
-     * @param nextVersion the view version in which a change would be published
-     * @param release tells whether a proxy no longer acts on views older than a version
-     * @param mayAssign false while leases of an earlier leader may still run
+     * @param nextVersion the view version that would publish a change
+     * @param releaseCheck checks whether a proxy no longer acts on views older than a version
+     * @param mayAssign false while leases granted by an earlier leader may still be valid
      */
     public boolean reconcile(
             AnnouncedDatabase database,
             HolderCandidates candidates,
             long nextVersion,
-            ReleaseCheck release,
+            ReleaseCheck releaseCheck,
             boolean mayAssign) {
-        Assignment holding = assignments.computeIfAbsent(database.databaseId(), id -> new Assignment());
-        Optional<String> wished = candidates.selectHolder(database);
-        if (holding.holderId != null) {
-            if (wished.equals(holding.holder())) {
+        Assignment assignment = assignments.computeIfAbsent(database.databaseId(), id -> new Assignment());
+        Optional<String> desired = candidates.selectHolder(database);
+        if (assignment.holderId != null) {
+            if (desired.equals(assignment.holder())) {
                 return false;
             }
-            holding.releasingHolderId = holding.holderId;
-            holding.releaseVersion = nextVersion;
-            holding.holderId = null;
-            assignReleased(holding, wished, release, mayAssign);
+            assignment.releasingHolderId = assignment.holderId;
+            assignment.releaseVersion = nextVersion;
+            assignment.holderId = null;
+            assignReleased(assignment, desired, releaseCheck, mayAssign);
             return true;
         }
-        return assignReleased(holding, wished, release, mayAssign);
+        return assignReleased(assignment, desired, releaseCheck, mayAssign);
     }
 
-    /** Whether the database has a holder; it stays so until the candidates change. */
+    /** Whether the database has a holder. The holder remains until the candidates change. */
     public boolean hasHolder(String databaseId) {
-        Assignment holding = assignments.get(databaseId);
-        return holding != null && holding.holderId != null;
+        Assignment assignment = assignments.get(databaseId);
+        return assignment != null && assignment.holderId != null;
     }
 
-    /** Forgets a database that has expired. */
+    /** Removes the assignment of a database that has expired. */
     public void remove(String databaseId) {
         assignments.remove(databaseId);
     }
 
     private boolean assignReleased(
-            Assignment holding, Optional<String> wished, ReleaseCheck release, boolean mayAssign) {
-        if (wished.isEmpty() || !mayAssign) {
+            Assignment assignment, Optional<String> desired, ReleaseCheck releaseCheck, boolean mayAssign) {
+        if (desired.isEmpty() || !mayAssign) {
             return false;
         }
-        if (holding.releasingHolderId != null
-                && !release.isReleased(holding.releasingHolderId, holding.releaseVersion)) {
+        if (assignment.releasingHolderId != null
+                && !releaseCheck.isReleased(assignment.releasingHolderId, assignment.releaseVersion)) {
             return false;
         }
-        holding.releasingHolderId = null;
-        holding.holderId = wished.get();
+        assignment.releasingHolderId = null;
+        assignment.holderId = desired.get();
         nextEpoch++;
-        holding.epoch = nextEpoch;
+        assignment.epoch = nextEpoch;
         return true;
     }
 
-    /** Tells whether a proxy has let go. */
+    /** Checks whether a proxy has released a database. */
     @FunctionalInterface
     public interface ReleaseCheck {
-        /** Whether the proxy confirmed a view of at least this version, or every lease on an older one has run out. */
+        /** Whether the proxy has confirmed a view of at least this version, or all its leases on older views have expired. */
         boolean isReleased(String proxyId, long version);
     }
 
-    /** The state of one database's assignment. */
+    /** The assignment of one database. */
     private static final class Assignment {
-        /** The published holder; null for none. */
+        /** The holder in the published view; null if there is none. */
         private String holderId;
 
-        /** The former holder that has not let go yet; null for none. */
+        /** The previous holder that has not released the database yet; null if there is none. */
         private String releasingHolderId;
 
+        /** The view version that published the database without a holder. */
         private long releaseVersion;
+
         private long epoch;
 
         Optional<String> holder() {
--- a/core/src/main/java/org/hornbeamspread/core/membership/HolderCandidates.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/HolderCandidates.java
@@ -10,18 +10,18 @@
 import java.util.Optional;
 
 /**
- * The living proxies, sorted for rendezvous hashing: each proxy's hash is mixed with the database's, and the greatest
- * score wins. Only the proxies that are nearest to the database compete: those of its failure domain; without any, those
- * of its region; without any, all. Immutable.
+ * The proxies that may hold databases, grouped by location for rendezvous hashing: each proxy's hash is mixed with the
+ * database's hash, and the highest score wins. Only the proxies nearest to the database are scored: those of its failure
+ * domain; if there are none, those of its region; if there are none, all. Immutable.
  */
 public final class HolderCandidates {
     private final Map<String, List<Candidate>> byFailureDomain = new HashMap<>();
     private final Map<String, List<Candidate>> byRegion = new HashMap<>();
     private final List<Candidate> all = new ArrayList<>();
 
-    /** Sorts the proxies that are not draining. */
-    public HolderCandidates(Collection<LiveProxy> living) {
-        for (LiveProxy proxy : living) {
+    /** Groups the proxies that are not draining by failure domain and region. */
+    public HolderCandidates(Collection<LiveProxy> proxies) {
+        for (LiveProxy proxy : proxies) {
             if (proxy.draining()) {
                 continue;
             }
@@ -34,7 +34,7 @@
         }
     }
 
-    /** The proxy that should hold a database; absent when there is no candidate. */
+    /** The proxy that should hold a database; absent if there is no candidate. */
     public Optional<String> selectHolder(AnnouncedDatabase database) {
         List<Candidate> nearest = byFailureDomain.get(database.failureDomain());
         if (nearest == null) {
@@ -60,7 +60,7 @@
         return Hashing.murmur3_128().hashString(name, StandardCharsets.UTF_8).asLong();
     }
 
-    /** Spreads the bits of a combined hash, so that scores of one proxy with different databases are unrelated. */
+    /** Spreads the bits of a combined hash, so that a proxy's scores for different databases are independent. */
     private static long mix(long combined) {
         long mixed = (combined ^ (combined >>> 33)) * 0xff51afd7ed558ccdL;
         mixed = (mixed ^ (mixed >>> 33)) * 0xc4ceb9fe1a85ec53L;
--- a/core/src/main/java/org/hornbeamspread/core/membership/LiveProxy.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/LiveProxy.java
@@ -4,15 +4,15 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * A proxy as it describes itself when it renews its view lease.
+ * A proxy's description of itself, sent with each renewal of its view lease.
  *
- * @param proxyId its name
- * @param failureDomain its failure domain
- * @param region its region
- * @param peer where other processes reach it
- * @param http where callers reach it
- * @param configurationVersion the version that it has in force
- * @param draining it is shutting down and takes no new holdings
+ * @param proxyId the proxy's name
+ * @param failureDomain the proxy's failure domain
+ * @param region the proxy's region
+ * @param peer the address for connections from other processes of the system
+ * @param http the address for HTTP requests from callers
+ * @param configurationVersion the version of the configuration that the proxy applies
+ * @param draining whether the proxy is shutting down and must not be assigned further databases
  * @param incarnation rises with each start of the process
  */
 public record LiveProxy(
@@ -31,7 +31,10 @@
         }
     }
 
-    /** Whether the other proxies need to learn of the difference. */
+    /**
+     * Whether the two descriptions are equal apart from the configuration version. A change of the version alone is not
+     * published to the other proxies.
+     */
     public boolean hasSameDescription(LiveProxy other) {
         return withConfigurationVersion(other.configurationVersion).equals(other);
     }
--- a/core/src/main/java/org/hornbeamspread/core/membership/package-info.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Who takes part: announced databases, living proxies, and which proxy holds which database. */
+/** Membership: announced databases, proxies with a lease, and the assignment of databases to proxies. */
 package org.hornbeamspread.core.membership;
--- a/core/src/test/java/org/hornbeamspread/core/membership/HolderAssignmentTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/membership/HolderAssignmentTest.java
@@ -11,10 +11,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Guards against two holders of one database at the same time, which could together exceed its connection limit, and
+ * against needless reassignments when a proxy leaves.
+ */
 final class HolderAssignmentTest {
     private static final int DATABASES = 1000;
 
-    /** Own failure domain first, then the region, then any; a draining proxy is no candidate. */
+    /** Order of preference: the database's failure domain, its region, any proxy. Draining proxies are excluded. */
     @ParameterizedTest
     @CsvSource({
         "bole|piassa|sabian, bole",
@@ -30,8 +34,8 @@
             String region = domain.equals("sabian") ? "dire-dawa" : "addis";
             proxies.add(proxy(domain, domain, region, name.startsWith("-")));
         }
-        Optional<String> wished = new HolderCandidates(proxies).selectHolder(database("d1"));
-        assertThat(wished.orElse("none")).isEqualTo(holder);
+        Optional<String> selected = new HolderCandidates(proxies).selectHolder(database("d1"));
+        assertThat(selected.orElse("none")).isEqualTo(holder);
     }
 
     @Test
