--- a/core/src/main/java/org/hornbeamspread/core/dissemination/LeaseRelay.java
+++ b/core/src/main/java/org/hornbeamspread/core/dissemination/LeaseRelay.java
@@ -5,78 +5,80 @@
 import java.time.Instant;
 
 /**
- * Hands the leader's lease on to the proxies of one failure domain, so that the leader serves one relay for each domain
- * instead of every proxy.
+ * Grants leases to the proxies of one failure domain under the lease that the leader granted to the relay, so that the
+ * leader serves one relay for each domain instead of every proxy.
  *
- * <p><b>The problem.</b> A promotion may open its new term only when no proxy can still act on the old view. The leader
- * knows that when each proxy has either confirmed the new view or seen its lease run out. With 7,500 proxies that
- * renew three times a second, the leader alone would answer 25,000 renewals a second.
+ * <p><b>Problem.</b> A promotion may start its new term only when no proxy can still act on the old view. The leader can
+ * prove this once each proxy has either confirmed the new view or let its lease expire. With 7,500 proxies that renew three
+ * times a second, the leader alone would answer 25,000 renewals a second.
  *
- * <p><b>The naive way</b> is a cache: the relay answers renewals from what it last heard, with a full lease each time.
- * That fails: a relay cut off from the leader would prolong old views for ever, and a relay that reports its own
- * version as confirmed would let the leader go on while a proxy behind it has not heard.
+ * <p><b>Naive approach.</b> The relay acts as a cache: it answers renewals from the leader's last response, with a full
+ * lease each time. This fails in two ways. A relay partitioned from the leader would extend leases on old views
+ * indefinitely. A relay that confirms its own version would let the leader proceed while a proxy behind the relay has not
+ * received the new view.
  *
- * <p><b>The invariant.</b> At each instant the leader's record for a relay covers every proxy behind it. It is kept by
- * three rules:
+ * <p><b>Invariant.</b> At each instant the leader's record for a relay covers every proxy behind it. Three rules maintain
+ * the invariant:
  *
  * <ol>
- *   <li>a proxy's lease ends no later than the relay's own, whose end is counted from the moment the relay
- *       <em>sent</em> its renewal, while the leader counts from the moment it received it;
- *   <li>what the relay confirms upstream is the oldest view that any proxy with a running lease may still act on
- *       ({@link ViewLeases}), never the relay's own;
- *   <li>a proxy is granted only the newest view that the relay holds, so that the oldest one only moves forward.
+ *   <li>A proxy's lease expires no later than the relay's own lease. The relay counts its lease from the moment at which it
+ *       <em>sent</em> its renewal, while the leader counts from the moment at which the renewal arrived.
+ *   <li>The version that the relay confirms to the leader is the oldest that any proxy with a valid lease may still act on
+ *       ({@link ViewLeases}), never the relay's own version.
+ *   <li>A proxy is granted only the newest view that the relay holds, so that the oldest active version never decreases.
  * </ol>
  *
- * <p>Corner cases: a relay that restarts, or that follows a new leader, has forgotten or no longer counts its grants: it
- * confirms nothing until the longest lease that it may have handed out is over. A proxy that moves to another relay is
- * counted by both. Confined to one thread.
+ * <p><b>Corner cases.</b> A relay that restarts has lost its record of grants, and a relay that follows a new leader
+ * discards it. In both cases the relay confirms no version until the longest lease that it may have granted has expired. A
+ * proxy that moves to another relay is counted by both relays. Confined to one thread.
  */
 public final class LeaseRelay {
     private final Clock clock;
     private final Duration maxLeaseDuration;
 
-    /** The leases handed out under the present leader. */
+    /** The leases granted to proxies under the current leader. */
     private ViewLeases<String> proxyLeases;
 
-    /** What the leader granted; NONE until the first answer. */
+    /** The lease that the leader granted to this relay; NONE until the first response. */
     private Lease leaderLease = Lease.NONE;
 
     /**
-     * A relay that has just started.
+     * Creates a relay without a lease.
      *
-     * @param clock monotonic
-     * @param longestLease the longest lease that an earlier run may have handed out
+     * @param clock a monotonic clock
+     * @param maxLeaseDuration the longest lease that an earlier run of this relay may have granted
      */
-    public LeaseRelay(Clock clock, Duration longestLease) {
+    public LeaseRelay(Clock clock, Duration maxLeaseDuration) {
         this.clock = clock;
-        this.maxLeaseDuration = longestLease;
-        this.proxyLeases = new ViewLeases<>(clock, longestLease);
+        this.maxLeaseDuration = maxLeaseDuration;
+        this.proxyLeases = new ViewLeases<>(clock, maxLeaseDuration);
     }
 
     /**
-     * The leader answered a renewal that was sent at {@code sentAt}. An answer that is older than what is held, by term
-     * and version, changes nothing.
+     * Applies the leader's response to a renewal that was sent at {@code sentAt}. A response for an older view than that of
+     * the current lease, compared by term and version, is ignored.
      */
     public void onLeaderResponse(Instant sentAt, long leaderTerm, long viewVersion, Duration lease) {
-        Lease answered = new Lease(leaderTerm, viewVersion, sentAt.plus(lease));
-        if (leaderLease.isLaterThan(answered)) {
+        Lease received = new Lease(leaderTerm, viewVersion, sentAt.plus(lease));
+        if (leaderLease.isLaterThan(received)) {
             return;
         }
         if (leaderLease.leaderTerm() != 0 && leaderTerm != leaderLease.leaderTerm()) {
             proxyLeases = new ViewLeases<>(clock, maxLeaseDuration);
         }
-        if (answered.isLaterThan(leaderLease) || answered.expiresAt().isAfter(leaderLease.expiresAt())) {
-            leaderLease = answered;
+        if (received.isLaterThan(leaderLease) || received.expiresAt().isAfter(leaderLease.expiresAt())) {
+            leaderLease = received;
         }
     }
 
     /**
-     * Grants a proxy a lease on the newest view, to be counted from the moment the proxy sent its renewal. The lease's
-     * end is in this relay's time; hand out {@link Lease#remainingAt}. {@link Lease#NONE} when the relay has none left.
+     * Grants a proxy a lease on the newest view, counted from the moment at which the proxy sent its renewal. The returned
+     * expiry refers to this relay's clock; send {@link Lease#remainingAt} to the proxy. Returns {@link Lease#NONE} if the
+     * relay's own lease has expired.
      *
-     * @param proxyId the proxy
-     * @param heldLeaderTerm the leader's term of the view that the proxy holds, 0 for none
-     * @param heldViewVersion the version that the proxy holds, 0 for none
+     * @param proxyId the name of the proxy
+     * @param heldLeaderTerm the leader's term of the view that the proxy holds, 0 if it holds none
+     * @param heldViewVersion the version of the view that the proxy holds, 0 if it holds none
      */
     public Lease renew(String proxyId, long heldLeaderTerm, long heldViewVersion) {
         if (!leaderLease.isValidAt(clock.instant())) {
@@ -89,7 +91,7 @@
         return leaderLease;
     }
 
-    /** The version to confirm with the next renewal: the oldest that any proxy may still act on; 0 when not known. */
+    /** The version to confirm with the next renewal: the oldest that any proxy may still act on, or 0 if unknown. */
     public long confirmedVersion() {
         proxyLeases.expire();
         return Math.min(leaderLease.viewVersion(), proxyLeases.oldestActiveVersion());
--- a/core/src/main/java/org/hornbeamspread/core/dissemination/VersionedView.java
+++ b/core/src/main/java/org/hornbeamspread/core/dissemination/VersionedView.java
@@ -9,21 +9,24 @@
 import java.util.function.LongFunction;
 
 /**
- * A map whose changes are numbered, so that a reader that knows version v gets only what changed since. A removed key is
- * remembered until the view is dropped with its leader's term. Confined to one thread.
+ * A map with a version that increases by one with each change, so that a reader at version v receives only the changes
+ * after v. A tombstone for each removed key is kept until the view is dropped at the end of its leader's term. Confined to
+ * one thread.
  *
- * @param <V> the values
+ * @param <V> the type of the values
  */
 public final class VersionedView<V> {
     private final Map<String, Versioned<V>> entries = new HashMap<>();
 
-    /** Which key changed at which version; one entry for each key, at its latest change. */
+    /** The key that changed at each version; one entry for each key, at the version of its latest change. */
     private final NavigableMap<Long, String> keysByVersion = new TreeMap<>();
 
+    /** The removed keys, with the version of their removal. */
     private final Map<String, Long> tombstones = new HashMap<>();
+
     private long version;
 
-    /** The latest version; 0 while nothing was ever put. */
+    /** The latest version; 0 before the first change. */
     public long version() {
         return version;
     }
@@ -33,17 +36,17 @@
         return version + 1;
     }
 
-    /** Puts a value that may carry the version of its change. */
+    /** Puts a value, which is computed from the version of its change, and returns it. */
     public V put(String key, LongFunction<V> value) {
         discard(key);
         version++;
-        V made = value.apply(version);
-        entries.put(key, new Versioned<>(version, made));
+        V created = value.apply(version);
+        entries.put(key, new Versioned<>(version, created));
         keysByVersion.put(version, key);
-        return made;
+        return created;
     }
 
-    /** Removes a key; returns whether it was there. */
+    /** Removes a key; returns whether the key was present. */
     public boolean remove(String key) {
         if (!entries.containsKey(key)) {
             return false;
@@ -55,22 +58,22 @@
         return true;
     }
 
-    /** The value of a key, or null. */
+    /** The value of a key, or null if absent. */
     public V get(String key) {
         Versioned<V> entry = entries.get(key);
         return entry == null ? null : entry.value;
     }
 
-    /** Raises the version for a change outside the map, which {@link #changesSince} leaves out. */
+    /** Increments the version for a change outside the map, which {@link #changesSince} does not return. */
     public long incrementVersion() {
         version++;
         return version;
     }
 
-    /** The values that changed after a version, in the order of their changes; all of them for 0. */
-    public List<V> changesSince(long known) {
+    /** The values that changed after a version, in the order of their changes; all values for version 0. */
+    public List<V> changesSince(long sinceVersion) {
         List<V> values = new ArrayList<>();
-        for (String key : keysByVersion.tailMap(known, false).values()) {
+        for (String key : keysByVersion.tailMap(sinceVersion, false).values()) {
             Versioned<V> entry = entries.get(key);
             if (entry != null) {
                 values.add(entry.value);
@@ -80,20 +83,20 @@
     }
 
     /** The keys that were removed after a version. */
-    public List<String> removedSince(long known) {
-        return keysByVersion.tailMap(known, false).values().stream()
+    public List<String> removedSince(long sinceVersion) {
+        return keysByVersion.tailMap(sinceVersion, false).values().stream()
                 .filter(tombstones::containsKey)
                 .toList();
     }
 
     private void discard(String key) {
-        Versioned<V> old = entries.remove(key);
-        if (old != null) {
-            keysByVersion.remove(old.version);
+        Versioned<V> previous = entries.remove(key);
+        if (previous != null) {
+            keysByVersion.remove(previous.version);
         }
-        Long removedAt = tombstones.remove(key);
-        if (removedAt != null) {
-            keysByVersion.remove(removedAt);
+        Long removalVersion = tombstones.remove(key);
+        if (removalVersion != null) {
+            keysByVersion.remove(removalVersion);
         }
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/dissemination/ViewLeases.java
+++ b/core/src/main/java/org/hornbeamspread/core/dissemination/ViewLeases.java
@@ -16,23 +16,25 @@
 /**
  * The leases under which proxies act on a view.
  *
- * <p>A proxy acknowledges writes, and uses connections, only while its lease runs. So the question "does anyone still act
- * on a view older than version v" has a sure answer: no, once each proxy has confirmed v or later, or the leases that
- * were granted with an older view have run out.
+ * <p>A proxy acknowledges writes and uses connections only while its lease is valid. It is therefore certain that no proxy
+ * acts on a view older than version v once each proxy has confirmed v or later, or all its leases granted with an older
+ * view have expired.
  *
- * <p>The naive test, whether the proxy's latest lease has run out, never ends for a proxy whose requests arrive while its
- * answers are lost: it renews for ever without learning the new view. Therefore each grant is kept with the version
- * that its answer carried; grants with v or later don't count against v, since a proxy takes such a lease only together
- * with the view in it.
+ * <p><b>Naive approach.</b> Waiting until the proxy's latest lease has expired may take forever: if the proxy's requests
+ * arrive but the responses are lost, the proxy keeps renewing without receiving the new view. Therefore each grant is
+ * stored with the version that its response carried. Grants with version v or later don't count against v, since a proxy
+ * accepts such a lease only together with the view in it.
  *
- * <p>The proxy counts its lease from when it sent the request, control from when the request arrived, which is later;
- * a margin covers clocks that run at different speeds. Leases of earlier leaders are unknown here, so nothing counts as
- * over until a whole lease has passed since this leader began. Confined to one thread.
+ * <p><b>Clocks.</b> The proxy counts its lease from the moment at which it sent the request, control from the moment at
+ * which the request arrived, which is later. A margin covers clocks that run at different rates.
  *
- * @param <P> what is kept with a proxy
+ * <p><b>Leader change.</b> Leases granted by earlier leaders are not recorded here. No version counts as released until one
+ * full lease has passed since the start of this leader. Confined to one thread.
+ *
+ * @param <P> the type of the description stored with each proxy
  */
 public final class ViewLeases<P> {
-    /** Control's lease is longer than the proxy's by this share, for clocks that run at different speeds. */
+    /** The fraction by which control extends a lease beyond the proxy's, for clocks that run at different rates. */
     private static final double CLOCK_RATE_MARGIN = 0.01;
 
     private final Clock clock;
@@ -40,14 +42,14 @@
     private final Instant previousLeadersLeasesExpireAt;
     private final Map<String, Entry<P>> entries = new HashMap<>();
 
-    /** Starts at the moment this leader was elected or later. */
+    /** Creates an empty record; must be called when this leader is elected or later. */
     public ViewLeases(Clock clock, Duration lease) {
         this.clock = clock;
         this.leaseWithMargin = lease.plusNanos((long) (lease.toNanos() * CLOCK_RATE_MARGIN));
         this.previousLeadersLeasesExpireAt = clock.instant().plus(leaseWithMargin);
     }
 
-    /** Notes that a proxy holds a view of this leader's. Without a running lease there is nothing to note. */
+    /** Records the version of this leader's view that a proxy holds. Without a lease there is no record to update. */
     public void confirm(String proxyId, long version) {
         Entry<P> entry = entries.get(proxyId);
         if (entry != null) {
@@ -55,25 +57,25 @@
         }
     }
 
-    /** Notes a lease whose answer carries a view version, for a request that arrived at the given time. */
+    /** Records a lease whose response carries a view version, for a request that arrived at the given time. */
     public void grant(String proxyId, P proxy, long version, Instant arrivedAt) {
         grantUntil(proxyId, proxy, version, arrivedAt.plus(leaseWithMargin));
     }
 
-    /** Notes a lease whose answer carries a view version, and that has certainly run out at an instant. */
-    public void grantUntil(String proxyId, P proxy, long version, Instant end) {
+    /** Records a lease whose response carries a view version, and that has certainly expired at the given time. */
+    public void grantUntil(String proxyId, P proxy, long version, Instant expiresAt) {
         Entry<P> entry = entries.computeIfAbsent(proxyId, id -> new Entry<>());
         entry.proxy = proxy;
-        Instant until = end;
+        Instant latestExpiry = expiresAt;
         Grant last = entry.grants.peekLast();
         if (last != null && last.version == version) {
             entry.grants.removeLast();
-            until = until.isAfter(last.expiresAt) ? until : last.expiresAt;
+            latestExpiry = latestExpiry.isAfter(last.expiresAt) ? latestExpiry : last.expiresAt;
         }
-        entry.grants.addLast(new Grant(version, until));
+        entry.grants.addLast(new Grant(version, latestExpiry));
     }
 
-    /** Forgets proxies whose last lease has run out, and returns their names. */
+    /** Removes proxies whose last lease has expired, and returns their names. */
     public List<String> expire() {
         Instant now = clock.instant();
         List<String> expired = new ArrayList<>();
@@ -89,12 +91,12 @@
         return expired;
     }
 
-    /** Whether leases of earlier leaders may still run. */
+    /** Whether leases granted by earlier leaders may still be valid. */
     public boolean previousLeadersLeasesMayBeValid() {
         return clock.instant().isBefore(previousLeadersLeasesExpireAt);
     }
 
-    /** The oldest version that any proxy may still act on; {@link Long#MAX_VALUE} when no lease runs. */
+    /** The oldest version that any proxy may still act on; {@link Long#MAX_VALUE} if no lease is valid. */
     public long oldestActiveVersion() {
         if (previousLeadersLeasesMayBeValid()) {
             return 0;
@@ -106,28 +108,30 @@
                 .orElse(Long.MAX_VALUE);
     }
 
-    /** Whether one proxy can't act on a view older than this version any longer, as far as this leader granted it. */
+    /**
+     * Whether a proxy can no longer act on a view older than this version. Considers only leases that this leader granted.
+     */
     public boolean isReleased(String proxyId, long version) {
         Entry<P> entry = entries.get(proxyId);
         return entry == null || entry.oldestActiveVersion(clock.instant()) >= version;
     }
 
-    /** What is known of a proxy with a lease. */
+    /** The description of a proxy with a lease. */
     public Optional<P> find(String proxyId) {
         return Optional.ofNullable(entries.get(proxyId)).map(entry -> entry.proxy);
     }
 
-    /** How many proxies have a lease. */
+    /** The number of proxies with a lease. */
     public int size() {
         return entries.size();
     }
 
-    /** All proxies with a lease. */
+    /** The descriptions of all proxies with a lease. */
     public Collection<P> liveProxies() {
         return entries.values().stream().map(entry -> entry.proxy).toList();
     }
 
-    /** A lease granted with a view. */
+    /** A lease granted with a view version. */
     private record Grant(long version, Instant expiresAt) {}
 
     /** One proxy's leases, in the order of their versions. */
@@ -136,7 +140,10 @@
         private P proxy;
         private long confirmedVersion;
 
-        /** It holds what it confirmed, or else some view that a running lease was granted with. */
+        /**
+         * The oldest version that the proxy may still act on. The proxy holds the version that it confirmed, or a later one
+         * that a valid lease was granted with.
+         */
         long oldestActiveVersion(Instant now) {
             return grants.stream()
                     .filter(grant -> grant.expiresAt.isAfter(now))
--- a/core/src/main/java/org/hornbeamspread/core/dissemination/package-info.java
+++ b/core/src/main/java/org/hornbeamspread/core/dissemination/package-info.java
@@ -1,2 +1,2 @@
-/** How state reaches the proxies: versioned views, their deltas, and the leases under which they are held. */
+/** Distribution of state to the proxies: versioned views, their deltas, and the leases under which proxies act on them. */
 package org.hornbeamspread.core.dissemination;
--- a/core/src/test/java/org/hornbeamspread/core/dissemination/LeaseRelayTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/dissemination/LeaseRelayTest.java
@@ -15,6 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Guards against a proxy that acts on an old view after the leader has counted this view as out of use. The causes covered
+ * are a relay that is partitioned from the leader, a relay that restarts, and delayed or lost messages.
+ */
 final class LeaseRelayTest {
     private static final Duration LEASE = Duration.ofSeconds(1);
 
@@ -42,16 +46,16 @@
 
     @ParameterizedTest
     @CsvSource({"0, 8", "8, 8", "9, 9"})
-    void theRelayConfirmsTheOldestVersionThatAProxyMayActOn(long confirmedByLaggard, long confirmed) {
+    void theRelayConfirmsTheOldestVersionThatAProxyMayActOn(long confirmedBySlowProxy, long expectedVersion) {
         LeaseRelay relay = relayWithLeaseForVersion(8);
         relay.renew("p1", 0, 0);
         relay.renew("p2", 0, 0);
         relay.onLeaderResponse(clock.instant(), 1, 9, LEASE);
         relay.renew("p1", 1, 9);
-        if (confirmedByLaggard > 0) {
-            relay.renew("p2", 1, confirmedByLaggard);
+        if (confirmedBySlowProxy > 0) {
+            relay.renew("p2", 1, confirmedBySlowProxy);
         }
-        assertThat(relay.confirmedVersion()).isEqualTo(confirmed);
+        assertThat(relay.confirmedVersion()).isEqualTo(expectedVersion);
     }
 
     @Test
@@ -75,25 +79,29 @@
     }
 
     /**
-     * Random delays, relay restarts and lost messages: no proxy may hold a lease on a view that the leader believes is
-     * out of use. The same walk with a rule of the relay left out must break it.
+     * Under random delays, relay restarts and lost messages, no proxy may hold a lease on a view that the leader counts as
+     * out of use. A run with one of the relay's rules left out must violate this.
      */
     @ParameterizedTest
     @CsvSource({"SAFE, false", "FULL_LEASE, true", "OWN_VERSION, true", "NO_RESTART_WAIT, true"})
-    void theLeadersRecordForTheRelayCoversEveryProxy(RandomizedRun.Variant rule, boolean breaks) {
-        boolean broken = false;
+    void theLeadersRecordForTheRelayCoversEveryProxy(RandomizedRun.Variant variant, boolean violationExpected) {
+        boolean violated = false;
         for (long seed = 1; seed <= 200; seed++) {
-            broken |= new RandomizedRun(seed, rule).run();
+            violated |= new RandomizedRun(seed, variant).run();
         }
-        assertThat(broken).isEqualTo(breaks);
+        assertThat(violated).isEqualTo(violationExpected);
     }
 
     /** One leader, one relay, three proxies, and messages that take from 0 to 400 ms. */
     private static final class RandomizedRun {
         enum Variant {
+            /** The relay with all its rules. */
             SAFE,
+            /** Proxies are granted a full lease instead of the rest of the relay's lease. */
             FULL_LEASE,
+            /** The relay confirms its own version instead of the oldest that a proxy may act on. */
             OWN_VERSION,
+            /** A restarted relay does not wait until the leases of its earlier run have expired. */
             NO_RESTART_WAIT
         }
 
@@ -101,29 +109,29 @@
 
         private final ManualClock clock = new ManualClock();
         private final RandomGenerator random;
-        private final Variant rule;
+        private final Variant variant;
         private final Deque<Delivery> pendingDeliveries = new ArrayDeque<>();
         private final List<Lease> proxyLeases = new ArrayList<>(List.of(Lease.NONE, Lease.NONE, Lease.NONE));
         private LeaseRelay relay;
 
-        /** The relay's last answer, which the broken rules hand on in place of what the relay decides. */
+        /** The lease in the leader's last response, which the faulty variants use instead of the relay's own decision. */
         private Lease lastLeaderLease = Lease.NONE;
 
         private int relayIncarnation;
         private long currentVersion = 1;
 
-        /** What the leader knows of the relay. */
+        /** The leader's record of the version that the relay confirmed. */
         private long leaderConfirmedVersion;
 
         private Instant relayLeaseExpiresAt = Instant.EPOCH;
 
-        RandomizedRun(long seed, Variant rule) {
+        RandomizedRun(long seed, Variant variant) {
             this.random = RandomGeneratorFactory.of("L64X128MixRandom").create(seed);
-            this.rule = rule;
+            this.variant = variant;
             restartRelay();
         }
 
-        /** Whether a proxy ever held a lease on a view that the leader had taken out of use. */
+        /** Whether a proxy held, at any time, a lease on a view that the leader counted as out of use. */
         boolean run() {
             for (int step = 0; step < 600; step++) {
                 clock.advance(Duration.ofMillis(random.nextInt(60)));
@@ -138,8 +146,9 @@
 
         private boolean invariantViolated() {
             Instant now = clock.instant();
-            long inUseFrom = now.isBefore(relayLeaseExpiresAt) ? leaderConfirmedVersion : currentVersion;
-            return proxyLeases.stream().anyMatch(lease -> lease.isValidAt(now) && lease.viewVersion() < inUseFrom);
+            long oldestVersionInUse = now.isBefore(relayLeaseExpiresAt) ? leaderConfirmedVersion : currentVersion;
+            return proxyLeases.stream()
+                    .anyMatch(lease -> lease.isValidAt(now) && lease.viewVersion() < oldestVersionInUse);
         }
 
         private void performRandomAction() {
@@ -156,21 +165,21 @@
         }
 
         private void restartRelay() {
-            relay = new LeaseRelay(clock, rule == Variant.NO_RESTART_WAIT ? Duration.ZERO : LEASE);
+            relay = new LeaseRelay(clock, variant == Variant.NO_RESTART_WAIT ? Duration.ZERO : LEASE);
             lastLeaderLease = Lease.NONE;
             relayIncarnation++;
         }
 
         private void renewRelay() {
             Instant sentAt = clock.instant();
-            long confirmed = rule == Variant.OWN_VERSION ? lastLeaderLease.viewVersion() : relay.confirmedVersion();
-            int run = relayIncarnation;
+            long confirmed = variant == Variant.OWN_VERSION ? lastLeaderLease.viewVersion() : relay.confirmedVersion();
+            int incarnation = relayIncarnation;
             send(() -> {
                 leaderConfirmedVersion = Math.max(leaderConfirmedVersion, confirmed);
                 relayLeaseExpiresAt = clock.instant().plus(LEASE);
                 long granted = currentVersion;
                 send(() -> {
-                    if (run == relayIncarnation) {
+                    if (incarnation == relayIncarnation) {
                         relay.onLeaderResponse(sentAt, 1, granted, LEASE);
                         lastLeaderLease =
                                 new Lease(1, Math.max(granted, lastLeaderLease.viewVersion()), sentAt.plus(LEASE));
@@ -184,22 +193,22 @@
             long held = proxyLeases.get(index).viewVersion();
             send(() -> {
                 Lease granted = relay.renew("p" + index, held == 0 ? 0 : 1, held);
-                Duration lease = rule == Variant.FULL_LEASE ? LEASE : granted.remainingAt(clock.instant());
-                long version = rule == Variant.FULL_LEASE ? lastLeaderLease.viewVersion() : granted.viewVersion();
+                Duration lease = variant == Variant.FULL_LEASE ? LEASE : granted.remainingAt(clock.instant());
+                long version = variant == Variant.FULL_LEASE ? lastLeaderLease.viewVersion() : granted.viewVersion();
                 send(() -> {
-                    Lease answered = new Lease(1, version, sentAt.plus(lease));
-                    if (!proxyLeases.get(index).isLaterThan(answered)
-                            && answered.expiresAt()
+                    Lease received = new Lease(1, version, sentAt.plus(lease));
+                    if (!proxyLeases.get(index).isLaterThan(received)
+                            && received.expiresAt()
                                     .isAfter(proxyLeases.get(index).expiresAt())) {
-                        proxyLeases.set(index, answered);
+                        proxyLeases.set(index, received);
                     }
                 });
             });
         }
 
-        private void send(Runnable effect) {
+        private void send(Runnable action) {
             if (random.nextInt(8) > 0) {
-                pendingDeliveries.add(new Delivery(clock.instant().plusMillis(random.nextInt(400)), effect));
+                pendingDeliveries.add(new Delivery(clock.instant().plusMillis(random.nextInt(400)), action));
             }
         }
 
--- a/core/src/test/java/org/hornbeamspread/core/dissemination/ViewLeasesTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/dissemination/ViewLeasesTest.java
@@ -9,6 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Guards against counting an old view as out of use while a proxy may still act on it. */
 final class ViewLeasesTest {
     private static final Duration LEASE = Duration.ofSeconds(1);
 
@@ -20,15 +21,18 @@
         clock.advance(LEASE.multipliedBy(2));
     }
 
-    /** A lease granted with version 3 counts against version 4 until it is confirmed or has run out by either clock. */
+    /**
+     * A lease granted with version 3 counts against version 4 until the proxy confirms version 4, or until the lease has
+     * expired both on the proxy's clock and on the leader's clock, which counts the margin as well.
+     */
     @ParameterizedTest
     @CsvSource({"3, 0, 3", "3, 999, 3", "3, 1009, 3", "3, 1010, 9223372036854775807", "4, 0, 4"})
     void aLeaseOnAnOldVersionCountsUntilANewerVersionIsConfirmedOrTheLeaseExpires(
-            long confirmed, long waitedMs, long oldest) {
+            long confirmedVersion, long elapsedMs, long expectedOldest) {
         leases.grant("p1", "p1", 3, clock.instant());
-        leases.confirm("p1", confirmed);
-        clock.advance(Duration.ofMillis(waitedMs));
-        assertThat(leases.oldestActiveVersion()).isEqualTo(oldest);
+        leases.confirm("p1", confirmedVersion);
+        clock.advance(Duration.ofMillis(elapsedMs));
+        assertThat(leases.oldestActiveVersion()).isEqualTo(expectedOldest);
     }
 
     @Test
@@ -52,11 +56,11 @@
 
     @Test
     void aNewLeaderReportsNoVersionAsReleasedForOneFullLease() {
-        ViewLeases<String> fresh = new ViewLeases<>(clock, LEASE);
+        ViewLeases<String> newLeaderLeases = new ViewLeases<>(clock, LEASE);
         clock.advance(LEASE);
-        assertThat(fresh.oldestActiveVersion()).isEqualTo(0);
+        assertThat(newLeaderLeases.oldestActiveVersion()).isEqualTo(0);
         clock.advance(LEASE);
-        assertThat(fresh.oldestActiveVersion()).isEqualTo(Long.MAX_VALUE);
+        assertThat(newLeaderLeases.oldestActiveVersion()).isEqualTo(Long.MAX_VALUE);
     }
 
     @Test
