--- a/core/src/main/java/org/hornbeamspread/core/membership/HolderAssignment.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/HolderAssignment.java
@@ -30,11 +30,11 @@
     private static final int TERM_SHIFT_BITS = 32;
 
     private final Map<String, Assignment> assignments = new HashMap<>();
-    private long nextEpoch;
+    private long lastEpoch;
 
     /** Creates an assignment without holders, for the term of a control leader. */
     public HolderAssignment(long leaderTerm) {
-        this.nextEpoch = leaderTerm << TERM_SHIFT_BITS;
+        this.lastEpoch = leaderTerm << TERM_SHIFT_BITS;
     }
 
     /** The holder of a database in the published view; absent if there is none. */
@@ -113,8 +113,8 @@
         }
         assignment.releasingHolderId = null;
         assignment.holderId = desired.get();
-        nextEpoch++;
-        assignment.epoch = nextEpoch;
+        lastEpoch++;
+        assignment.epoch = lastEpoch;
         return true;
     }
 
