--- a/bench/src/main/java/org/hornbeamspread/bench/ControlMessageBenchmark.java
+++ b/bench/src/main/java/org/hornbeamspread/bench/ControlMessageBenchmark.java
@@ -20,20 +20,20 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** Encoding plus decoding of the messages that control sends in a steady state: what one costs and how long it is. */
+/** Time to encode and decode the messages exchanged with control in a steady state, and the size of each message. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class ControlMessageBenchmark {
-    /** The message. */
+    /** The kind of message. */
     public enum Kind {
         /** A proxy's renewal with no observations. */
         RENEWAL,
-        /** A proxy's renewal that reports three databases as silent. */
+        /** A proxy's renewal that reports three databases from which no message arrives. */
         RENEWAL_WITH_OBSERVATIONS,
-        /** The answer when nothing changed. */
+        /** The response to a renewal when nothing has changed. */
         LEASE_UNCHANGED,
-        /** The answer when one group changed. */
+        /** The response to a renewal when one group has changed. */
         LEASE_ONE_GROUP,
         /** A database's announcement. */
         ANNOUNCEMENT,
@@ -41,18 +41,18 @@
         POSITION_REPORT
     }
 
-    /** The message that is measured. */
+    /** The kind of message to encode and decode. */
     @Param
     public Kind kind;
 
     private Envelope envelope;
     private long requestCount;
 
-    /** The size of the encoded frame, reported beside the times. */
+    /** The size of the encoded frame, reported with the times. */
     @State(Scope.Thread)
     @AuxCounters(AuxCounters.Type.EVENTS)
     public static class Size {
-        /** Bytes of the frame with its length prefix; JMH adds it up over the iterations. */
+        /** The size of the frame with its length prefix, in bytes; JMH adds the sizes up over the iterations. */
         public long frameBytes;
     }
 
@@ -75,7 +75,7 @@
         };
     }
 
-    /** One frame there: built with its id, encoded, decoded. */
+    /** Builds one frame with its request id, encodes and decodes it. */
     @Benchmark
     public Envelope encodeAndDecode(Size size) throws InvalidProtocolBufferException {
         byte[] frame = envelope.toBuilder()
--- a/bench/src/main/java/org/hornbeamspread/bench/LeaseRelayBenchmark.java
+++ b/bench/src/main/java/org/hornbeamspread/bench/LeaseRelayBenchmark.java
@@ -14,14 +14,16 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** What a relay spends on one renewal of a proxy, and on one renewal of its own, by the number of proxies behind it. */
+/**
+ * Time that a relay needs for one renewal of a proxy and for one of its own, by the number of proxies behind the relay.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class LeaseRelayBenchmark {
     private static final Duration LEASE = Duration.ofSeconds(1);
 
-    /** Proxies behind the relay. */
+    /** The number of proxies behind the relay. */
     @Param({"10", "100", "500", "5000"})
     public int proxies;
 
@@ -30,7 +32,7 @@
     private LeaseRelay relay;
     private int nextProxyIndex;
 
-    /** Leases all proxies once. */
+    /** Grants a lease to each proxy. */
     @Setup
     public void grantLeases() {
         relay = new LeaseRelay(clock, LEASE);
@@ -50,7 +52,7 @@
         return relay.renew(proxyIds[nextProxyIndex], 1, 1);
     }
 
-    /** What the relay confirms upstream. */
+    /** The version that the relay confirms to the leader. */
     @Benchmark
     public long confirmUpstream() {
         return relay.confirmedVersion();
--- a/bench/src/main/java/org/hornbeamspread/bench/RefusalBenchmark.java
+++ b/bench/src/main/java/org/hornbeamspread/bench/RefusalBenchmark.java
@@ -12,26 +12,26 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.State;
 
-/** What one refusal costs to make, by the depth of the stack it is made at. */
+/** Time to create the exception for a refusal, by the depth of the call stack. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class RefusalBenchmark {
     private static final Duration RETRY_AFTER = Duration.ofMillis(50);
 
-    /** Frames below the refusal. */
+    /** The number of stack frames below the refusal. */
     @Param({"1", "20", "60"})
     public int depth;
 
-    /** One refusal. */
+    /** Creates one refusal. */
     @Benchmark
     public FailureException refuse() {
         return refuseAtDepth(depth);
     }
 
-    private static FailureException refuseAtDepth(int left) {
-        return left == 0
+    private static FailureException refuseAtDepth(int remainingDepth) {
+        return remainingDepth == 0
                 ? new FailureException(FailureType.QUEUE_FULL, "urgent", RETRY_AFTER)
-                : refuseAtDepth(left - 1);
+                : refuseAtDepth(remainingDepth - 1);
     }
 }
--- a/bench/src/main/java/org/hornbeamspread/bench/SampleViews.java
+++ b/bench/src/main/java/org/hornbeamspread/bench/SampleViews.java
@@ -6,7 +6,7 @@
 import org.hornbeamspread.protocol.schema.ProxyEntry;
 import org.hornbeamspread.protocol.schema.ViewLease;
 
-/** Views of a chosen size, with names as long as those of a real deployment. */
+/** Sample views of a given size, with names as long as in a real deployment. */
 final class SampleViews {
     private static final int DATABASES_PER_GROUP = 3;
     private static final int DATABASE_PORT = 6432;
@@ -15,7 +15,7 @@
 
     private SampleViews() {}
 
-    /** A full view of so many databases, three a group. */
+    /** A full view of the given number of databases, three in each group. */
     static ViewLease fullView(int databases) {
         ViewLease.Builder view = ViewLease.newBuilder()
                 .setLeaderTerm(7)
--- a/bench/src/main/java/org/hornbeamspread/bench/ViewCodecBenchmark.java
+++ b/bench/src/main/java/org/hornbeamspread/bench/ViewCodecBenchmark.java
@@ -13,23 +13,23 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** Encoding and decoding a full view, by the number of databases in it. */
+/** Time to encode and decode a full view, by the number of databases in the view. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 public class ViewCodecBenchmark {
-    /** Databases in the view. */
+    /** The number of databases in the view. */
     @Param({"3", "30", "300", "3000", "19000"})
     public int databases;
 
     private ViewLease view;
     private byte[] encoded;
 
-    /** The size of the encoded view, reported beside the times. */
+    /** The size of the encoded view, reported with the times. */
     @State(Scope.Thread)
     @AuxCounters(AuxCounters.Type.EVENTS)
     public static class Size {
-        /** Bytes of the encoded view; JMH adds it up over the iterations. */
+        /** The size of the encoded view, in bytes; JMH adds the sizes up over the iterations. */
         public long viewBytes;
     }
 
@@ -40,7 +40,7 @@
         encoded = view.toByteArray();
     }
 
-    /** Encoding; a message caches its size, so it is built anew each time from shared parts. */
+    /** Encodes the view. A message caches its size, so each call builds a new message from shared parts. */
     @Benchmark
     public byte[] encode(Size size) {
         size.viewBytes = encoded.length;
@@ -50,7 +50,7 @@
                 .toByteArray();
     }
 
-    /** Decoding. */
+    /** Decodes the view. */
     @Benchmark
     public ViewLease decode() throws InvalidProtocolBufferException {
         return ViewLease.parseFrom(encoded);
--- a/bench/src/main/java/org/hornbeamspread/bench/package-info.java
+++ b/bench/src/main/java/org/hornbeamspread/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Benchmarks of the decisions and codecs, at several sizes each, so that a slope can be read off. */
+/** Benchmarks of the core logic and the codecs. Each runs at several sizes, which shows how its cost grows. */
 package org.hornbeamspread.bench;
--- a/core/src/main/java/org/hornbeamspread/core/dissemination/VersionedView.java
+++ b/core/src/main/java/org/hornbeamspread/core/dissemination/VersionedView.java
@@ -10,8 +10,8 @@
 
 /**
  * A map with a version that increases by one with each change, so that a reader at version v receives only the changes
- * after v. A tombstone for each removed key is kept until the view is dropped at the end of its leader's term. Confined to
- * one thread.
+ * after v. A tombstone for each removed key is kept until the view is dropped at the end of its leader's term. Confined
+ * to one thread.
  *
  * @param <V> the type of the values
  */
--- a/core/src/main/java/org/hornbeamspread/core/dissemination/ViewLeases.java
+++ b/core/src/main/java/org/hornbeamspread/core/dissemination/ViewLeases.java
@@ -16,20 +16,20 @@
 /**
  * The leases under which proxies act on a view.
  *
- * <p>A proxy acknowledges writes and uses connections only while its lease is valid. It is therefore certain that no proxy
- * acts on a view older than version v once each proxy has confirmed v or later, or all its leases granted with an older
- * view have expired.
+ * <p>A proxy acknowledges writes and uses connections only while its lease is valid. It is therefore certain that no
+ * proxy acts on a view older than version v once each proxy has confirmed v or later, or all its leases granted with an
+ * older view have expired.
  *
- * <p><b>Naive approach.</b> Waiting until the proxy's latest lease has expired may take forever: if the proxy's requests
- * arrive but the responses are lost, the proxy keeps renewing without receiving the new view. Therefore each grant is
- * stored with the version that its response carried. Grants with version v or later don't count against v, since a proxy
- * accepts such a lease only together with the view in it.
+ * <p><b>Naive approach.</b> Waiting until the proxy's latest lease has expired may take forever: if the proxy's
+ * requests arrive but the responses are lost, the proxy keeps renewing without receiving the new view. Therefore each
+ * grant is stored with the version that its response carried. Grants with version v or later don't count against v,
+ * since a proxy accepts such a lease only together with the view in it.
  *
  * <p><b>Clocks.</b> The proxy counts its lease from the moment at which it sent the request, control from the moment at
  * which the request arrived, which is later. A margin covers clocks that run at different rates.
  *
- * <p><b>Leader change.</b> Leases granted by earlier leaders are not recorded here. No version counts as released until one
- * full lease has passed since the start of this leader. Confined to one thread.
+ * <p><b>Leader change.</b> Leases granted by earlier leaders are not recorded here. No version counts as released until
+ * one full lease has passed since the start of this leader. Confined to one thread.
  *
  * @param <P> the type of the description stored with each proxy
  */
@@ -109,7 +109,8 @@
     }
 
     /**
-     * Whether a proxy can no longer act on a view older than this version. Considers only leases that this leader granted.
+     * Whether a proxy can no longer act on a view older than this version. Considers only leases that this leader
+     * granted.
      */
     public boolean isReleased(String proxyId, long version) {
         Entry<P> entry = entries.get(proxyId);
@@ -141,8 +142,8 @@
         private long confirmedVersion;
 
         /**
-         * The oldest version that the proxy may still act on. The proxy holds the version that it confirmed, or a later one
-         * that a valid lease was granted with.
+         * The oldest version that the proxy may still act on. The proxy holds the version that it confirmed, or a later
+         * one that a valid lease was granted with.
          */
         long oldestActiveVersion(Instant now) {
             return grants.stream()
--- a/core/src/main/java/org/hornbeamspread/core/membership/DatabaseRegistry.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/DatabaseRegistry.java
@@ -111,8 +111,8 @@
     }
 
     /**
-     * Whether the database counts as reachable: not after the reachability timeout has passed without a message, until the
-     * next announcement.
+     * Whether the database counts as reachable: not after the reachability timeout has passed without a message, until
+     * the next announcement.
      */
     public boolean isReachable(String databaseId) {
         Entry entry = entriesById.get(databaseId);
--- a/core/src/main/java/org/hornbeamspread/core/membership/HolderAssignment.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/HolderAssignment.java
@@ -8,23 +8,23 @@
  * Assigns each database to one holder: the proxy that owns the database's connections and request queue, and to which
  * all other proxies relay their requests.
  *
- * <p><b>Naive approach.</b> A table that is rewritten whenever a proxy joins or leaves has two faults. While proxies act on
- * different views, the previous and the new holder would both open connections, and the total would exceed the database's
- * connection limit. A new control leader, which has no table, would reassign every database.
+ * <p><b>Naive approach.</b> A table that is rewritten whenever a proxy joins or leaves has two faults. While proxies
+ * act on different views, the previous and the new holder would both open connections, and the total would exceed the
+ * database's connection limit. A new control leader, which has no table, would reassign every database.
  *
- * <p><b>Target holder.</b> The desired holder is a pure function, rendezvous hashing: each proxy with a lease is scored by
- * hashing its name with the database's name, and the highest score wins. A proxy that joins or leaves changes only its own
- * share of the assignments. Candidates are the proxies in the database's failure domain that are not draining; if there
- * are none, those of its region; if there are none, all.
+ * <p><b>Target holder.</b> The desired holder is a pure function, rendezvous hashing: each proxy with a lease is scored
+ * by hashing its name with the database's name, and the highest score wins. A proxy that joins or leaves changes only
+ * its own share of the assignments. Candidates are the proxies in the database's failure domain that are not draining;
+ * if there are none, those of its region; if there are none, all.
  *
- * <p><b>Handover.</b> The previous holder releases the database before the next one acquires it. A view without a holder
- * for the database is published first. The new holder is assigned only after the previous holder has confirmed that view,
- * or after the lease under which it held the database has expired. A new leader adopts the holdings that proxies with a
- * lease report, and assigns holders to the remaining databases only after one full lease.
+ * <p><b>Handover.</b> The previous holder releases the database before the next one acquires it. A view without a
+ * holder for the database is published first. The new holder is assigned only after the previous holder has confirmed
+ * that view, or after the lease under which it held the database has expired. A new leader adopts the holdings that
+ * proxies with a lease report, and assigns holders to the remaining databases only after one full lease.
  *
- * <p><b>Epochs.</b> The epoch increases with each assignment, so that a relayed request sent under an older view is refused.
- * Epochs start at the leader's term shifted left by 32 bits, so that they also increase across leaders. Confined to one
- * thread.
+ * <p><b>Epochs.</b> The epoch increases with each assignment, so that a relayed request sent under an older view is
+ * refused. Epochs start at the leader's term shifted left by 32 bits, so that they also increase across leaders.
+ * Confined to one thread.
  */
 public final class HolderAssignment {
     private static final int TERM_SHIFT_BITS = 32;
@@ -49,8 +49,8 @@
     }
 
     /**
-     * Adopts a assignment that a proxy reports from the term of an earlier leader. Of two claims the one with the higher epoch
-     * wins. Returns whether the holder changed.
+     * Adopts a assignment that a proxy reports from the term of an earlier leader. Of two claims the one with the
+     * higher epoch wins. Returns whether the holder changed.
      */
     public boolean adopt(String databaseId, String proxyId, long epoch) {
         Assignment assignment = assignments.computeIfAbsent(databaseId, id -> new Assignment());
@@ -121,7 +121,10 @@
     /** Checks whether a proxy has released a database. */
     @FunctionalInterface
     public interface ReleaseCheck {
-        /** Whether the proxy has confirmed a view of at least this version, or all its leases on older views have expired. */
+        /**
+         * Whether the proxy has confirmed a view of at least this version, or all its leases on older views have
+         * expired.
+         */
         boolean isReleased(String proxyId, long version);
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/membership/HolderCandidates.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/HolderCandidates.java
@@ -11,8 +11,8 @@
 
 /**
  * The proxies that may hold databases, grouped by location for rendezvous hashing: each proxy's hash is mixed with the
- * database's hash, and the highest score wins. Only the proxies nearest to the database are scored: those of its failure
- * domain; if there are none, those of its region; if there are none, all. Immutable.
+ * database's hash, and the highest score wins. Only the proxies nearest to the database are scored: those of its
+ * failure domain; if there are none, those of its region; if there are none, all. Immutable.
  */
 public final class HolderCandidates {
     private final Map<String, List<Candidate>> byFailureDomain = new HashMap<>();
--- a/core/src/main/java/org/hornbeamspread/core/misc/ClockJumpDetector.java
+++ b/core/src/main/java/org/hornbeamspread/core/misc/ClockJumpDetector.java
@@ -3,12 +3,13 @@
 import java.time.Clock;
 
 /**
- * Notices when the steady clock can't be trusted for ages: a machine that was suspended does not count that time, while its
- * time of day does. Any step of one against the other starts a new epoch; an age is proven only within one epoch. A step of
- * the time of day alone starts one needlessly, which costs a new sample.
+ * Detects when ages measured with the monotonic clock are unreliable: while a machine is suspended, its monotonic clock
+ * stands still, but its wall clock advances. Any jump of one clock against the other starts a new epoch, and an age is
+ * valid only if it was measured within one epoch. A jump of the wall clock alone starts an epoch without need, which
+ * costs one new sample.
  */
 public final class ClockJumpDetector {
-    /** Above the drift between two looks, below what ages are rounded up by. */
+    /** Above the drift of the clocks between two checks, and below the amount by which ages are rounded up. */
     private static final long TOLERANCE_MS = 50;
 
     private final Clock monotonicClock;
@@ -16,19 +17,19 @@
     private long offsetMs;
     private long epoch;
 
-    /** A guard of a steady clock, by the time of day. */
-    public ClockJumpDetector(Clock steady, Clock timeOfDay) {
-        this.monotonicClock = steady;
-        this.wallClock = timeOfDay;
-        this.offsetMs = timeOfDay.millis() - steady.millis();
+    /** Creates a detector that compares a monotonic clock with the wall clock. */
+    public ClockJumpDetector(Clock monotonicClock, Clock wallClock) {
+        this.monotonicClock = monotonicClock;
+        this.wallClock = wallClock;
+        this.offsetMs = wallClock.millis() - monotonicClock.millis();
     }
 
-    /** The present epoch. */
+    /** The current epoch; starts a new one if the clocks have jumped since the last call. */
     public long epoch() {
-        long nowMs = wallClock.millis() - monotonicClock.millis();
-        if (Math.abs(nowMs - offsetMs) > TOLERANCE_MS) {
+        long currentOffsetMs = wallClock.millis() - monotonicClock.millis();
+        if (Math.abs(currentOffsetMs - offsetMs) > TOLERANCE_MS) {
             epoch++;
-            offsetMs = nowMs;
+            offsetMs = currentOffsetMs;
         }
         return epoch;
     }
--- a/core/src/main/java/org/hornbeamspread/core/misc/Effect.java
+++ b/core/src/main/java/org/hornbeamspread/core/misc/Effect.java
@@ -1,11 +1,11 @@
 package org.hornbeamspread.core.misc;
 
-/** What is known of a request's effect. */
+/** Whether a request took effect. */
 public enum Effect {
-    /** It ran, and its result is acknowledged. */
+    /** The request ran, and its result is acknowledged. */
     DONE,
-    /** It did not run, with proof. */
+    /** The request provably did not run. */
     NOT_RUN,
-    /** It may have run. */
+    /** The request may have run. */
     UNKNOWN
 }
--- a/core/src/main/java/org/hornbeamspread/core/misc/EventLog.java
+++ b/core/src/main/java/org/hornbeamspread/core/misc/EventLog.java
@@ -1,18 +1,18 @@
 package org.hornbeamspread.core.misc;
 
 /**
- * Takes one line for each decision that touches a request or changes what the process believes. Never blocks; lines over
- * the bound are dropped and counted.
+ * Records one line for each decision that affects a request or changes the state of the process. Recording never
+ * blocks; lines over the buffer's bound are dropped and counted.
  */
 public interface EventLog {
-    /** Keeps nothing. */
+    /** An event log that discards all events. */
     EventLog NONE = (event, fields) -> {};
 
     /**
      * Records an event.
      *
-     * @param event names the kind of decision
-     * @param fields names and values by turns
+     * @param event the name of the kind of decision
+     * @param fields alternating field names and values
      */
     void record(String event, Object... fields);
 }
--- a/core/src/main/java/org/hornbeamspread/core/misc/FailureException.java
+++ b/core/src/main/java/org/hornbeamspread/core/misc/FailureException.java
@@ -5,8 +5,9 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * A typed failure. Futures of this project complete exceptionally with it. It carries no stack trace: it is an outcome,
- * not a defect, and in a flood most requests end in one. An INTERNAL failure keeps its cause, which has one.
+ * A typed failure, with which futures of this project complete exceptionally. The exception has no stack trace, because
+ * a typed failure is an expected outcome, not a defect, and under overload most requests fail. An INTERNAL failure
+ * keeps its cause, which has a stack trace.
  */
 public final class FailureException extends RuntimeException {
     private static final long serialVersionUID = 1L;
@@ -14,20 +15,20 @@
     private final FailureType type;
     private final String detail;
 
-    /** 0 when a retry is not advised. */
+    /** 0 if a retry is not advised. */
     private final long retryAfterMs;
 
-    /** A failure without advice to retry. */
+    /** Creates a failure without advice to retry. */
     public FailureException(FailureType type, String detail) {
         this(type, detail, Duration.ZERO);
     }
 
-    /** A failure that advises a retry after a pause; zero for none. */
+    /** Creates a failure that advises a retry after a delay; zero for no advice. */
     public FailureException(FailureType type, String detail, Duration retryAfter) {
         this(type, detail, retryAfter, null);
     }
 
-    /** A failure that another error brought about. */
+    /** Creates a failure that another error caused. */
     public FailureException(FailureType type, String detail, Throwable cause) {
         this(type, detail, Duration.ZERO, cause);
     }
@@ -39,22 +40,22 @@
         this.retryAfterMs = retryAfter.toMillis();
     }
 
-    /** The entry of the failure table. */
+    /** The type of the failure. */
     public FailureType type() {
         return type;
     }
 
-    /** What the message template was filled with. */
+    /** The detail inserted into the message template. */
     public String detail() {
         return detail;
     }
 
-    /** How long to wait before a retry, if one is advised. */
+    /** The delay before a retry, if a retry is advised. */
     public Optional<Duration> retryAfter() {
         return retryAfterMs == 0 ? Optional.empty() : Optional.of(Duration.ofMillis(retryAfterMs));
     }
 
-    /** The typed failure behind a future's error: unwraps completion exceptions, and types anything else INTERNAL. */
+    /** Converts a future's error: unwraps completion exceptions, and wraps an error without a type as INTERNAL. */
     public static FailureException of(Throwable error) {
         Throwable cause = error;
         while (cause instanceof CompletionException && cause.getCause() != null) {
--- a/core/src/main/java/org/hornbeamspread/core/misc/FailureType.java
+++ b/core/src/main/java/org/hornbeamspread/core/misc/FailureType.java
@@ -1,8 +1,8 @@
 package org.hornbeamspread.core.misc;
 
 /**
- * Every failure that a caller, an operator or another process can see, with its effect, its HTTP status and a message
- * template for its detail. An entry's name is its wire form and never changes its meaning.
+ * All failures that are reported to a caller, an operator or another process, each with its effect, its HTTP status and
+ * a message template for its detail. The constant's name is its wire form, and its meaning must never change.
  */
 public enum FailureType {
     // Bad input: refused before anything ran.
@@ -37,10 +37,10 @@
     QUEUE_FULL(Effect.NOT_RUN, 429, "the queue of this rank is full: %s"),
     DEADLINE_BEFORE_START(Effect.NOT_RUN, 429, "the request can't start before its deadline: %s"),
     CONNECTION_LIMIT(Effect.NOT_RUN, 503, "the database has no free connection: %s"),
-    RING_FULL(Effect.NOT_RUN, 503, "a ring between threads is full: %s"),
+    RING_FULL(Effect.NOT_RUN, 503, "a ring buffer between threads is full: %s"),
     RETRY_BUDGET_SPENT(Effect.NOT_RUN, 429, "the retry budget of this caller and rank is spent: %s"),
 
-    // Outcomes that can't be proved.
+    // Unknown outcomes: the request may have taken effect.
     NO_QUORUM_IN_TIME(Effect.UNKNOWN, 504, "too few databases confirmed the write in time: %s"),
     TIMEOUT_AFTER_SEND(Effect.UNKNOWN, 504, "no answer before the deadline: %s"),
     CONNECTION_LOST_AFTER_SEND(Effect.UNKNOWN, 504, "the connection broke after the statement was sent: %s"),
@@ -63,7 +63,7 @@
     DISK_FULL(Effect.NOT_RUN, 500, "the disk is full: %s"),
     DISK_FAILED(Effect.UNKNOWN, 500, "the disk failed: %s"),
 
-    // Transport and the rest.
+    // Transport and other failures.
     CONNECTION_REFUSED(Effect.NOT_RUN, 503, "the connection could not be opened: %s"),
     CONNECTION_LOST(Effect.UNKNOWN, 503, "the connection broke: %s"),
     REQUEST_TIMEOUT(Effect.UNKNOWN, 504, "no answer in time: %s"),
@@ -80,17 +80,17 @@
         this.template = template;
     }
 
-    /** What is known of the request's effect. */
+    /** Whether a request that failed this way may have taken effect. */
     public Effect effect() {
         return effect;
     }
 
-    /** The HTTP status that carries this failure. */
+    /** The HTTP status of a response that reports this failure. */
     public int httpStatus() {
         return httpStatus;
     }
 
-    /** The message for a detail. */
+    /** The message with a detail inserted. */
     public String message(String detail) {
         return String.format(template, detail);
     }
--- a/core/src/main/java/org/hornbeamspread/core/misc/LogPosition.java
+++ b/core/src/main/java/org/hornbeamspread/core/misc/LogPosition.java
@@ -3,8 +3,8 @@
 import java.util.Comparator;
 
 /**
- * A place in a database group's log: the term of the last entry and its index in entries. Positions compare by term
- * first: an entry of a later term outranks any index of an earlier one.
+ * A position in a database group's log: the term of the last entry and its index in entries. Positions are
+ * ordered by term first: any entry of a later term follows all entries of earlier terms.
  *
  * @param term the term of the entry, 0 for an empty log
  * @param indexEntries the index of the entry, 0 for an empty log
@@ -28,7 +28,7 @@
         return ORDER.compare(this, other);
     }
 
-    /** Whether a log that ends here holds everything that a log ending at {@code other} holds. */
+    /** Whether a log that ends at this position includes all entries of a log that ends at {@code other}. */
     public boolean covers(LogPosition other) {
         return compareTo(other) >= 0;
     }
--- a/core/src/main/java/org/hornbeamspread/core/misc/ManualClock.java
+++ b/core/src/main/java/org/hornbeamspread/core/misc/ManualClock.java
@@ -6,7 +6,7 @@
 import java.time.ZoneId;
 import java.time.ZoneOffset;
 
-/** A clock that stands still until it is advanced. For tests and for driving the decisions from a bench. */
+/** A clock that changes only when it is advanced, for tests and benchmarks. */
 public final class ManualClock extends Clock {
     private volatile Instant currentInstant;
 
--- a/core/src/main/java/org/hornbeamspread/core/misc/package-info.java
+++ b/core/src/main/java/org/hornbeamspread/core/misc/package-info.java
@@ -1,2 +1,2 @@
-/** Values, failures and clocks that every decision package shares. */
+/** Values, failures and clocks shared by all packages of core. */
 package org.hornbeamspread.core.misc;
--- a/core/src/main/java/org/hornbeamspread/core/sql/SqlConnector.java
+++ b/core/src/main/java/org/hornbeamspread/core/sql/SqlConnector.java
@@ -7,8 +7,9 @@
 /** Opens connections to databases. */
 public interface SqlConnector {
     /**
-     * Connects to an instance, and to no other that may have its address now. Fails with CONNECTION_REFUSED, REQUEST_TIMEOUT,
-     * CONNECTION_LIMIT when the database takes no more, or UNKNOWN_DATABASE when another instance answers.
+     * Connects to an instance, and not to another instance that may have taken over its address. Fails with
+     * CONNECTION_REFUSED, REQUEST_TIMEOUT, CONNECTION_LIMIT if the database accepts no further connection, or
+     * UNKNOWN_DATABASE if another instance responds.
      */
     CompletableFuture<SqlConnection> connect(DatabaseInstance instance, Duration timeout);
 }
--- a/core/src/main/java/org/hornbeamspread/core/sql/SqlError.java
+++ b/core/src/main/java/org/hornbeamspread/core/sql/SqlError.java
@@ -1,34 +1,34 @@
 package org.hornbeamspread.core.sql;
 
-/** Why a statement did not succeed, with what is known of its effect. */
+/** The reason why a statement did not succeed, and whether the statement may have taken effect. */
 public enum SqlError {
-    /** No capacity; nothing ran. */
+    /** No capacity is free; nothing ran. */
     BUSY(true),
-    /** The log lacks the position asked for; nothing ran. */
+    /** The database's log does not reach the required position; nothing ran. */
     REPLICA_LAGGING(true),
     /** The database is not the primary; nothing ran. */
     READ_ONLY(true),
-    /** The connection reached another database than it was meant for; nothing ran. */
+    /** The connection reached a database other than the intended one; nothing ran. */
     WRONG_INSTANCE(true),
     /** The database has no free connection; nothing ran. */
     TOO_MANY_CONNECTIONS(true),
     /** The transaction was rolled back. */
     ABORTED(true),
-    /** No prepared statement of this name; nothing ran. */
+    /** The session has no prepared statement of this name; nothing ran. */
     UNKNOWN_PREPARED(true),
-    /** No database of this name. */
+    /** There is no database of this name; nothing ran. */
     UNKNOWN_DATABASE(true),
-    /** The statement is not understood, or not allowed now; nothing ran. */
+    /** The statement can't be parsed, or is not allowed in the current state; nothing ran. */
     MALFORMED(true),
-    /** A message over the limit; nothing ran. */
+    /** The message exceeds the size limit; nothing ran. */
     TOO_LARGE(true),
-    /** The caller is not known. */
+    /** The caller is unknown; nothing ran. */
     NOT_AUTHORIZED(true),
-    /** The database ran it and failed. */
+    /** The database ran the statement and reported a failure. */
     FAILED(false),
-    /** No answer in time; it may have run. */
+    /** No response arrived in time; the statement may have run. */
     TIMEOUT(false),
-    /** Whether it took effect is not known. */
+    /** It is unknown whether the statement took effect. */
     IN_DOUBT(false);
 
     private final boolean notRun;
@@ -37,7 +37,7 @@
         this.notRun = notRun;
     }
 
-    /** Whether nothing of the statement took effect, for certain. */
+    /** Whether it is certain that no part of the statement took effect. */
     public boolean isNotRun() {
         return notRun;
     }
--- a/core/src/main/java/org/hornbeamspread/core/sql/SqlResult.java
+++ b/core/src/main/java/org/hornbeamspread/core/sql/SqlResult.java
@@ -5,14 +5,14 @@
 import org.hornbeamspread.core.misc.LogPosition;
 
 /**
- * A whole answer to one statement.
+ * The complete result of one statement.
  *
- * @param rows in order; empty on an error
- * @param signature the database's proof of having run it, or {@link #NO_SIGNATURE}
- * @param error absent on success
- * @param detail says more about the error; may be empty
- * @param state of the session after it
- * @param position of the database's log after it; absent when unknown
+ * @param rows the rows in order; empty on an error
+ * @param signature the database's proof that it ran the statement, or {@link #NO_SIGNATURE}
+ * @param error the error; absent on success
+ * @param detail details of the error; may be empty
+ * @param state the session's transaction state after the statement
+ * @param position the end of the database's log after the statement; absent if unknown
  */
 public record SqlResult(
         List<String> rows,
@@ -21,7 +21,7 @@
         String detail,
         TransactionState state,
         Optional<LogPosition> position) {
-    /** Stands for the signature of statements that no database ran. */
+    /** The placeholder signature of a statement that no database ran. */
     public static final String NO_SIGNATURE = "-";
 
     /** Copies the rows. */
@@ -29,27 +29,27 @@
         rows = List.copyOf(rows);
     }
 
-    /** Success without a database. */
+    /** A successful result of a statement that no database ran. */
     public static SqlResult success(TransactionState state) {
         return new SqlResult(List.of(), NO_SIGNATURE, Optional.empty(), "", state, Optional.empty());
     }
 
-    /** An error. */
+    /** A failed result. */
     public static SqlResult failure(SqlError error, String detail, TransactionState state) {
         return new SqlResult(List.of(), NO_SIGNATURE, Optional.of(error), detail, state, Optional.empty());
     }
 
-    /** Whether it succeeded. */
+    /** Whether the statement succeeded. */
     public boolean isSuccess() {
         return error.isEmpty();
     }
 
-    /** Whether the error is this one. */
+    /** Whether the statement failed with this error. */
     public boolean hasError(SqlError expected) {
         return error.filter(expected::equals).isPresent();
     }
 
-    /** The same answer in another session state. */
+    /** The same result with another transaction state. */
     public SqlResult withState(TransactionState next) {
         return new SqlResult(rows, signature, error, detail, next, position);
     }
--- a/core/src/main/java/org/hornbeamspread/core/sql/SqlStatement.java
+++ b/core/src/main/java/org/hornbeamspread/core/sql/SqlStatement.java
@@ -2,15 +2,15 @@
 
 import java.util.Optional;
 
-/** One statement of a session, or one that the proxy or control itself sends to a database. */
+/** A statement of a client session, or one that the proxy or control itself sends to a database. */
 public sealed interface SqlStatement {
     /** Opens a transaction. */
     record Begin(boolean readOnly) implements SqlStatement {}
 
-    /** Ends a transaction and keeps its writes. */
+    /** Commits the open transaction. */
     record Commit() implements SqlStatement {}
 
-    /** Ends a transaction and drops its writes. */
+    /** Rolls the open transaction back. */
     record Rollback() implements SqlStatement {}
 
     /** Reads an item. */
@@ -19,38 +19,38 @@
     /** Writes an item. */
     record Write(String item, String data) implements SqlStatement {}
 
-    /** Sets a value of the session. */
+    /** Sets a session variable. */
     record SetValue(String name, String value) implements SqlStatement {}
 
-    /** Gives a statement's shape a name in the session. */
+    /** Prepares a statement under a name in the session. */
     record Prepare(String name, PreparedDefinition definition) implements SqlStatement {}
 
-    /** Runs a prepared statement; a write has data. */
+    /** Runs a prepared statement; data is present for a write. */
     record Execute(String name, String item, Optional<String> data) implements SqlStatement {}
 
-    /** Forgets a prepared name. */
+    /** Removes a prepared statement. */
     record Deallocate(String name) implements SqlStatement {}
 
-    /** Forgets all values and prepared names of a connection. */
+    /** Removes all session variables and prepared statements of a connection. */
     record Reset() implements SqlStatement {}
 
-    /** Asks a database for its role and position. */
+    /** Requests the role and the log position of a database. */
     record Status() implements SqlStatement {}
 
-    /** Stops a replica from receiving, until a promotion or {@link ResumeReplication}. */
+    /** Makes a replica stop receiving the log until a promotion or {@link ResumeReplication}. */
     record PauseReplication(long term) implements SqlStatement {}
 
-    /** Lets a paused replica receive again. */
+    /** Makes a paused replica receive the log again. */
     record ResumeReplication() implements SqlStatement {}
 
-    /** Makes a primary of a lower term a replica. */
+    /** Demotes a primary of a lower term to a replica. */
     record Demote(long term) implements SqlStatement {}
 
     /**
-     * What a prepared name stands for.
+     * The definition of a prepared statement.
      *
-     * @param write whether it writes
-     * @param text the rest of its definition, not interpreted
+     * @param write whether the statement writes
+     * @param text the rest of the definition, not interpreted
      */
     record PreparedDefinition(boolean write, String text) {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/sql/TransactionState.java
+++ b/core/src/main/java/org/hornbeamspread/core/sql/TransactionState.java
@@ -1,11 +1,11 @@
 package org.hornbeamspread.core.sql;
 
-/** Where a session stands. */
+/** The transaction state of a session. */
 public enum TransactionState {
-    /** Outside of any transaction. */
+    /** No transaction is open. */
     IDLE,
-    /** Inside a transaction. */
+    /** A transaction is open. */
     OPEN,
-    /** Inside a transaction that failed; only its end is accepted. */
+    /** A transaction is open and has failed; only commit or rollback is accepted. */
     FAILED
 }
--- a/core/src/main/java/org/hornbeamspread/core/sql/package-info.java
+++ b/core/src/main/java/org/hornbeamspread/core/sql/package-info.java
@@ -1,2 +1,2 @@
-/** Statements of interactive sessions, what databases answer, and the state that a session keeps. */
+/** Statements of interactive sessions, their results, and the transaction state of a session. */
 package org.hornbeamspread.core.sql;
--- a/core/src/test/java/org/hornbeamspread/core/ArchitectureTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/ArchitectureTest.java
@@ -8,7 +8,7 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** The decisions depend on the JDK and small libraries only, and use no threads, sockets, files or wall clock. */
+/** The core module depends on the JDK and small libraries only, and uses no threads, sockets, files or wall clock. */
 @AnalyzeClasses(packages = "org.hornbeamspread", importOptions = ImportOption.DoNotIncludeTests.class)
 final class ArchitectureTest {
     @ArchTest
--- a/core/src/test/java/org/hornbeamspread/core/dissemination/LeaseRelayTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/dissemination/LeaseRelayTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Guards against a proxy that acts on an old view after the leader has counted this view as out of use. The causes covered
- * are a relay that is partitioned from the leader, a relay that restarts, and delayed or lost messages.
+ * Guards against a proxy that acts on an old view after the leader has counted this view as out of use. The causes
+ * covered are a relay that is partitioned from the leader, a relay that restarts, and delayed or lost messages.
  */
 final class LeaseRelayTest {
     private static final Duration LEASE = Duration.ofSeconds(1);
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Under random delays, relay restarts and lost messages, no proxy may hold a lease on a view that the leader counts as
-     * out of use. A run with one of the relay's rules left out must violate this.
+     * Under random delays, relay restarts and lost messages, no proxy may hold a lease on a view that the leader counts
+     * as out of use. A run with one of the relay's rules left out must violate this.
      */
     @ParameterizedTest
     @CsvSource({"SAFE, false", "FULL_LEASE, true", "OWN_VERSION, true", "NO_RESTART_WAIT, true"})
@@ -114,7 +114,9 @@
         private final List<Lease> proxyLeases = new ArrayList<>(List.of(Lease.NONE, Lease.NONE, Lease.NONE));
         private LeaseRelay relay;
 
-        /** The lease in the leader's last response, which the faulty variants use instead of the relay's own decision. */
+        /**
+         * The lease in the leader's last response, which the faulty variants use instead of the relay's own decision.
+         */
         private Lease lastLeaderLease = Lease.NONE;
 
         private int relayIncarnation;
--- a/core/src/test/java/org/hornbeamspread/core/dissemination/ViewLeasesTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/dissemination/ViewLeasesTest.java
@@ -22,8 +22,8 @@
     }
 
     /**
-     * A lease granted with version 3 counts against version 4 until the proxy confirms version 4, or until the lease has
-     * expired both on the proxy's clock and on the leader's clock, which counts the margin as well.
+     * A lease granted with version 3 counts against version 4 until the proxy confirms version 4, or until the lease
+     * has expired both on the proxy's clock and on the leader's clock, which counts the margin as well.
      */
     @ParameterizedTest
     @CsvSource({"3, 0, 3", "3, 999, 3", "3, 1009, 3", "3, 1010, 9223372036854775807", "4, 0, 4"})
