--- a/core/src/main/java/org/hornbeamspread/core/dissemination/Lease.java
+++ b/core/src/main/java/org/hornbeamspread/core/dissemination/Lease.java
@@ -10,7 +10,7 @@
  *
  * @param leaderTerm the consensus term of the leader that granted it
  * @param viewVersion the version of the view that the lease is for
- * @param until the first instant at which the lease is no longer valid
+ * @param expiresAt the first instant at which the lease is no longer valid
  */
 public record Lease(long leaderTerm, long viewVersion, Instant expiresAt) {
     /** The absence of a lease; not valid at any instant. */
--- a/core/src/main/java/org/hornbeamspread/core/membership/HolderAssignment.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/HolderAssignment.java
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Adopts a assignment that a proxy reports from the term of an earlier leader. Of two claims the one with the
+     * Adopts an assignment that a proxy reports from the term of an earlier leader. Of two claims the one with the
      * higher epoch wins. Returns whether the holder changed.
      */
     public boolean adopt(String databaseId, String proxyId, long epoch) {
