--- a/core/src/test/java/org/hornbeamspread/core/membership/HolderAssignmentTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/membership/HolderAssignmentTest.java
@@ -27,15 +27,15 @@
         "-bole|sabian, sabian",
         "-bole, none"
     })
-    void theNearestProxyThatIsNotDrainingIsSelected(String living, String holder) {
+    void theNearestProxyThatIsNotDrainingIsSelected(String proxyNames, String expectedHolder) {
         List<LiveProxy> proxies = new ArrayList<>();
-        for (String name : living.split("\\|", -1)) {
+        for (String name : proxyNames.split("\\|", -1)) {
             String domain = name.replace("-", "");
             String region = domain.equals("sabian") ? "dire-dawa" : "addis";
             proxies.add(proxy(domain, domain, region, name.startsWith("-")));
         }
         Optional<String> selected = new HolderCandidates(proxies).selectHolder(database("d1"));
-        assertThat(selected.orElse("none")).isEqualTo(holder);
+        assertThat(selected.orElse("none")).isEqualTo(expectedHolder);
     }
 
     @Test
