--- a/bench/src/main/java/org/hornbeamspread/bench/ControlMessageBenchmark.java
+++ b/bench/src/main/java/org/hornbeamspread/bench/ControlMessageBenchmark.java
@@ -20,20 +20,20 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** Encoding plus decoding of the messages that control sends in a steady state: what one costs and how long it is. */
+/** Time to encode and decode the messages exchanged with control in a steady state, and the size of each message. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class ControlMessageBenchmark {
-    /** The message. */
+    /** The kind of message. */
     public enum Kind {
         /** A proxy's renewal with no observations. */
         RENEWAL,
-        /** A proxy's renewal that reports three databases as silent. */
+        /** A proxy's renewal that reports three databases from which no message arrives. */
         RENEWAL_WITH_OBSERVATIONS,
-        /** The answer when nothing changed. */
+        /** The response to a renewal when nothing has changed. */
         LEASE_UNCHANGED,
-        /** The answer when one group changed. */
+        /** The response to a renewal when one group has changed. */
         LEASE_ONE_GROUP,
         /** A database's announcement. */
         ANNOUNCEMENT,
@@ -41,18 +41,18 @@
         POSITION_REPORT
     }
 
-    /** The message that is measured. */
+    /** The kind of message to encode and decode. */
     @Param
     public Kind kind;
 
     private Envelope envelope;
-    private long request;
+    private long requestCount;
 
-    /** The size of the encoded frame, reported beside the times. */
+    /** The size of the encoded frame, reported with the times. */
     @State(Scope.Thread)
     @AuxCounters(AuxCounters.Type.EVENTS)
     public static class Size {
-        /** Bytes of the frame with its length prefix; JMH adds it up over the iterations. */
+        /** The size of the frame with its length prefix, in bytes; JMH adds the sizes up over the iterations. */
         public long frameBytes;
     }
 
@@ -66,7 +66,7 @@
             case LEASE_UNCHANGED -> Envelope.newBuilder().setViewLease(lease()).build();
             case LEASE_ONE_GROUP ->
                 Envelope.newBuilder()
-                        .setViewLease(lease().toBuilder().addGroups(Views.group(1)))
+                        .setViewLease(lease().toBuilder().addGroups(SampleViews.groupView(1)))
                         .build();
             case ANNOUNCEMENT ->
                 Envelope.newBuilder().setAnnounce(announcement()).build();
@@ -75,12 +75,12 @@
         };
     }
 
-    /** One frame there: built with its id, encoded, decoded. */
+    /** Builds one frame with its request id, encodes and decodes it. */
     @Benchmark
     public Envelope encodeAndDecode(Size size) throws InvalidProtocolBufferException {
         byte[] frame = envelope.toBuilder()
                 .setProtocolVersion(1)
-                .setRequestId(1_000_000 + request++ % 1_000)
+                .setRequestId(1_000_000 + requestCount++ % 1_000)
                 .build()
                 .toByteArray();
         size.frameBytes = (long) frame.length + Integer.BYTES;
@@ -89,7 +89,7 @@
 
     private static RenewView renewal(int observations) {
         RenewView.Builder renewal = RenewView.newBuilder()
-                .setProxy(Views.proxy(1_234))
+                .setProxy(SampleViews.proxyEntry(1_234))
                 .setLeaderTerm(7)
                 .setViewVersion(1_000_000);
         for (int i = 0; i < observations; i++) {
@@ -114,7 +114,7 @@
                 .setDatabaseId("rental-core-1-0")
                 .setGroup("rental-core-1")
                 .setIncarnation(1_760_000_000_000L)
-                .setEndpoint(Views.proxy(1).getPeer())
+                .setEndpoint(SampleViews.proxyEntry(1).getPeer())
                 .setFailureDomain("domain-1")
                 .setRegion("region-1")
                 .setSlots(5)
--- a/bench/src/main/java/org/hornbeamspread/bench/LeaseRelayBenchmark.java
+++ b/bench/src/main/java/org/hornbeamspread/bench/LeaseRelayBenchmark.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 import org.hornbeamspread.core.dissemination.Lease;
 import org.hornbeamspread.core.dissemination.LeaseRelay;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
 import org.openjdk.jmh.annotations.Mode;
@@ -14,28 +14,30 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 
-/** What a relay spends on one renewal of a proxy, and on one renewal of its own, by the number of proxies behind it. */
+/**
+ * Time that a relay needs for one renewal of a proxy and for one of its own, by the number of proxies behind the relay.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class LeaseRelayBenchmark {
     private static final Duration LEASE = Duration.ofSeconds(1);
 
-    /** Proxies behind the relay. */
+    /** The number of proxies behind the relay. */
     @Param({"10", "100", "500", "5000"})
     public int proxies;
 
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private String[] proxyIds;
     private LeaseRelay relay;
-    private int next;
+    private int nextProxyIndex;
 
-    /** Leases all proxies once. */
+    /** Grants a lease to each proxy. */
     @Setup
-    public void lease() {
+    public void grantLeases() {
         relay = new LeaseRelay(clock, LEASE);
         clock.advance(LEASE.multipliedBy(2));
-        relay.onUpstream(clock.instant(), 1, 1, LEASE);
+        relay.onLeaderResponse(clock.instant(), 1, 1, LEASE);
         proxyIds = new String[proxies];
         for (int i = 0; i < proxies; i++) {
             proxyIds[i] = "proxy-" + i;
@@ -46,11 +48,11 @@
     /** One renewal of a proxy. */
     @Benchmark
     public Lease renewOneProxy() {
-        next = (next + 1) % proxies;
-        return relay.renew(proxyIds[next], 1, 1);
+        nextProxyIndex = (nextProxyIndex + 1) % proxies;
+        return relay.renew(proxyIds[nextProxyIndex], 1, 1);
     }
 
-    /** What the relay confirms upstream. */
+    /** The version that the relay confirms to the leader. */
     @Benchmark
     public long confirmUpstream() {
         return relay.confirmedVersion();
--- a/bench/src/main/java/org/hornbeamspread/bench/Views.java
+++ b/bench/src/main/java/org/hornbeamspread/bench/SampleViews.java
@@ -6,30 +6,30 @@
 import org.hornbeamspread.protocol.schema.ProxyEntry;
 import org.hornbeamspread.protocol.schema.ViewLease;
 
-/** Views of a chosen size, with names as long as those of a real deployment. */
-final class Views {
+/** Sample views of a given size, with names as long as in a real deployment. */
+final class SampleViews {
     private static final int DATABASES_PER_GROUP = 3;
     private static final int DATABASE_PORT = 6432;
     private static final int SLOTS = 5;
     private static final int CONNECTION_LIMIT = 35;
 
-    private Views() {}
+    private SampleViews() {}
 
-    /** A full view of so many databases, three a group. */
-    static ViewLease full(int databases) {
+    /** A full view of the given number of databases, three in each group. */
+    static ViewLease fullView(int databases) {
         ViewLease.Builder view = ViewLease.newBuilder()
                 .setLeaderTerm(7)
                 .setViewVersion(1_000_000)
                 .setLeaseMs(1_000)
                 .setFull(true);
         for (int group = 0; group < databases / DATABASES_PER_GROUP; group++) {
-            view.addGroups(group(group));
+            view.addGroups(groupView(group));
         }
         return view.build();
     }
 
     /** The view of one group. */
-    static GroupView group(int number) {
+    static GroupView groupView(int number) {
         GroupView.Builder group = GroupView.newBuilder()
                 .setGroup("rental-core-" + number)
                 .setTerm(9)
@@ -37,13 +37,13 @@
                 .setPrimaryId("rental-core-" + number + "-0")
                 .setWritable(true);
         for (int i = 0; i < DATABASES_PER_GROUP; i++) {
-            group.addDatabases(database(number, i));
+            group.addDatabases(databaseEntry(number, i));
         }
         return group.build();
     }
 
     /** One proxy's entry. */
-    static ProxyEntry proxy(int number) {
+    static ProxyEntry proxyEntry(int number) {
         return ProxyEntry.newBuilder()
                 .setProxyId("proxy-" + number)
                 .setFailureDomain("domain-" + number % 15)
@@ -55,7 +55,7 @@
                 .build();
     }
 
-    private static DatabaseEntry database(int group, int index) {
+    private static DatabaseEntry databaseEntry(int group, int index) {
         return DatabaseEntry.newBuilder()
                 .setDatabaseId("rental-core-" + group + "-" + index)
                 .setIncarnation(1_760_000_000_000L + group)
--- a/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
@@ -164,7 +164,7 @@
                         observation.getSilentMs());
             }
         }
-        if (view.leases().earlierLeasesMayRun()) {
+        if (view.leases().previousLeadersLeasesMayBeValid()) {
             adoptHoldings(request, proxy);
         }
     }
@@ -174,7 +174,7 @@
         Optional<LiveProxy> known = view.leases().find(proxy.proxyId());
         ViewLease answer = view.grant(proxy, request, arrivedAt);
         metrics.leaseGranted(answer.getFull());
-        proxiesChanged |= known.filter(proxy::describesSame).isEmpty();
+        proxiesChanged |= known.filter(proxy::hasSameDescription).isEmpty();
         return answer;
     }
 
@@ -187,7 +187,7 @@
             quietStepAt = now;
         }
         publish();
-        long oldestVersion = view.leases().oldestVersion();
+        long oldestVersion = view.leases().oldestActiveVersion();
         Map<String, List<FailoverEffect>> effects = new LinkedHashMap<>();
         for (GroupState group : groups.values()) {
             if (quietStep || group.isActive()) {
@@ -254,29 +254,29 @@
             return;
         }
         proxiesChanged = false;
-        candidates = new HolderCandidates(view.leases().living());
+        candidates = new HolderCandidates(view.leases().liveProxies());
         view.publishProxies();
         holdersUnsettled = true;
     }
 
     private void assignHolders() {
-        boolean mayAssign = !view.leases().earlierLeasesMayRun();
+        boolean mayAssign = !view.leases().previousLeadersLeasesMayBeValid();
         if (!holdersUnsettled || !mayAssign) {
             return;
         }
         holdersUnsettled = false;
         for (GroupState group : groups.values()) {
             for (AnnouncedDatabase database : group.databases(registry)) {
-                boolean changed = holders.step(
+                boolean changed = holders.reconcile(
                         database,
                         candidates,
                         view.nextVersion(),
-                        (id, version) -> view.leases().isOver(id, version),
+                        (id, version) -> view.leases().isReleased(id, version),
                         true);
                 if (changed) {
                     group.markChanged();
                 }
-                holdersUnsettled |= !holders.isSettled(database.databaseId());
+                holdersUnsettled |= !holders.hasHolder(database.databaseId());
             }
         }
     }
--- a/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
@@ -120,7 +120,7 @@
             return Optional.empty();
         }
         List<DatabaseStatus> initialMembers = input.statuses().subList(0, input.declaredDatabases());
-        boolean allEmpty = initialMembers.stream().allMatch(DatabaseStatus::isEmpty);
+        boolean allEmpty = initialMembers.stream().allMatch(DatabaseStatus::isUninitialized);
         return Optional.of(new AppendRegistrations(initialMembers.stream()
                 .map(status -> new Registration(
                         status.databaseId(), status.incarnation(), allEmpty || (status.trusted() && status.term() > 0)))
--- a/core/src/main/java/org/hornbeamspread/core/failover/SafePromotionRules.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/SafePromotionRules.java
@@ -33,7 +33,7 @@
             return false;
         }
         if (registration.get().incarnation() == status.incarnation()) {
-            boolean diskLost = status.isEmpty() && record.term() > 0 && !status.trusted();
+            boolean diskLost = status.isUninitialized() && record.term() > 0 && !status.trusted();
             return registration.get().trusted() && !diskLost;
         }
         // A database that restarts with its disk keeps its term and its trust. After a restart without the disk the
--- a/core/src/main/java/org/hornbeamspread/core/misc/PausedClock.java
+++ b/core/src/main/java/org/hornbeamspread/core/misc/ManualClock.java
@@ -6,28 +6,28 @@
 import java.time.ZoneId;
 import java.time.ZoneOffset;
 
-/** A clock that stands still until it is advanced. For tests and for driving the decisions from a bench. */
-public final class PausedClock extends Clock {
-    private volatile Instant now;
+/** A clock that changes only when it is advanced, for tests and benchmarks. */
+public final class ManualClock extends Clock {
+    private volatile Instant currentInstant;
 
     /** Starts at the epoch plus one day, so that differences stay positive. */
-    public PausedClock() {
+    public ManualClock() {
         this(Instant.EPOCH.plus(Duration.ofDays(1)));
     }
 
     /** Starts at the given instant. */
-    public PausedClock(Instant start) {
-        this.now = start;
+    public ManualClock(Instant start) {
+        this.currentInstant = start;
     }
 
     /** Moves the clock forward. */
     public synchronized void advance(Duration step) {
-        now = now.plus(step);
+        currentInstant = currentInstant.plus(step);
     }
 
     @Override
     public Instant instant() {
-        return now;
+        return currentInstant;
     }
 
     @Override
--- a/core/src/test/java/org/hornbeamspread/core/acknowledgement/ViewLeaseStateTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/acknowledgement/ViewLeaseStateTest.java
@@ -4,7 +4,7 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -13,7 +13,7 @@
  * a replaced primary. A slow response to the renewal must not extend the lease.
  */
 final class ViewLeaseStateTest {
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
 
     /** The renewal is sent, its response arrives after a delay, and the lease is checked after a further delay. */
     @ParameterizedTest
--- a/core/src/test/java/org/hornbeamspread/core/consensus/LogHarness.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/LogHarness.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 
 /**
  * Simulates the members of one log. The test controls the clock, the delivery of messages and the syncs of the disks.
@@ -20,7 +20,7 @@
     static final long ELECTION_TIMEOUT_MS = 100;
     static final long HEARTBEAT_MS = 20;
 
-    final PausedClock clock = new PausedClock();
+    final ManualClock clock = new ManualClock();
     final SplittableRandom random;
     final LogChecker checker = new LogChecker();
     final Map<String, Host> hosts = new TreeMap<>();
--- a/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import org.hornbeamspread.core.failover.SyncGroupFailover.GroupSnapshot;
 import org.hornbeamspread.core.failover.SyncGroupFailover.MemberView;
-import org.hornbeamspread.core.misc.PausedClock;
+import org.hornbeamspread.core.misc.ManualClock;
 import org.hornbeamspread.core.route.InstanceRegistry;
 import org.hornbeamspread.core.route.InstanceRegistry.Departure;
 import org.hornbeamspread.core.route.LostCopy;
@@ -78,7 +78,7 @@
     /** The latest effects and events, for failure messages. */
     final Deque<String> trace = new ArrayDeque<>();
 
-    private final PausedClock clock = new PausedClock();
+    private final ManualClock clock = new ManualClock();
     private final boolean traced;
     private final Random random;
     private final Scenario scenario;
--- a/core/src/test/java/org/hornbeamspread/core/membership/HolderAssignmentTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/membership/HolderAssignmentTest.java
@@ -11,10 +11,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * Guards against two holders of one database at the same time, which could together exceed its connection limit, and
+ * against needless reassignments when a proxy leaves.
+ */
 final class HolderAssignmentTest {
     private static final int DATABASES = 1000;
 
-    /** Own failure domain first, then the region, then any; a draining proxy is no candidate. */
+    /** Order of preference: the database's failure domain, its region, any proxy. Draining proxies are excluded. */
     @ParameterizedTest
     @CsvSource({
         "bole|piassa|sabian, bole",
@@ -23,19 +27,19 @@
         "-bole|sabian, sabian",
         "-bole, none"
     })
-    void theNearestLivingProxyHolds(String living, String holder) {
+    void theNearestProxyThatIsNotDrainingIsSelected(String proxyNames, String expectedHolder) {
         List<LiveProxy> proxies = new ArrayList<>();
-        for (String name : living.split("\\|", -1)) {
+        for (String name : proxyNames.split("\\|", -1)) {
             String domain = name.replace("-", "");
             String region = domain.equals("sabian") ? "dire-dawa" : "addis";
             proxies.add(proxy(domain, domain, region, name.startsWith("-")));
         }
-        Optional<String> wished = new HolderCandidates(proxies).wish(database("d1"));
-        assertThat(wished.orElse("none")).isEqualTo(holder);
+        Optional<String> selected = new HolderCandidates(proxies).selectHolder(database("d1"));
+        assertThat(selected.orElse("none")).isEqualTo(expectedHolder);
     }
 
     @Test
-    void aLeavingProxyMovesOnlyItsOwnShare() {
+    void removingAProxyReassignsOnlyTheDatabasesThatItHeld() {
         List<LiveProxy> proxies = new ArrayList<>(IntStream.range(0, 8)
                 .mapToObj(i -> proxy("p" + i, "bole", "addis", false))
                 .toList());
@@ -44,11 +48,11 @@
         HolderCandidates after = new HolderCandidates(proxies);
         int held = 0;
         for (int i = 0; i < DATABASES; i++) {
-            Optional<String> holder = before.wish(database("d" + i));
+            Optional<String> holder = before.selectHolder(database("d" + i));
             if (holder.equals(Optional.of("p3"))) {
                 held++;
             } else {
-                assertThat(after.wish(database("d" + i))).isEqualTo(holder);
+                assertThat(after.selectHolder(database("d" + i))).isEqualTo(holder);
             }
         }
         assertThat(held).isGreaterThan(DATABASES / 16);
@@ -56,20 +60,20 @@
     }
 
     @Test
-    void aNewHolderIsNamedOnlyAfterTheOldOneLetGo() {
+    void aNewHolderIsAssignedOnlyAfterThePreviousHolderReleasedTheDatabase() {
         HolderAssignment assignment = new HolderAssignment(1);
         AnnouncedDatabase database = database("d1");
         HolderCandidates first = new HolderCandidates(List.of(proxy("p1", "bole", "addis", false)));
         HolderCandidates second = new HolderCandidates(List.of(proxy("p2", "bole", "addis", false)));
-        assertThat(assignment.step(database, first, 1, (id, version) -> true, true))
+        assertThat(assignment.reconcile(database, first, 1, (id, version) -> true, true))
                 .isTrue();
         long epoch = assignment.epoch("d1");
-        assertThat(assignment.step(database, second, 2, (id, version) -> false, true))
+        assertThat(assignment.reconcile(database, second, 2, (id, version) -> false, true))
                 .isTrue();
         assertThat(assignment.holder("d1")).isEqualTo(Optional.empty());
-        assertThat(assignment.step(database, second, 3, (id, version) -> version > 2, true))
+        assertThat(assignment.reconcile(database, second, 3, (id, version) -> version > 2, true))
                 .isFalse();
-        assertThat(assignment.step(database, second, 3, (id, version) -> version <= 2, true))
+        assertThat(assignment.reconcile(database, second, 3, (id, version) -> version <= 2, true))
                 .isTrue();
         assertThat(assignment.holder("d1")).isEqualTo(Optional.of("p2"));
         assertThat(assignment.epoch("d1")).isGreaterThan(epoch);
