--- a/control/src/main/java/org/hornbeamspread/control/routes/ControlMembership.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ControlMembership.java
@@ -27,16 +27,16 @@
  */
 public final class ControlMembership implements AutoCloseable {
     /** Longer than two elections, so that a member that is merely between leaders does not ask. */
-    private static final long JOIN_AFTER_MS = 2_500;
+    private static final long LEADERLESS_TIMEOUT_MS = 2_500;
 
     /** Longer than a restart of a machine takes. */
-    private static final long DROP_AFTER_MS = 6_000;
+    private static final long REMOVAL_TIMEOUT_MS = 6_000;
 
     private static final Duration TICK_INTERVAL = Duration.ofMillis(500);
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(1);
 
     private final ControlMember self;
-    private final int wantedVoters;
+    private final int requiredVoters;
     private final ReplicatedLog log;
     private final Supplier<List<ControlMember>> members;
     private final Supplier<List<Endpoint>> seeds;
@@ -45,7 +45,7 @@
     private final DutyThread<Runnable> thread;
     private long leaderlessTicks;
     private int nextSeed;
-    private boolean changing;
+    private boolean removalPending;
 
     /**
      * Makes the duty; {@link #start} runs it.
@@ -62,7 +62,7 @@
             PeerTransport transport,
             EventLog events) {
         this.self = self;
-        this.wantedVoters = wantedVoters;
+        this.requiredVoters = wantedVoters;
         this.log = log;
         this.members = members;
         this.seeds = seeds;
@@ -94,7 +94,7 @@
                 .setPeer(request.getPeer())
                 .setHttp(request.getHttp())
                 .build());
-        return propose(next);
+        return proposeMembers(next);
     }
 
     @Override
@@ -102,7 +102,7 @@
         thread.close();
     }
 
-    private CompletableFuture<Void> propose(List<ControlMember> next) {
+    private CompletableFuture<Void> proposeMembers(List<ControlMember> next) {
         return log.propose(ControlCommand.newBuilder()
                         .setChangeMembers(ChangeMembers.newBuilder().addAllMembers(next))
                         .build())
@@ -115,27 +115,27 @@
     private void tick() {
         if (log.leadership().isLeader()) {
             leaderlessTicks = 0;
-            dropLost();
+            removeLostMember();
         } else if (log.leadership().leaderId().isPresent()) {
             leaderlessTicks = 0;
-        } else if (++leaderlessTicks * TICK_INTERVAL.toMillis() >= JOIN_AFTER_MS) {
-            askToJoin();
+        } else if (++leaderlessTicks * TICK_INTERVAL.toMillis() >= LEADERLESS_TIMEOUT_MS) {
+            requestJoin();
         }
     }
 
-    private void dropLost() {
+    private void removeLostMember() {
         List<ControlMember> present = members.get();
         Optional<ControlMember> lost = present.stream()
                 .filter(member -> !member.getMemberId().equals(self.getMemberId()))
-                .filter(member -> member.getSilentMs() > DROP_AFTER_MS)
+                .filter(member -> member.getSilentMs() > REMOVAL_TIMEOUT_MS)
                 .findFirst();
         long living = present.stream()
-                .filter(member -> member.getVoting() && member.getSilentMs() < JOIN_AFTER_MS)
+                .filter(member -> member.getVoting() && member.getSilentMs() < LEADERLESS_TIMEOUT_MS)
                 .count();
-        if (changing || lost.isEmpty() || (lost.get().getVoting() && living < wantedVoters)) {
+        if (removalPending || lost.isEmpty() || (lost.get().getVoting() && living < requiredVoters)) {
             return;
         }
-        changing = true;
+        removalPending = true;
         events.record(
                 "control_member_dropped",
                 "member",
@@ -146,10 +146,10 @@
                 living);
         List<ControlMember> next = new ArrayList<>(present);
         next.remove(lost.get());
-        propose(next).whenComplete((done, error) -> thread.offer(() -> changing = false));
+        proposeMembers(next).whenComplete((done, error) -> thread.offer(() -> removalPending = false));
     }
 
-    private void askToJoin() {
+    private void requestJoin() {
         List<Endpoint> others = seeds.get().stream()
                 .filter(seed -> !seed.equals(self.getPeer()))
                 .toList();
@@ -163,10 +163,10 @@
                         .setPeer(self.getPeer())
                         .setHttp(self.getHttp()))
                 .build();
-        ask(seed, request, true);
+        sendJoinRequest(seed, request, true);
     }
 
-    private void ask(Endpoint endpoint, Envelope request, boolean follow) {
+    private void sendJoinRequest(Endpoint endpoint, Envelope request, boolean follow) {
         transport
                 .connect(endpoint, REQUEST_TIMEOUT, (peer, unexpected, answer) -> peer.close())
                 .thenCompose(
@@ -183,7 +183,8 @@
                             && failure.type() == FailureType.NOT_LEADER
                             && !failure.detail().isEmpty();
                     if (redirected && follow) {
-                        ask(org.hornbeamspread.transport.AddressTranslator.parse(failure.detail()), request, false);
+                        sendJoinRequest(
+                                org.hornbeamspread.transport.AddressTranslator.parse(failure.detail()), request, false);
                     }
                 });
     }
--- a/control/src/main/java/org/hornbeamspread/control/routes/DatabaseAdministration.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/DatabaseAdministration.java
@@ -21,8 +21,8 @@
     CompletableFuture<ReplicaStatus> demote(DatabaseInstance instance, long term);
 
     /** The end of the instance's log, if it proves to be the primary. */
-    CompletableFuture<Optional<LogPosition>> provePrimary(DatabaseInstance instance);
+    CompletableFuture<Optional<LogPosition>> probePrimary(DatabaseInstance instance);
 
     /** Drops connections to instances that are not among these. */
-    void retain(java.util.Collection<DatabaseInstance> instances);
+    void retainConnections(java.util.Collection<DatabaseInstance> instances);
 }
--- a/control/src/main/java/org/hornbeamspread/control/routes/HeardDatabases.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/DatabaseLivenessTracker.java
@@ -23,39 +23,39 @@
  * commits, so it stays in the registry, and counts in promotions. It is only left out of what proxies are told, until it
  * announces itself again. Confined to the routes duty.
  */
-final class HeardDatabases {
+final class DatabaseLivenessTracker {
     /** A database that has not announced itself for longer is silent. */
-    private static final long SILENCE_LIMIT_MS = SyncFailoverTimings.DEFAULT.silenceMs();
+    private static final long SILENCE_TIMEOUT_MS = SyncFailoverTimings.DEFAULT.silenceMs();
 
     private final Clock clock;
     private final EventLog events;
-    private final Map<String, Long> heardAtMs = new HashMap<>();
+    private final Map<String, Long> lastAnnouncedAtMs = new HashMap<>();
     private final Set<String> silentIds = new HashSet<>();
 
-    HeardDatabases(Clock clock, EventLog events) {
+    DatabaseLivenessTracker(Clock clock, EventLog events) {
         this.clock = clock;
         this.events = events;
     }
 
     /** Forgets everything; what is known counts as heard now. */
-    void begin(Collection<DatabaseInstance> known) {
-        heardAtMs.clear();
+    void reset(Collection<DatabaseInstance> known) {
+        lastAnnouncedAtMs.clear();
         silentIds.clear();
-        retain(known);
+        retainConnections(known);
     }
 
     /** Forgets all but what is known; what is new counts as heard now. */
-    void retain(Collection<DatabaseInstance> known) {
+    void retainConnections(Collection<DatabaseInstance> known) {
         Set<String> knownIds = known.stream().map(DatabaseInstance::instanceId).collect(Collectors.toUnmodifiableSet());
-        knownIds.forEach(id -> heardAtMs.putIfAbsent(id, clock.millis()));
-        heardAtMs.keySet().retainAll(knownIds);
+        knownIds.forEach(id -> lastAnnouncedAtMs.putIfAbsent(id, clock.millis()));
+        lastAnnouncedAtMs.keySet().retainAll(knownIds);
         silentIds.retainAll(knownIds);
     }
 
     /** A database announced itself. True when it was silent. */
     boolean onAnnounced(String instanceId) {
         long nowMs = clock.millis();
-        Long beforeMs = heardAtMs.put(instanceId, nowMs);
+        Long beforeMs = lastAnnouncedAtMs.put(instanceId, nowMs);
         boolean wasSilent = silentIds.remove(instanceId);
         if (wasSilent && beforeMs != null) {
             events.record("instance_heard_again", "instance", instanceId, "silent_ms", nowMs - beforeMs);
@@ -64,12 +64,12 @@
     }
 
     /** Notes which of the known databases have become silent. */
-    void noteSilent(Collection<DatabaseInstance> known) {
+    void markSilent(Collection<DatabaseInstance> known) {
         long nowMs = clock.millis();
         for (DatabaseInstance instance : known) {
             String id = instance.instanceId();
-            if (nowMs - heardAtMs.getOrDefault(id, nowMs) > SILENCE_LIMIT_MS && silentIds.add(id)) {
-                events.record("instance_silent", "instance", id, "limit_ms", SILENCE_LIMIT_MS);
+            if (nowMs - lastAnnouncedAtMs.getOrDefault(id, nowMs) > SILENCE_TIMEOUT_MS && silentIds.add(id)) {
+                events.record("instance_silent", "instance", id, "limit_ms", SILENCE_TIMEOUT_MS);
             }
         }
     }
@@ -80,7 +80,7 @@
      *
      * @param isSettled whether no promotion of a service goes on
      */
-    List<RegisteredInstance> told(ControlState state, Predicate<String> isSettled) {
+    List<RegisteredInstance> instancesToPublish(ControlState state, Predicate<String> isSettled) {
         Set<String> promotedIds = state.getGroupsList().stream()
                 .filter(GroupTerm::getWritable)
                 .map(GroupTerm::getPrimaryId)
@@ -94,7 +94,7 @@
     }
 
     /** When each known database was heard last, by its id. */
-    Map<String, Long> heardAtMs() {
-        return heardAtMs;
+    Map<String, Long> lastAnnouncedAtMs() {
+        return lastAnnouncedAtMs;
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/routes/RoutePeers.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ForwardingRouteOperations.java
@@ -32,7 +32,7 @@
  * The same operations at every member: one that does not lead passes them on to the leader. Also serves what the others and
  * the proxies send. Safe for any thread.
  */
-public final class RoutePeers implements RouteOperations, PeerHandler {
+public final class ForwardingRouteOperations implements RouteOperations, PeerHandler {
     /** Below the second that callers wait before they turn to another member. */
     private static final Duration FORWARD_TIMEOUT = Duration.ofMillis(700);
 
@@ -45,7 +45,7 @@
     private final Map<Endpoint, CompletableFuture<PeerConnection>> connections = new ConcurrentHashMap<>();
 
     /** Serves the operations of a member. */
-    public RoutePeers(
+    public ForwardingRouteOperations(
             RouteControl local,
             ControlMembership membership,
             PeerTransport transport,
@@ -58,15 +58,15 @@
 
     @Override
     public CompletableFuture<Long> replaceRoutes(RouteConfigurationDocument configuration) {
-        return orAtLeader(
+        return orForwardToLeader(
                 local.replaceRoutes(configuration),
-                change(SubmitChange.newBuilder().setConfiguration(configuration)),
+                changeRequest(SubmitChange.newBuilder().setConfiguration(configuration)),
                 answer -> answer.getChangeAccepted().getConfigurationVersion());
     }
 
     @Override
     public CompletableFuture<RouteConfigurationDocument> readRoutes() {
-        return orAtLeader(
+        return orForwardToLeader(
                 local.readRoutes(),
                 Envelope.newBuilder()
                         .setReadConfiguration(ReadConfiguration.getDefaultInstance())
@@ -76,17 +76,17 @@
 
     @Override
     public CompletableFuture<Void> announce(DatabaseInstance instance) {
-        return orAtLeader(
+        return orForwardToLeader(
                 local.announce(instance),
-                change(SubmitChange.newBuilder().setAnnouncement(RouteMessages.wire(instance))),
+                changeRequest(SubmitChange.newBuilder().setAnnouncement(RouteMessages.wire(instance))),
                 answer -> null);
     }
 
     @Override
     public CompletableFuture<Void> depart(Departure departure) {
-        return orAtLeader(
+        return orForwardToLeader(
                 local.depart(departure),
-                change(SubmitChange.newBuilder().setDeparture(RouteMessages.wire(departure))),
+                changeRequest(SubmitChange.newBuilder().setDeparture(RouteMessages.wire(departure))),
                 answer -> null);
     }
 
@@ -95,16 +95,16 @@
         switch (request.getBodyCase()) {
             case WATCH_SYSTEM ->
                 local.watch(request.getWatchSystem(), reply -> answer.accept(withLeaderEndpoint(reply)));
-            case SUBMIT_CHANGE -> answer(submit(request.getSubmitChange()), answer);
+            case SUBMIT_CHANGE -> sendAnswer(applyChange(request.getSubmitChange()), answer);
             case READ_CONFIGURATION ->
-                answer(
+                sendAnswer(
                         local.readRoutes()
                                 .thenApply(routes -> Envelope.newBuilder()
                                         .setConfigurationRead(routes)
                                         .build()),
                         answer);
             case JOIN_CONTROL ->
-                answer(
+                sendAnswer(
                         membership
                                 .join(request.getJoinControl())
                                 .thenApply(joined -> Envelope.newBuilder()
@@ -117,29 +117,30 @@
         }
     }
 
-    private CompletableFuture<Envelope> submit(SubmitChange change) {
+    private CompletableFuture<Envelope> applyChange(SubmitChange change) {
         return switch (change.getChangeCase()) {
-            case CONFIGURATION -> local.replaceRoutes(change.getConfiguration()).thenApply(RoutePeers::accepted);
+            case CONFIGURATION ->
+                local.replaceRoutes(change.getConfiguration()).thenApply(ForwardingRouteOperations::changeAccepted);
             case ANNOUNCEMENT ->
-                local.announce(RouteMessages.instance(change.getAnnouncement())).thenApply(done -> accepted(0));
+                local.announce(RouteMessages.instance(change.getAnnouncement())).thenApply(done -> changeAccepted(0));
             case DEPARTURE ->
-                local.depart(RouteMessages.departure(change.getDeparture())).thenApply(done -> accepted(0));
+                local.depart(RouteMessages.departure(change.getDeparture())).thenApply(done -> changeAccepted(0));
             case CHANGE_NOT_SET ->
                 CompletableFuture.failedFuture(new FailureException(FailureType.INVALID_REQUEST, "empty change"));
         };
     }
 
-    private static Envelope accepted(long version) {
+    private static Envelope changeAccepted(long version) {
         return Envelope.newBuilder()
                 .setChangeAccepted(ChangeAccepted.newBuilder().setConfigurationVersion(version))
                 .build();
     }
 
-    private static Envelope change(SubmitChange.Builder change) {
+    private static Envelope changeRequest(SubmitChange.Builder change) {
         return Envelope.newBuilder().setSubmitChange(change).build();
     }
 
-    private void answer(CompletableFuture<Envelope> outcome, Consumer<Envelope> answer) {
+    private void sendAnswer(CompletableFuture<Envelope> outcome, Consumer<Envelope> answer) {
         outcome.whenComplete((envelope, error) -> answer.accept(
                 error == null ? envelope : withLeaderEndpoint(Envelopes.failureEnvelope(FailureException.of(error)))));
     }
@@ -149,13 +150,13 @@
         if (!reply.hasFailure() || !reply.getFailure().getType().equals(FailureType.NOT_LEADER.name())) {
             return reply;
         }
-        String endpoint = endpoint(reply.getFailure().getDetail())
+        String endpoint = peerEndpoint(reply.getFailure().getDetail())
                 .map(AddressTranslator::format)
                 .orElse("");
         return Envelopes.failureEnvelope(new FailureException(FailureType.NOT_LEADER, endpoint));
     }
 
-    private Optional<Endpoint> endpoint(String memberId) {
+    private Optional<Endpoint> peerEndpoint(String memberId) {
         return members.get().stream()
                 .filter(member -> member.getMemberId().equals(memberId))
                 .map(ControlMember::getPeer)
@@ -163,15 +164,16 @@
                 .findFirst();
     }
 
-    private <T> CompletableFuture<T> orAtLeader(
+    private <T> CompletableFuture<T> orForwardToLeader(
             CompletableFuture<T> attempt, Envelope request, Function<Envelope, T> decode) {
         return attempt.handle((value, error) -> {
                     if (error == null) {
                         return CompletableFuture.completedFuture(value);
                     }
                     FailureException failure = FailureException.of(error);
-                    Optional<Endpoint> leader =
-                            failure.type() == FailureType.NOT_LEADER ? endpoint(failure.detail()) : Optional.empty();
+                    Optional<Endpoint> leader = failure.type() == FailureType.NOT_LEADER
+                            ? peerEndpoint(failure.detail())
+                            : Optional.empty();
                     return leader.map(endpoint -> forward(endpoint, request).thenApply(decode))
                             .orElseGet(() -> CompletableFuture.failedFuture(failure));
                 })
--- a/control/src/main/java/org/hornbeamspread/control/routes/PromotionOrders.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/InstancePromoter.java
@@ -3,7 +3,7 @@
 import java.util.concurrent.CompletableFuture;
 
 /** Orders promotions from whoever carries them out. */
-public interface PromotionOrders {
+public interface InstancePromoter {
     /**
      * Orders an instance to lead its service. Completes with whether the order was accepted; fails when there is no clear
      * answer, after which it may still be carried out.
--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
@@ -38,22 +38,22 @@
  * NOT_LEADER, whose detail names the leader's peer endpoint. All state belongs to one duty thread.
  */
 public final class RouteControl implements RouteOperations, AutoCloseable {
-    private static final int RING_EVENTS = 16_384;
+    private static final int RING_CAPACITY_EVENTS = 16_384;
 
     /** Decides how soon a promotion's next step follows an answer that was lost. */
     private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
 
     private final ReplicatedLog log;
-    private final Supplier<ControlState> published;
+    private final Supplier<ControlState> publishedState;
     private final Supplier<List<ControlMember>> members;
     private final EventLog events;
     private final RouteMetrics metrics;
     private final DutyThread<Runnable> thread;
     private final InstanceRegistry registry = new InstanceRegistry();
-    private final HeardDatabases heard;
+    private final DatabaseLivenessTracker liveness;
     private final WatchingProxies watchers;
     private final ServicePromotions promotions;
-    private ControlState seen = ControlState.getDefaultInstance();
+    private ControlState appliedState = ControlState.getDefaultInstance();
     private Leadership leadership = new Leadership(0, Optional.empty(), false);
 
     /**
@@ -68,18 +68,18 @@
             Supplier<ControlState> published,
             Supplier<List<ControlMember>> members,
             DatabaseAdministration databases,
-            PromotionOrders orders,
+            InstancePromoter orders,
             Clock clock,
             Clock timeOfDay,
             EventLog events,
             RouteMetrics metrics) {
         this.metrics = metrics;
         this.log = log;
-        this.published = published;
+        this.publishedState = published;
         this.members = members;
         this.events = events;
-        this.thread = new DutyThread<>("routes", RING_EVENTS, Runnable::run, TICK_INTERVAL, this::tick);
-        this.heard = new HeardDatabases(clock, events);
+        this.thread = new DutyThread<>("routes", RING_CAPACITY_EVENTS, Runnable::run, TICK_INTERVAL, this::tick);
+        this.liveness = new DatabaseLivenessTracker(clock, events);
         this.watchers = new WatchingProxies(clock, new ClockGuard(clock, timeOfDay));
         this.promotions = new ServicePromotions(
                 memberId, log, databases, orders, clock, events, metrics, thread::offer, watchers);
@@ -87,14 +87,14 @@
 
     /** Starts the thread. */
     public RouteControl start() {
-        log.onLeadershipChange(changed -> thread.offer(() -> onLeadership(changed)));
+        log.onLeadershipChange(changed -> thread.offer(() -> onLeadershipChange(changed)));
         thread.start();
         return this;
     }
 
     /** Something was applied to the log. */
     public void onApplied() {
-        thread.offer(this::refresh);
+        thread.offer(this::applyState);
     }
 
     /** A proxy asks for news; the answer may be held for a while. */
@@ -106,22 +106,22 @@
 
     @Override
     public CompletableFuture<Long> replaceRoutes(RouteConfigurationDocument configuration) {
-        return onLeader(() -> commitRoutes(configuration));
+        return runAsLeader(() -> commitRoutes(configuration));
     }
 
     @Override
     public CompletableFuture<RouteConfigurationDocument> readRoutes() {
-        return onLeader(() -> log.confirmLeadership().thenApply(confirmed -> currentRoutes()));
+        return runAsLeader(() -> log.confirmLeadership().thenApply(confirmed -> currentRoutes()));
     }
 
     @Override
     public CompletableFuture<Void> announce(DatabaseInstance instance) {
-        return onLeader(() -> commitAnnouncement(instance));
+        return runAsLeader(() -> commitAnnouncement(instance));
     }
 
     @Override
     public CompletableFuture<Void> depart(Departure departure) {
-        return onLeader(() -> commit(ChangeInstances.newBuilder()
+        return runAsLeader(() -> commit(ChangeInstances.newBuilder()
                 .addDeparted(RouteMessages.wire(departure))
                 .build()));
     }
@@ -131,14 +131,14 @@
         thread.close();
     }
 
-    private <T> CompletableFuture<T> onLeader(Supplier<CompletableFuture<T>> work) {
+    private <T> CompletableFuture<T> runAsLeader(Supplier<CompletableFuture<T>> work) {
         CompletableFuture<T> outcome = new CompletableFuture<>();
         boolean taken = thread.offer(() -> {
             if (!leadership.isLeader()) {
                 outcome.completeExceptionally(notLeader());
                 return;
             }
-            started(work).whenComplete((value, error) -> {
+            startOrFail(work).whenComplete((value, error) -> {
                 if (error == null) {
                     outcome.complete(value);
                 } else {
@@ -153,7 +153,7 @@
     }
 
     /** A refusal before anything was started is an outcome like any other. */
-    private static <T> CompletableFuture<T> started(Supplier<CompletableFuture<T>> work) {
+    private static <T> CompletableFuture<T> startOrFail(Supplier<CompletableFuture<T>> work) {
         try {
             return work.get();
         } catch (FailureException e) {
@@ -167,7 +167,7 @@
     }
 
     private RouteConfigurationDocument currentRoutes() {
-        RouteConfigurationDocument routes = published.get().getRoutes();
+        RouteConfigurationDocument routes = publishedState.get().getRoutes();
         if (routes.getVersion() == 0) {
             throw new FailureException(FailureType.NO_VIEW, "no configuration was accepted yet");
         }
@@ -177,7 +177,7 @@
     private CompletableFuture<Long> commitRoutes(RouteConfigurationDocument configuration) {
         RouteMessages.configuration(configuration).validate();
         long version = configuration.getVersion();
-        long present = published.get().getRoutes().getVersion();
+        long present = publishedState.get().getRoutes().getVersion();
         if (version <= present) {
             events.record("configuration_unchanged", "version", version, "in_force", present);
             return log.confirmLeadership().thenApply(confirmed -> present);
@@ -186,7 +186,7 @@
                         .setReplaceRoutes(configuration)
                         .build())
                 .thenApply(result -> {
-                    long inForce = published.get().getRoutes().getVersion();
+                    long inForce = publishedState.get().getRoutes().getVersion();
                     events.record("configuration_committed", "version", version, "in_force", inForce);
                     return inForce;
                 });
@@ -205,8 +205,8 @@
                     instance.sequence());
             return CompletableFuture.completedFuture(null);
         }
-        if (heard.onAnnounced(instance.instanceId())) {
-            publish(published.get());
+        if (liveness.onAnnounced(instance.instanceId())) {
+            publish(publishedState.get());
         }
         if (verdict == AnnouncementStatus.UNCHANGED) {
             return CompletableFuture.completedFuture(null);
@@ -228,7 +228,7 @@
         });
     }
 
-    private void onLeadership(Leadership changed) {
+    private void onLeadershipChange(Leadership changed) {
         boolean began = changed.isLeader() && !leadership.isLeader();
         leadership = changed;
         events.record(
@@ -240,44 +240,44 @@
                 "self",
                 changed.isLeader());
         if (began) {
-            heard.begin(registry.all());
-            watchers.begin(changed.term());
-            promotions.begin();
+            liveness.reset(registry.all());
+            watchers.onLeadershipGained(changed.term());
+            promotions.onLeadershipGained();
         } else if (!changed.isLeader()) {
             watchers.refuseAll(notLeader());
-            promotions.end();
+            promotions.onLeadershipLost();
         }
-        refresh();
+        applyState();
     }
 
-    private void refresh() {
-        ControlState state = published.get();
-        boolean instancesChanged = !state.getInstancesList().equals(seen.getInstancesList());
+    private void applyState() {
+        ControlState state = publishedState.get();
+        boolean instancesChanged = !state.getInstancesList().equals(appliedState.getInstancesList());
         Collection<DatabaseInstance> known = registry.all();
         if (instancesChanged
-                || !state.getDeparturesList().equals(seen.getDeparturesList())
-                || !state.getLostCopiesList().equals(seen.getLostCopiesList())) {
+                || !state.getDeparturesList().equals(appliedState.getDeparturesList())
+                || !state.getLostCopiesList().equals(appliedState.getLostCopiesList())) {
             RouteMessages.restore(registry, state);
         }
-        if (state.getRoutes().getVersion() != seen.getRoutes().getVersion()) {
+        if (state.getRoutes().getVersion() != appliedState.getRoutes().getVersion()) {
             metrics.onCommit("routes");
         }
         if (instancesChanged) {
             metrics.onCommit("instances");
             events.record("instances_changed", "instances", state.getInstancesCount());
-            recordChanges(known);
-            heard.retain(registry.all());
+            logInstanceChanges(known);
+            liveness.retainConnections(registry.all());
         }
-        seen = state;
+        appliedState = state;
         publish(state);
     }
 
     private void publish(ControlState state) {
-        watchers.publish(state, heard.told(state, promotions::isSettled), members.get());
+        watchers.publish(state, liveness.instancesToPublish(state, promotions::isSettled), members.get());
     }
 
     /** One line for each instance that came, changed or is gone; by the leader only, whose decisions they explain. */
-    private void recordChanges(Collection<DatabaseInstance> before) {
+    private void logInstanceChanges(Collection<DatabaseInstance> before) {
         if (!leadership.isLeader()) {
             return;
         }
@@ -285,19 +285,19 @@
         for (DatabaseInstance instance : before) {
             beforeIds.add(instance.instanceId());
             if (registry.find(instance.instanceId()).isEmpty()) {
-                record("left", instance);
+                logInstanceChange("left", instance);
             }
         }
         for (DatabaseInstance instance : registry.all()) {
             if (!beforeIds.contains(instance.instanceId())) {
-                record("joined", instance);
+                logInstanceChange("joined", instance);
             } else if (before.stream().noneMatch(instance::equals)) {
-                record("changed", instance);
+                logInstanceChange("changed", instance);
             }
         }
     }
 
-    private void record(String change, DatabaseInstance instance) {
+    private void logInstanceChange(String change, DatabaseInstance instance) {
         events.record(
                 "instance_" + change,
                 "service",
@@ -320,16 +320,16 @@
         if (!leadership.isLeader()) {
             return;
         }
-        heard.noteSilent(registry.all());
-        publish(published.get());
-        watchers.answerDue();
-        metrics.onProxies(watchers.liveProxies());
-        promotions.tick(published, registry, heard.heardAtMs());
+        liveness.markSilent(registry.all());
+        publish(publishedState.get());
+        watchers.answerExpiredWatches();
+        metrics.onWatchingProxies(watchers.liveProxies());
+        promotions.tick(publishedState, registry, liveness.lastAnnouncedAtMs());
     }
 
     private void onWatch(WatchSystem request, Consumer<Envelope> answer) {
         if (leadership.isLeader()) {
-            watchers.add(request, answer);
+            watchers.watch(request, answer);
         } else {
             answer.accept(Envelopes.failureEnvelope(notLeader()));
         }
--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteDaemon.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteDaemon.java
@@ -24,7 +24,7 @@
     private final ConsensusService log;
     private final RouteControl control;
     private final ControlMembership membership;
-    private final RoutePeers peers;
+    private final ForwardingRouteOperations peers;
     private final PeerServer server;
     private final RouteMetrics metrics;
 
@@ -32,7 +32,7 @@
             ConsensusService log,
             RouteControl control,
             ControlMembership membership,
-            RoutePeers peers,
+            ForwardingRouteOperations peers,
             PeerServer server,
             RouteMetrics metrics) {
         this.metrics = metrics;
@@ -57,11 +57,11 @@
      */
     public record Settings(
             ControlMember self,
-            Endpoint listen,
+            Endpoint listenEndpoint,
             String clusterId,
             List<ControlMember> initialMembers,
-            boolean mayForm,
-            int wantedVoters,
+            boolean mayBootstrap,
+            int requiredVoters,
             Path dataDirectory,
             Supplier<List<Endpoint>> seeds) {
         /** Copies the list. */
@@ -69,7 +69,7 @@
             initialMembers = List.copyOf(initialMembers);
         }
 
-        private ConsensusSettings consensus() {
+        private ConsensusSettings consensusSettings() {
             List<ControlMember> members = new ArrayList<>(initialMembers);
             boolean named =
                     members.stream().anyMatch(member -> member.getMemberId().equals(self.getMemberId()));
@@ -77,7 +77,7 @@
                 members.add(self);
             }
             ConsensusSettings settings = ConsensusSettings.of(self.getMemberId(), clusterId, members, dataDirectory);
-            return mayForm && named ? settings : settings.joining();
+            return mayBootstrap && named ? settings : settings.joining();
         }
     }
 
@@ -86,7 +86,7 @@
             Settings settings,
             PeerTransport transport,
             DatabaseAdministration databases,
-            PromotionOrders orders,
+            InstancePromoter orders,
             Clock clock,
             Clock timeOfDay,
             EventLog events,
@@ -94,7 +94,7 @@
         RouteMetrics metrics = new RouteMetrics(registry);
         ControlStateMachine machine = new ControlStateMachine();
         PublishedState state = new PublishedState(machine, machine::state);
-        ConsensusService log = new ConsensusService(settings.consensus(), state, clock, transport, registry);
+        ConsensusService log = new ConsensusService(settings.consensusSettings(), state, clock, transport, registry);
         RouteControl control = new RouteControl(
                 settings.self().getMemberId(),
                 log,
@@ -107,10 +107,11 @@
                 events,
                 metrics);
         ControlMembership membership = new ControlMembership(
-                settings.self(), settings.wantedVoters(), log, log::members, settings.seeds(), transport, events);
-        RoutePeers peers = new RoutePeers(control, membership, transport, log::members);
-        PeerServer server =
-                transport.listen(settings.listen(), new SharedPort(log, peers)).join();
+                settings.self(), settings.requiredVoters(), log, log::members, settings.seeds(), transport, events);
+        ForwardingRouteOperations peers = new ForwardingRouteOperations(control, membership, transport, log::members);
+        PeerServer server = transport
+                .listen(settings.listenEndpoint(), new SharedPortHandler(log, peers))
+                .join();
         log.onApplied(index -> control.onApplied());
         control.start();
         log.start();
@@ -137,7 +138,7 @@
     }
 
     /** Gives the log its own requests, and everything else to the routes. */
-    private record SharedPort(ConsensusService log, PeerHandler routes) implements PeerHandler {
+    private record SharedPortHandler(ConsensusService log, PeerHandler routes) implements PeerHandler {
         @Override
         public void onRequest(
                 PeerConnection connection, Envelope request, java.util.function.Consumer<Envelope> answer) {
--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteMetrics.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteMetrics.java
@@ -9,7 +9,7 @@
 
 /** Counters of the routes' duty. Safe for any thread. */
 public final class RouteMetrics {
-    private static final double[] BOUNDS_SECONDS = {0.1, 0.25, 0.5, 1, 1.5, 2, 3, 5, 8, 13};
+    private static final double[] OUTAGE_BUCKETS_SECONDS = {0.1, 0.25, 0.5, 1, 1.5, 2, 3, 5, 8, 13};
     private static final double MILLIS_PER_SECOND = 1000;
 
     private final Counter steps;
@@ -39,7 +39,7 @@
                 .name("hornbeamspread_route_outage_seconds")
                 .help("Time without proof of a working primary, until its successor was ordered")
                 .classicOnly()
-                .classicUpperBounds(BOUNDS_SECONDS)
+                .classicUpperBounds(OUTAGE_BUCKETS_SECONDS)
                 .register(registry);
         proxies = Gauge.builder()
                 .name("hornbeamspread_route_watching_proxies")
@@ -47,11 +47,11 @@
                 .register(registry);
     }
 
-    void onStep(SyncFailoverEffect step) {
+    void onPromotionStep(SyncFailoverEffect step) {
         steps.labelValues(step.getClass().getSimpleName()).inc();
     }
 
-    void onOrdered(long outageMs) {
+    void onPromotionRequested(long outageMs) {
         outages.observe(outageMs / MILLIS_PER_SECOND);
     }
 
@@ -59,7 +59,7 @@
         commits.labelValues(kind).inc();
     }
 
-    void onProxies(int count) {
+    void onWatchingProxies(int count) {
         proxies.set(count);
     }
 
--- a/control/src/main/java/org/hornbeamspread/control/routes/ServicePromotions.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ServicePromotions.java
@@ -35,39 +35,39 @@
 /** Runs a {@link SyncGroupFailover} for each service, and carries out what they decide. Confined to the routes duty. */
 final class ServicePromotions {
     /** How often the leader asks each primary for proof. Priced by connections and bytes, not by slots. */
-    private static final long PROOF_INTERVAL_MS = 250;
+    private static final long PROBE_INTERVAL_MS = 250;
 
     /** A primary that this part of the proxies can't reach is replaced, though others can. */
-    private static final double CUT_OFF_SHARE = 0.34;
+    private static final double UNREACHABLE_SHARE = 0.34;
 
     /** One may meet a process that is about to listen. */
-    private static final int REFUSALS_IN_A_ROW = 2;
+    private static final int REQUIRED_CONSECUTIVE_REFUSALS = 2;
 
     /** Longer than two attempts to connect. */
-    private static final long CUT_OFF_MS = 900;
+    private static final long UNREACHABLE_AFTER_MS = 900;
 
     /** Between two replacements of primaries that some proxies can't reach: another one may not help. */
-    private static final long CUT_OFF_PAUSE_MS = 10_000;
+    private static final long UNREACHABLE_REPLACEMENT_INTERVAL_MS = 10_000;
 
     /** Between two lines on a promotion that waits for answers. */
-    private static final long EVIDENCE_INTERVAL_MS = 1_000;
+    private static final long EVIDENCE_LOG_INTERVAL_MS = 1_000;
 
     private final String memberId;
     private final ReplicatedLog log;
     private final DatabaseAdministration databases;
-    private final PromotionOrders orders;
+    private final InstancePromoter promoter;
     private final Clock clock;
     private final EventLog events;
     private final RouteMetrics metrics;
-    private final Consumer<Runnable> duty;
-    private final WatchingProxies watchers;
-    private final Map<String, Group> groups = new HashMap<>();
+    private final Consumer<Runnable> routesThread;
+    private final WatchingProxies watchingProxies;
+    private final Map<String, DatabaseGroup> groups = new HashMap<>();
 
     ServicePromotions(
             String memberId,
             ReplicatedLog log,
             DatabaseAdministration databases,
-            PromotionOrders orders,
+            InstancePromoter orders,
             Clock clock,
             EventLog events,
             RouteMetrics metrics,
@@ -76,75 +76,75 @@
         this.memberId = memberId;
         this.log = log;
         this.databases = databases;
-        this.orders = orders;
+        this.promoter = orders;
         this.clock = clock;
         this.events = events;
         this.metrics = metrics;
-        this.duty = duty;
-        this.watchers = watchers;
+        this.routesThread = duty;
+        this.watchingProxies = watchers;
     }
 
-    void begin() {
+    void onLeadershipGained() {
         dropGroups();
     }
 
-    void end() {
+    void onLeadershipLost() {
         dropGroups();
-        databases.retain(List.of());
+        databases.retainConnections(List.of());
     }
 
     /** Answers to what a group has asked may still come; it decides nothing by them any more. */
     private void dropGroups() {
-        groups.values().forEach(group -> group.ended = true);
+        groups.values().forEach(group -> group.discarded = true);
         groups.clear();
     }
 
     boolean isSettled(String service) {
-        Group group = groups.get(service);
+        DatabaseGroup group = groups.get(service);
         return group == null || group.settled;
     }
 
     void tick(Supplier<ControlState> state, InstanceRegistry registry, Map<String, Long> heardAtMs) {
-        databases.retain(registry.all());
+        databases.retainConnections(registry.all());
         TreeSet<String> services = new TreeSet<>();
         registry.all().forEach(instance -> services.add(instance.service()));
         groups.keySet().retainAll(services);
         for (String service : services) {
-            Group group = groups.computeIfAbsent(service, name -> new Group(name));
+            DatabaseGroup group = groups.computeIfAbsent(service, name -> new DatabaseGroup(name));
             group.tick(state, registry, heardAtMs);
         }
     }
 
     /** One service's promotions. */
-    private final class Group {
+    private final class DatabaseGroup {
         private final String service;
         private final SyncGroupFailover failover = new SyncGroupFailover(clock, SyncFailoverTimings.DEFAULT);
         private List<DatabaseInstance> members = List.of();
         private List<LostCopy> lostCopies = List.of();
 
         /** The latest that this leader got itself. */
-        private Optional<PrimaryProof> proof = Optional.empty();
+        private Optional<PrimaryProof> latestProof = Optional.empty();
 
-        private long evidenceRecordedAtMs;
-        private long askedAtMs;
+        private long evidenceLoggedAtMs;
+        private long probeSentAtMs;
 
         /** Questions in a row for which the primary's address refused a connection. */
-        private int refusals;
+        private int consecutiveRefusals;
 
         private long concludedAtMs = Long.MIN_VALUE / 2;
-        private long provenAtMs = Long.MIN_VALUE / 4;
+        private long latestProofAtMs = Long.MIN_VALUE / 4;
 
         /** The instance that the proof is of. */
-        private String provenId = "";
+        private String provenInstanceId = "";
 
         private boolean settled = true;
-        private boolean ended;
-        private Map<String, Long> heardAtMs = Map.of();
+        private boolean discarded;
+        private Map<String, Long> lastAnnouncedAtMs = Map.of();
 
         /** Empty when none was, or a promotion is under way. */
-        private String promotedId = "";
+        private String promotedInstanceId = "";
 
-        private Supplier<Situation> situation = () -> new Situation(
+        private Supplier<Situation> snapshotSupplier = () -> new Situation(
                 0,
                 Optional.empty(),
                 Set.of(),
@@ -158,22 +158,22 @@
                 false,
                 false);
 
-        Group(String service) {
+        DatabaseGroup(String service) {
             this.service = service;
         }
 
         void tick(Supplier<ControlState> state, InstanceRegistry registry, Map<String, Long> heard) {
-            heardAtMs = heard;
-            situation = () -> {
-                look(registry);
-                return situation(state.get());
+            lastAnnouncedAtMs = heard;
+            snapshotSupplier = () -> {
+                refreshMembers(registry);
+                return snapshot(state.get());
             };
-            look(registry);
-            askForProof(clock.millis());
-            step();
+            refreshMembers(registry);
+            probePrimary(clock.millis());
+            advance();
         }
 
-        private void look(InstanceRegistry registry) {
+        private void refreshMembers(InstanceRegistry registry) {
             members = registry.all().stream()
                     .filter(instance -> instance.service().equals(service))
                     .toList();
@@ -183,22 +183,22 @@
         }
 
         /** Goes on as far as is known now. */
-        private void step() {
-            if (ended) {
+        private void advance() {
+            if (discarded) {
                 return;
             }
-            Situation present = situation.get();
+            Situation present = snapshotSupplier.get();
             for (SyncFailoverEffect effect : failover.step(present)) {
-                carryOut(effect, present);
+                apply(effect, present);
             }
-            if (!settled && clock.millis() - evidenceRecordedAtMs > EVIDENCE_INTERVAL_MS) {
-                recordEvidence(present);
+            if (!settled && clock.millis() - evidenceLoggedAtMs > EVIDENCE_LOG_INTERVAL_MS) {
+                logEvidence(present);
             }
         }
 
         /** What a choice goes by, or why there is none yet. */
-        private void recordEvidence(Situation present) {
-            evidenceRecordedAtMs = clock.millis();
+        private void logEvidence(Situation present) {
+            evidenceLoggedAtMs = clock.millis();
             events.record(
                     "promotion_evidence",
                     "service",
@@ -213,27 +213,27 @@
                     failover.answers(present));
         }
 
-        private Situation situation(ControlState state) {
+        private Situation snapshot(ControlState state) {
             long nowMs = clock.millis();
             GroupTerm record = state.getGroupsList().stream()
                     .filter(group -> group.getGroup().equals(service))
                     .findFirst()
                     .orElseGet(GroupTerm::getDefaultInstance);
             settled = record.getTerm() == 0 || record.getWritable();
-            promotedId = record.getWritable() ? record.getPrimaryId() : "";
+            promotedInstanceId = record.getWritable() ? record.getPrimaryId() : "";
             List<MemberView> views = members.stream()
                     .map(member -> new MemberView(
                             member.instanceId(),
                             member.draining(),
                             member.primary(),
-                            nowMs - heardAtMs.getOrDefault(member.instanceId(), nowMs),
+                            nowMs - lastAnnouncedAtMs.getOrDefault(member.instanceId(), nowMs),
                             lostCopies.stream().anyMatch(copy -> copy.address().equals(member.address()))))
                     .toList();
             Optional<String> primaryId = primary().map(DatabaseInstance::instanceId);
-            boolean provenItself = primaryId.equals(Optional.of(provenId));
+            boolean provenItself = primaryId.equals(Optional.of(provenInstanceId));
             long proofAgeMs = Math.min(
-                    provenItself ? nowMs - provenAtMs : Long.MAX_VALUE / 4,
-                    primaryId.map(watchers::proofAgeMs).orElse(Long.MAX_VALUE / 4));
+                    provenItself ? nowMs - latestProofAtMs : Long.MAX_VALUE / 4,
+                    primaryId.map(watchingProxies::proofAgeMs).orElse(Long.MAX_VALUE / 4));
             return new Situation(
                     record.getTerm(),
                     record.getPrimaryId().isEmpty() ? Optional.empty() : Optional.of(record.getPrimaryId()),
@@ -245,52 +245,53 @@
                             .filter(copy -> members.stream()
                                     .noneMatch(member -> member.address().equals(copy.address())))
                             .toList(),
-                    proof,
+                    latestProof,
                     proofAgeMs,
-                    primaryId.map(watchers::stalledWriteMs).orElse(0L),
-                    refusals >= REFUSALS_IN_A_ROW,
-                    primaryId.filter(this::isCutOff).isPresent());
+                    primaryId.map(watchingProxies::stalledWriteMs).orElse(0L),
+                    consecutiveRefusals >= REQUIRED_CONSECUTIVE_REFUSALS,
+                    primaryId.filter(this::isUnreachableFromProxies).isPresent());
         }
 
-        private boolean isCutOff(String primaryId) {
-            return clock.millis() - concludedAtMs > CUT_OFF_PAUSE_MS
-                    && watchers.unreachableShare(primaryId, CUT_OFF_MS) >= CUT_OFF_SHARE;
+        private boolean isUnreachableFromProxies(String primaryId) {
+            return clock.millis() - concludedAtMs > UNREACHABLE_REPLACEMENT_INTERVAL_MS
+                    && watchingProxies.unreachableShare(primaryId, UNREACHABLE_AFTER_MS) >= UNREACHABLE_SHARE;
         }
 
         /** The member that was promoted last, or that says it leads; of several the one that was heard last. */
         private Optional<DatabaseInstance> primary() {
             return members.stream()
-                    .filter(member -> member.primary() || member.instanceId().equals(promotedId))
+                    .filter(member -> member.primary() || member.instanceId().equals(promotedInstanceId))
                     .min(Comparator.comparing((DatabaseInstance member) ->
-                                    !member.instanceId().equals(promotedId))
-                            .thenComparing(member -> -heardAtMs.getOrDefault(member.instanceId(), 0L)));
+                                    !member.instanceId().equals(promotedInstanceId))
+                            .thenComparing(member -> -lastAnnouncedAtMs.getOrDefault(member.instanceId(), 0L)));
         }
 
-        private void askForProof(long nowMs) {
+        private void probePrimary(long nowMs) {
             Optional<DatabaseInstance> primary = primary();
-            if (primary.isEmpty() || nowMs - askedAtMs < PROOF_INTERVAL_MS) {
+            if (primary.isEmpty() || nowMs - probeSentAtMs < PROBE_INTERVAL_MS) {
                 return;
             }
-            askedAtMs = nowMs;
+            probeSentAtMs = nowMs;
             String instanceId = primary.get().instanceId();
-            long epoch = watchers.epoch();
+            long epoch = watchingProxies.clockEpoch();
             databases
-                    .provePrimary(primary.get())
-                    .whenComplete((position, error) -> duty.accept(() -> {
+                    .probePrimary(primary.get())
+                    .whenComplete((position, error) -> routesThread.accept(() -> {
                         boolean refused =
                                 error != null && FailureException.of(error).type() == FailureType.CONNECTION_REFUSED;
-                        refusals = refused ? refusals + 1 : 0;
+                        consecutiveRefusals = refused ? consecutiveRefusals + 1 : 0;
                         if (error == null && position.isPresent()) {
-                            provenAtMs = provenId.equals(instanceId) ? Math.max(provenAtMs, nowMs) : nowMs;
-                            provenId = instanceId;
-                            proof = Optional.of(new PrimaryProof(position.get(), nowMs));
-                            watchers.onProof(service, instanceId, position.get(), nowMs, epoch);
+                            latestProofAtMs =
+                                    provenInstanceId.equals(instanceId) ? Math.max(latestProofAtMs, nowMs) : nowMs;
+                            provenInstanceId = instanceId;
+                            latestProof = Optional.of(new PrimaryProof(position.get(), nowMs));
+                            watchingProxies.onProof(service, instanceId, position.get(), nowMs, epoch);
                         }
                     }));
         }
 
-        private void carryOut(SyncFailoverEffect effect, Situation seen) {
-            metrics.onStep(effect);
+        private void apply(SyncFailoverEffect effect, Situation seen) {
+            metrics.onPromotionStep(effect);
             if (!(effect instanceof SyncFailoverEffect.Resume)) {
                 events.record(
                         "promotion_step",
@@ -306,23 +307,23 @@
                         seen.stalledWriteMs());
             }
             if (effect instanceof SyncFailoverEffect.RaiseToken raise) {
-                commit(raise.expectedToken(), raise.expectedToken() + 1, "", false, raise.unsettledChoices());
+                commitGroupTerm(raise.expectedToken(), raise.expectedToken() + 1, "", false, raise.unsettledChoices());
             } else if (effect instanceof SyncFailoverEffect.Choose choose) {
-                recordEvidence(seen);
-                commit(choose.token(), choose.token(), choose.instanceId(), false, seen.unsettledChoices());
+                logEvidence(seen);
+                commitGroupTerm(choose.token(), choose.token(), choose.instanceId(), false, seen.unsettledChoices());
             } else if (effect instanceof SyncFailoverEffect.Conclude conclude) {
                 concludedAtMs = clock.millis();
-                commit(conclude.token(), conclude.token(), conclude.instanceId(), true, Set.of());
+                commitGroupTerm(conclude.token(), conclude.token(), conclude.instanceId(), true, Set.of());
             } else if (effect instanceof SyncFailoverEffect.Promote promote) {
-                order(promote);
+                requestPromotion(promote);
             } else if (effect instanceof SyncFailoverEffect.Recover recover) {
-                recover(recover.copies());
+                commitRecovery(recover.copies());
             } else {
-                command(effect);
+                applyDatabaseCommand(effect);
             }
         }
 
-        private void commit(
+        private void commitGroupTerm(
                 long expectedToken, long token, String instanceId, boolean concluded, Set<String> unsettledIds) {
             GroupTerm next = GroupTerm.newBuilder()
                     .setGroup(service)
@@ -335,7 +336,7 @@
             log.propose(ControlCommand.newBuilder()
                             .setSetGroupTerms(SetGroupTerms.newBuilder().addGroups(next))
                             .build())
-                    .whenComplete((result, error) -> duty.accept(() -> {
+                    .whenComplete((result, error) -> routesThread.accept(() -> {
                         Optional<FailureException> failure =
                                 error != null ? Optional.of(FailureException.of(error)) : result.failure();
                         failure.ifPresent(cause -> events.record(
@@ -348,13 +349,13 @@
                                 cause.getMessage()));
                         failover.logDone(failure.isEmpty());
                         if (failure.isEmpty()) {
-                            step();
+                            advance();
                         }
                     }));
         }
 
         /** Where it fails it is decided and proposed again. */
-        private void recover(List<LostCopy> copies) {
+        private void commitRecovery(List<LostCopy> copies) {
             ChangeInstances.Builder change = ChangeInstances.newBuilder();
             copies.forEach(copy -> change.addRecovered(RouteMessages.wire(copy)));
             log.propose(ControlCommand.newBuilder().setChangeInstances(change).build())
@@ -370,9 +371,9 @@
                                     : FailureException.of(error).getMessage()));
         }
 
-        private void order(SyncFailoverEffect.Promote promote) {
-            orders.promote(service, promote.instanceId(), memberId, promote.token())
-                    .whenComplete((accepted, error) -> duty.accept(() -> {
+        private void requestPromotion(SyncFailoverEffect.Promote promote) {
+            promoter.promote(service, promote.instanceId(), memberId, promote.token())
+                    .whenComplete((accepted, error) -> routesThread.accept(() -> {
                         events.record(
                                 "promotion_ordered",
                                 "service",
@@ -386,30 +387,34 @@
                                         ? accepted
                                         : FailureException.of(error).getMessage());
                         if (error == null) {
-                            metrics.onOrdered(failover.outageMs());
+                            metrics.onPromotionRequested(failover.outageMs());
                             failover.onOrderAnswered(promote.token(), accepted);
-                            step();
+                            advance();
                         }
                     }));
         }
 
-        private void command(SyncFailoverEffect effect) {
+        private void applyDatabaseCommand(SyncFailoverEffect effect) {
             if (effect instanceof SyncFailoverEffect.AskStatus ask) {
-                run(ask.instanceId(), databases::status, failover::onStatus, "status");
+                sendCommand(ask.instanceId(), databases::status, failover::onStatus, "status");
             } else if (effect instanceof SyncFailoverEffect.Pause pause) {
-                run(pause.instanceId(), member -> databases.pause(member, pause.term()), failover::onStatus, "pause");
+                sendCommand(
+                        pause.instanceId(),
+                        member -> databases.pause(member, pause.term()),
+                        failover::onStatus,
+                        "pause");
             } else if (effect instanceof SyncFailoverEffect.Demote demote) {
-                run(
+                sendCommand(
                         demote.instanceId(),
                         member -> databases.demote(member, demote.term()),
                         failover::onDemoted,
                         "demote");
             } else if (effect instanceof SyncFailoverEffect.Resume resume) {
-                run(resume.instanceId(), databases::resume, (id, status) -> failover.onResumed(id), "resume");
+                sendCommand(resume.instanceId(), databases::resume, (id, status) -> failover.onResumed(id), "resume");
             }
         }
 
-        private void run(
+        private void sendCommand(
                 String instanceId,
                 java.util.function.Function<DatabaseInstance, CompletableFuture<ReplicaStatus>> command,
                 java.util.function.BiConsumer<String, ReplicaStatus> report,
@@ -422,7 +427,7 @@
                 return;
             }
             command.apply(target.get())
-                    .whenComplete((status, error) -> duty.accept(() -> {
+                    .whenComplete((status, error) -> routesThread.accept(() -> {
                         events.record(
                                 "database_command",
                                 "service",
@@ -437,7 +442,7 @@
                                         : FailureException.of(error).getMessage());
                         if (error == null) {
                             report.accept(instanceId, status);
-                            step();
+                            advance();
                         } else if (FailureException.of(error).type() == FailureType.CONNECTION_REFUSED) {
                             failover.onRefused(instanceId);
                         }
--- a/control/src/main/java/org/hornbeamspread/control/routes/SqlAdministration.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/SqlAdministration.java
@@ -26,10 +26,10 @@
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
     /** A connection that leaves a command unanswered for this long is closed. */
-    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(800);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(800);
 
     private final SqlConnector connector;
-    private final Function<SqlResult, ReplicaStatus> decoder;
+    private final Function<SqlResult, ReplicaStatus> statusDecoder;
     private final Map<DatabaseKey, CompletableFuture<SqlConnection>> connections = new HashMap<>();
 
     /**
@@ -39,38 +39,38 @@
      */
     public SqlAdministration(SqlConnector connector, Function<SqlResult, ReplicaStatus> decoder) {
         this.connector = connector;
-        this.decoder = decoder;
+        this.statusDecoder = decoder;
     }
 
     @Override
     public CompletableFuture<ReplicaStatus> status(DatabaseInstance instance) {
-        return command(instance, new SqlStatement.Status());
+        return sendCommand(instance, new SqlStatement.Status());
     }
 
     @Override
     public CompletableFuture<ReplicaStatus> pause(DatabaseInstance instance, long term) {
-        return command(instance, new SqlStatement.PauseReplication(term));
+        return sendCommand(instance, new SqlStatement.PauseReplication(term));
     }
 
     @Override
     public CompletableFuture<ReplicaStatus> resume(DatabaseInstance instance) {
-        return command(instance, new SqlStatement.ResumeReplication());
+        return sendCommand(instance, new SqlStatement.ResumeReplication());
     }
 
     @Override
     public CompletableFuture<ReplicaStatus> demote(DatabaseInstance instance, long term) {
-        return command(instance, new SqlStatement.Demote(term));
+        return sendCommand(instance, new SqlStatement.Demote(term));
     }
 
     @Override
-    public CompletableFuture<Optional<LogPosition>> provePrimary(DatabaseInstance instance) {
+    public CompletableFuture<Optional<LogPosition>> probePrimary(DatabaseInstance instance) {
         List<SqlRequest> probe =
                 List.of(SqlRequest.own(new SqlStatement.Begin(false)), SqlRequest.own(new SqlStatement.Rollback()));
-        return send(instance, probe).thenApply(begun -> begun.isSuccess() ? begun.position() : Optional.empty());
+        return sendBatch(instance, probe).thenApply(begun -> begun.isSuccess() ? begun.position() : Optional.empty());
     }
 
     @Override
-    public synchronized void retain(Collection<DatabaseInstance> instances) {
+    public synchronized void retainConnections(Collection<DatabaseInstance> instances) {
         List<DatabaseKey> kept = instances.stream().map(DatabaseKey::of).toList();
         connections.entrySet().removeIf(entry -> {
             boolean gone = !kept.contains(entry.getKey());
@@ -81,22 +81,22 @@
         });
     }
 
-    private CompletableFuture<ReplicaStatus> command(DatabaseInstance instance, SqlStatement statement) {
-        return send(instance, List.of(SqlRequest.own(statement))).thenApply(result -> {
+    private CompletableFuture<ReplicaStatus> sendCommand(DatabaseInstance instance, SqlStatement statement) {
+        return sendBatch(instance, List.of(SqlRequest.own(statement))).thenApply(result -> {
             if (result.is(SqlError.BUSY)) {
                 throw new FailureException(FailureType.QUEUE_FULL, instance.instanceId());
             }
-            return decoder.apply(result);
+            return statusDecoder.apply(result);
         });
     }
 
     /** Sends, and completes with the first result once all are there. */
-    private CompletableFuture<SqlResult> send(DatabaseInstance instance, List<SqlRequest> requests) {
-        return connection(instance).thenCompose(open -> {
+    private CompletableFuture<SqlResult> sendBatch(DatabaseInstance instance, List<SqlRequest> requests) {
+        return openConnection(instance).thenCompose(open -> {
             List<CompletableFuture<SqlResult>> results = open.send(requests);
             return results.get(results.size() - 1)
                     .thenCompose(last -> results.get(0))
-                    .orTimeout(ANSWER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
+                    .orTimeout(RESPONSE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
                     .whenComplete((result, error) -> {
                         if (error != null) {
                             open.close();
@@ -105,7 +105,7 @@
         });
     }
 
-    private synchronized CompletableFuture<SqlConnection> connection(DatabaseInstance instance) {
+    private synchronized CompletableFuture<SqlConnection> openConnection(DatabaseInstance instance) {
         DatabaseKey key = DatabaseKey.of(instance);
         CompletableFuture<SqlConnection> present = connections.get(key);
         boolean usable = present != null
--- a/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
@@ -28,48 +28,48 @@
  */
 final class WatchingProxies {
     /** Below a proxy's limit for an answer. */
-    private static final long LONGEST_HOLD_MS = 800;
+    private static final long MAX_HOLD_MS = 800;
 
-    private static final long SHORTEST_HOLD_MS = 250;
+    private static final long MIN_HOLD_MS = 250;
 
     /** More proxies are heard less often each: about 60 questions a second in all. */
     private static final long HOLD_MS_PER_PROXY = 15;
 
     /** A proxy that has not asked for this long is gone. */
-    private static final long GONE_MS = 10_000;
+    private static final long PROXY_EXPIRY_MS = 10_000;
 
     private final Clock clock;
     private final Map<String, Watcher> watchers = new HashMap<>();
     private long leaderTerm;
-    private long version;
+    private long systemVersion;
 
     /** What the version stands for. */
-    private SystemUpdate latest = SystemUpdate.getDefaultInstance();
+    private SystemUpdate latestUpdate = SystemUpdate.getDefaultInstance();
 
     private ControlState state = ControlState.getDefaultInstance();
 
     /** The latest proof of each service's primary; dropped when the clock can't tell its age any more. */
     private final Map<String, Proof> proofs = new HashMap<>();
 
-    private final ClockGuard guard;
-    private long epoch;
+    private final ClockGuard clockGuard;
+    private long clockEpoch;
 
     WatchingProxies(Clock clock, ClockGuard guard) {
         this.clock = clock;
-        this.guard = guard;
+        this.clockGuard = guard;
     }
 
     /** A primary's position, from an answer to a question that was sent at a time and in an epoch of the clock. */
     void onProof(String service, String instanceId, LogPosition position, long askedMs, long askedEpoch) {
-        checkEpoch();
-        if (askedEpoch == epoch) {
+        updateClockEpoch();
+        if (askedEpoch == clockEpoch) {
             proofs.put(service, new Proof(instanceId, position, askedMs));
         }
     }
 
-    long epoch() {
-        checkEpoch();
-        return epoch;
+    long clockEpoch() {
+        updateClockEpoch();
+        return clockEpoch;
     }
 
     /**
@@ -79,7 +79,7 @@
     double unreachableShare(String instanceId, long longerThanMs) {
         long nowMs = clock.millis();
         List<Watcher> present = watchers.values().stream()
-                .filter(watcher -> nowMs - watcher.askedAtMs <= 2 * holdMs())
+                .filter(watcher -> nowMs - watcher.receivedAtMs <= 2 * holdMs())
                 .toList();
         double cutOff = present.stream()
                 .flatMap(watcher -> watcher.request.getObservationsList().stream())
@@ -89,27 +89,27 @@
         return watchers.isEmpty() ? 0 : cutOff / watchers.size();
     }
 
-    private void checkEpoch() {
-        long present = guard.epoch();
-        if (present != epoch) {
-            epoch = present;
+    private void updateClockEpoch() {
+        long present = clockGuard.epoch();
+        if (present != clockEpoch) {
+            clockEpoch = present;
             proofs.clear();
         }
     }
 
-    void begin(long term) {
+    void onLeadershipGained(long term) {
         leaderTerm = term;
-        version = 0;
-        latest = SystemUpdate.getDefaultInstance();
+        systemVersion = 0;
+        latestUpdate = SystemUpdate.getDefaultInstance();
     }
 
-    void add(WatchSystem request, Consumer<Envelope> answer) {
+    void watch(WatchSystem request, Consumer<Envelope> answer) {
         Watcher watcher = watchers.computeIfAbsent(request.getProxyId(), id -> new Watcher());
         watcher.request = request;
-        watcher.askedAtMs = clock.millis();
+        watcher.receivedAtMs = clock.millis();
         watcher.answer = Optional.of(answer);
-        if (!isCurrent(request) || request.getPositionsWanted()) {
-            answer(watcher);
+        if (!isUpToDate(request) || request.getPositionsWanted()) {
+            sendUpdate(watcher);
         }
     }
 
@@ -127,48 +127,48 @@
                 .filter(peer -> !peer.getHost().isEmpty())
                 .forEach(update::addControlPeers);
         for (GroupTerm group : next.getGroupsList()) {
-            promotedId(group)
+            chosenInstanceId(group)
                     .ifPresent(id -> update.addPromoted(PromotedInstance.newBuilder()
                             .setService(group.getGroup())
                             .setInstanceId(id)
                             .setFencingToken(group.getTerm())));
         }
         SystemUpdate built = update.build();
-        if (!built.equals(latest)) {
-            latest = built;
-            version++;
+        if (!built.equals(latestUpdate)) {
+            latestUpdate = built;
+            systemVersion++;
         }
         watchers.values().stream()
-                .filter(watcher -> watcher.answer.isPresent() && !isCurrent(watcher.request))
-                .forEach(this::answer);
+                .filter(watcher -> watcher.answer.isPresent() && !isUpToDate(watcher.request))
+                .forEach(this::sendUpdate);
     }
 
     /**
      * The instance that was chosen last, also before its order and while another is sought: nothing may be acknowledged by the primary
      * before it.
      */
-    private static Optional<String> promotedId(GroupTerm group) {
+    private static Optional<String> chosenInstanceId(GroupTerm group) {
         return Optional.of(group.getPrimaryId())
                 .filter(id -> !id.isEmpty())
                 .or(() -> group.getUnsettledIdsList().stream().findFirst());
     }
 
     /** Answers the questions that have been held long enough, and forgets proxies that are gone. */
-    void answerDue() {
+    void answerExpiredWatches() {
         long nowMs = clock.millis();
         Iterator<Watcher> all = watchers.values().iterator();
         while (all.hasNext()) {
             Watcher watcher = all.next();
-            if (nowMs - watcher.askedAtMs > GONE_MS) {
+            if (nowMs - watcher.receivedAtMs > PROXY_EXPIRY_MS) {
                 all.remove();
-            } else if (watcher.answer.isPresent() && nowMs - watcher.askedAtMs >= holdMs()) {
-                answer(watcher);
+            } else if (watcher.answer.isPresent() && nowMs - watcher.receivedAtMs >= holdMs()) {
+                sendUpdate(watcher);
             }
         }
     }
 
     private long holdMs() {
-        return Math.max(SHORTEST_HOLD_MS, Math.min(LONGEST_HOLD_MS, HOLD_MS_PER_PROXY * watchers.size()));
+        return Math.max(MIN_HOLD_MS, Math.min(MAX_HOLD_MS, HOLD_MS_PER_PROXY * watchers.size()));
     }
 
     void refuseAll(FailureException failure) {
@@ -201,7 +201,7 @@
                 .flatMap(watcher -> watcher.request.getObservationsList().stream()
                         .filter(seen -> seen.getInstanceId().equals(instanceId))
                         .map(seen -> seen.toBuilder()
-                                .setSinceSuccessMs((int) (seen.getSinceSuccessMs() + nowMs - watcher.askedAtMs))
+                                .setSinceSuccessMs((int) (seen.getSinceSuccessMs() + nowMs - watcher.receivedAtMs))
                                 .build()));
     }
 
@@ -211,18 +211,19 @@
                 .count();
     }
 
-    private boolean isCurrent(WatchSystem request) {
+    private boolean isUpToDate(WatchSystem request) {
         return request.getLeaderTerm() == leaderTerm
-                && request.getSystemVersion() == version
+                && request.getSystemVersion() == systemVersion
                 && request.getConfigurationVersion() == state.getRoutes().getVersion();
     }
 
-    private void answer(Watcher watcher) {
+    private void sendUpdate(Watcher watcher) {
         WatchSystem request = watcher.request;
         boolean sameTerm = request.getLeaderTerm() == leaderTerm;
-        SystemUpdate.Builder update =
-                sameTerm && request.getSystemVersion() == version ? SystemUpdate.newBuilder() : latest.toBuilder();
-        update.setLeaderTerm(leaderTerm).setSystemVersion(version);
+        SystemUpdate.Builder update = sameTerm && request.getSystemVersion() == systemVersion
+                ? SystemUpdate.newBuilder()
+                : latestUpdate.toBuilder();
+        update.setLeaderTerm(leaderTerm).setSystemVersion(systemVersion);
         addPositions(update);
         if (request.getConfigurationVersion() < state.getRoutes().getVersion()) {
             update.setConfiguration(state.getRoutes().toBuilder().clearSource());
@@ -234,20 +235,20 @@
     }
 
     private void addPositions(SystemUpdate.Builder update) {
-        checkEpoch();
+        updateClockEpoch();
         long nowMs = clock.millis();
         proofs.forEach((service, proof) -> update.addPositions(PrimaryPosition.newBuilder()
                 .setService(service)
                 .setInstanceId(proof.instanceId())
                 .setPosition(Envelopes.position(proof.position()))
-                .setAgeMs((int) (nowMs - proof.askedMs()))));
+                .setAgeMs((int) (nowMs - proof.probeSentAtMs()))));
     }
 
-    private record Proof(String instanceId, LogPosition position, long askedMs) {}
+    private record Proof(String instanceId, LogPosition position, long probeSentAtMs) {}
 
     private static final class Watcher {
         private WatchSystem request = WatchSystem.getDefaultInstance();
-        private long askedAtMs;
+        private long receivedAtMs;
 
         /** Empty once the question is answered. */
         private Optional<Consumer<Envelope>> answer = Optional.empty();
--- a/control/src/test/java/org/hornbeamspread/control/routes/HeardDatabasesTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/DatabaseLivenessTrackerTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-final class HeardDatabasesTest {
-    private static final long SILENCE_LIMIT_MS = 12_000;
+final class DatabaseLivenessTrackerTest {
+    private static final long SILENCE_TIMEOUT_MS = 12_000;
 
     private final PausedClock clock = new PausedClock();
     private final List<String> events = new ArrayList<>();
-    private final HeardDatabases heard =
-            new HeardDatabases(clock, (event, fields) -> events.add(event + " " + fields[1] + " " + fields[3]));
+    private final DatabaseLivenessTracker tracker = new DatabaseLivenessTracker(
+            clock, (event, fields) -> events.add(event + " " + fields[1] + " " + fields[3]));
 
     /** A replica is told unless it is silent, was not promoted, and no promotion goes on. */
     @ParameterizedTest
@@ -33,11 +33,12 @@
         "12001, false, true, true, true",
         "12001, false, false, false, true"
     })
-    void onlySilentReplicasAreLeftOut(long silentMs, boolean primary, boolean promoted, boolean settled, boolean told) {
+    void onlySilentReplicasWithoutAPromotionAreNotPublished(
+            long silentMs, boolean primary, boolean promoted, boolean settled, boolean told) {
         DatabaseInstance database = database("a", primary);
-        heard.begin(List.of(database));
+        tracker.reset(List.of(database));
         advance(silentMs);
-        heard.noteSilent(List.of(database));
+        tracker.markSilent(List.of(database));
         RegisteredInstance wire = RouteMessages.wire(database);
         ControlState state = ControlState.newBuilder()
                 .addInstances(wire)
@@ -48,20 +49,20 @@
                         .setWritable(true))
                 .build();
 
-        assertThat(heard.told(state, service -> settled)).isEqualTo(told ? List.of(wire) : List.of());
+        assertThat(tracker.instancesToPublish(state, service -> settled)).isEqualTo(told ? List.of(wire) : List.of());
     }
 
     @Test
-    void eachSilenceIsRecordedOnceAndSoIsItsEnd() {
+    void startAndEndOfEachSilenceAreLoggedOnce() {
         List<DatabaseInstance> known = List.of(database("a", false));
-        heard.begin(known);
+        tracker.reset(known);
         for (int silence = 0; silence < 2; silence++) {
-            advance(SILENCE_LIMIT_MS + 1);
-            heard.noteSilent(known);
+            advance(SILENCE_TIMEOUT_MS + 1);
+            tracker.markSilent(known);
             advance(1_000);
-            heard.noteSilent(known);
-            assertThat(heard.onAnnounced("a")).isTrue();
-            assertThat(heard.onAnnounced("a")).isFalse();
+            tracker.markSilent(known);
+            assertThat(tracker.onAnnounced("a")).isTrue();
+            assertThat(tracker.onAnnounced("a")).isFalse();
         }
 
         assertThat(events)
@@ -74,32 +75,32 @@
     }
 
     @Test
-    void theAgesOfWhatIsInTheRegistryAreKept() {
+    void announcementTimesOfRegisteredDatabasesAreRetained() {
         long beginMs = clock.millis();
         List<DatabaseInstance> known = List.of(database("a", false), database("b", false));
-        heard.begin(known);
-        advance(SILENCE_LIMIT_MS + 1);
-        heard.noteSilent(known);
-        heard.retain(List.of(database("a", false), database("c", false)));
+        tracker.reset(known);
+        advance(SILENCE_TIMEOUT_MS + 1);
+        tracker.markSilent(known);
+        tracker.retainConnections(List.of(database("a", false), database("c", false)));
 
-        assertThat(heard.heardAtMs()).containsExactly("a", beginMs, "c", clock.millis());
+        assertThat(tracker.lastAnnouncedAtMs()).containsExactly("a", beginMs, "c", clock.millis());
     }
 
     /** A leader has heard nobody before it began. */
     @Test
-    void aNewLeaderTellsOfAllUntilTheyAreSilentForItToo() {
+    void newLeaderPublishesAllDatabasesUntilTheirSilenceTimeout() {
         DatabaseInstance database = database("a", false);
         ControlState state = ControlState.newBuilder()
                 .addInstances(RouteMessages.wire(database))
                 .build();
-        heard.begin(List.of(database));
-        advance(SILENCE_LIMIT_MS + 1);
-        heard.noteSilent(List.of(database));
-        assertThat(heard.told(state, service -> true)).isEmpty();
+        tracker.reset(List.of(database));
+        advance(SILENCE_TIMEOUT_MS + 1);
+        tracker.markSilent(List.of(database));
+        assertThat(tracker.instancesToPublish(state, service -> true)).isEmpty();
 
-        heard.begin(List.of(database));
-        heard.noteSilent(List.of(database));
-        assertThat(heard.told(state, service -> true)).hasSize(1);
+        tracker.reset(List.of(database));
+        tracker.markSilent(List.of(database));
+        assertThat(tracker.instancesToPublish(state, service -> true)).hasSize(1);
     }
 
     private void advance(long stepMs) {
--- a/control/src/test/java/org/hornbeamspread/control/routes/RouteControlTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/RouteControlTest.java
@@ -23,8 +23,8 @@
 
 /** The leader's duty with a clock that stands still: a proxy's question is answered only when there is news for it. */
 final class RouteControlTest {
-    private static final long ANSWER_LIMIT_SECONDS = 20;
-    private static final Duration PAST_SILENCE = Duration.ofMillis(12_001);
+    private static final long ANSWER_TIMEOUT_SECONDS = 20;
+    private static final Duration LONGER_THAN_SILENCE_TIMEOUT = Duration.ofMillis(12_001);
 
     private final PausedClock clock = new PausedClock();
     private final ImmediateLog log = new ImmediateLog();
@@ -39,7 +39,7 @@
             clock,
             EventLog.NONE,
             new RouteMetrics(new PrometheusRegistry()));
-    private SystemUpdate latest = SystemUpdate.getDefaultInstance();
+    private SystemUpdate latestUpdate = SystemUpdate.getDefaultInstance();
 
     @BeforeEach
     void start() {
@@ -53,25 +53,25 @@
     }
 
     @Test
-    void aDatabaseThatWasOnlyCutOffIsToldToProxiesAgain() {
+    void silentDatabaseIsPublishedAgainAfterItsNextAnnouncement() {
         announce("r1", false, 1);
         announce("r2", false, 1);
-        awaitTold("r1", "r2");
-        clock.advance(PAST_SILENCE);
-        awaitTold();
+        awaitPublished("r1", "r2");
+        clock.advance(LONGER_THAN_SILENCE_TIMEOUT);
+        awaitPublished();
 
         announce("r1", false, 2);
-        awaitTold("r1");
+        awaitPublished("r1");
         announce("r2", false, 2);
-        awaitTold("r1", "r2");
+        awaitPublished("r1", "r2");
     }
 
     @Test
-    void aSilentDatabaseStaysInTheRegistry() {
+    void silentDatabaseStaysInTheRegistry() {
         announce("r1", false, 1);
-        awaitTold("r1");
-        clock.advance(PAST_SILENCE);
-        awaitTold();
+        awaitPublished("r1");
+        clock.advance(LONGER_THAN_SILENCE_TIMEOUT);
+        awaitPublished();
 
         assertThat(log.state().getInstancesList().stream().map(RegisteredInstance::getInstanceId))
                 .containsExactly("r1");
@@ -79,42 +79,42 @@
     }
 
     @Test
-    void aSilentPrimaryIsToldToProxies() {
+    void silentPrimaryStaysPublished() {
         announce("p1", true, 1);
         announce("r1", false, 1);
-        awaitTold("p1", "r1");
-        clock.advance(PAST_SILENCE);
+        awaitPublished("p1", "r1");
+        clock.advance(LONGER_THAN_SILENCE_TIMEOUT);
 
-        awaitTold("p1");
+        awaitPublished("p1");
     }
 
     private void announce(String id, boolean primary, long sequence) {
         Address address = new Address("10.0.0.1", 5_000 + id.charAt(0) + id.charAt(1));
         control.announce(new DatabaseInstance(id, "ledger", address, "domain", 2, false, primary, 100, sequence))
-                .orTimeout(ANSWER_LIMIT_SECONDS, TimeUnit.SECONDS)
+                .orTimeout(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .join();
     }
 
     /** Asks as a proxy does until it is told of exactly these. */
-    private void awaitTold(String... ids) {
+    private void awaitPublished(String... ids) {
         do {
             CompletableFuture<Envelope> answer = new CompletableFuture<>();
             control.watch(
                     WatchSystem.newBuilder()
                             .setProxyId("proxy")
-                            .setLeaderTerm(latest.getLeaderTerm())
-                            .setSystemVersion(latest.getSystemVersion())
+                            .setLeaderTerm(latestUpdate.getLeaderTerm())
+                            .setSystemVersion(latestUpdate.getSystemVersion())
                             .build(),
                     answer::complete);
-            latest = answer.orTimeout(ANSWER_LIMIT_SECONDS, TimeUnit.SECONDS)
+            latestUpdate = answer.orTimeout(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                     .join()
                     .getSystemUpdate();
-        } while (!told().equals(Set.of(ids)));
+        } while (!publishedIds().equals(Set.of(ids)));
     }
 
-    private Set<String> told() {
+    private Set<String> publishedIds() {
         Set<String> ids = new TreeSet<>();
-        latest.getInstancesList().forEach(instance -> ids.add(instance.getInstanceId()));
+        latestUpdate.getInstancesList().forEach(instance -> ids.add(instance.getInstanceId()));
         return ids;
     }
 }
--- a/control/src/test/java/org/hornbeamspread/control/routes/RouteDaemonTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/RouteDaemonTest.java
@@ -43,9 +43,9 @@
 
 /** Members on loopback, with real files; databases and the platform's orders are not reached. */
 final class RouteDaemonTest {
-    private static final Duration LIMIT = Duration.ofSeconds(60);
-    private static final Duration ATTEMPT = Duration.ofSeconds(2);
-    private static final Executor LATER = CompletableFuture.delayedExecutor(50, TimeUnit.MILLISECONDS);
+    private static final Duration TEST_TIMEOUT = Duration.ofSeconds(60);
+    private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(2);
+    private static final Executor RETRY_EXECUTOR = CompletableFuture.delayedExecutor(50, TimeUnit.MILLISECONDS);
 
     @TempDir
     Path directory;
@@ -69,69 +69,69 @@
     }
 
     @Test
-    void aConfigurationIsAcceptedAndReadAtEveryMember() {
-        assertThat(replace("c2", document(7, "seven"))).isEqualTo(7);
+    void configurationIsAcceptedAndReadAtEveryMember() {
+        assertThat(replaceRoutes("c2", configurationDocument(7, "seven"))).isEqualTo(7);
 
         for (String id : daemons.keySet()) {
-            assertThat(read(id).getSource()).isEqualTo(ByteString.copyFromUtf8("seven"));
+            assertThat(readRoutes(id).getSource()).isEqualTo(ByteString.copyFromUtf8("seven"));
         }
     }
 
     @Test
-    void aVersionThatIsNotHigherIsAcknowledgedAndChangesNothing() {
-        replace("c1", document(7, "seven"));
+    void configurationWithoutAHigherVersionIsAcknowledgedAndIgnored() {
+        replaceRoutes("c1", configurationDocument(7, "seven"));
 
-        assertThat(replace("c3", document(5, "five"))).isEqualTo(7);
-        assertThat(replace("c3", document(7, "other"))).isEqualTo(7);
-        assertThat(read("c2").getSource().toStringUtf8()).isEqualTo("seven");
+        assertThat(replaceRoutes("c3", configurationDocument(5, "five"))).isEqualTo(7);
+        assertThat(replaceRoutes("c3", configurationDocument(7, "other"))).isEqualTo(7);
+        assertThat(readRoutes("c2").getSource().toStringUtf8()).isEqualTo("seven");
     }
 
     @Test
-    void anInvalidConfigurationIsRefusedForGood() {
-        replace("c1", document(7, "seven"));
+    void invalidConfigurationIsRejected() {
+        replaceRoutes("c1", configurationDocument(7, "seven"));
         RouteConfigurationDocument invalid =
-                document(8, "eight").toBuilder().clearServices().build();
+                configurationDocument(8, "eight").toBuilder().clearServices().build();
 
-        FailureType refusal = eventually(() -> daemons.get("c2")
+        FailureType refusal = retryUntilSuccess(() -> daemons.get("c2")
                 .operations()
                 .replaceRoutes(invalid)
                 .handle((version, error) -> FailureException.of(error).type())
-                .thenApply(RouteDaemonTest::requireCertain));
+                .thenApply(RouteDaemonTest::requireInvalidConfiguration));
         assertThat(refusal).isEqualTo(FailureType.INVALID_CONFIGURATION);
-        assertThat(read("c3").getVersion()).isEqualTo(7);
+        assertThat(readRoutes("c3").getVersion()).isEqualTo(7);
     }
 
     @Test
-    void aWatchingProxyIsToldOfAnnouncementsAndDepartures() {
-        replace("c1", document(7, "seven"));
+    void watchingProxyReceivesAnnouncementsAndDepartures() {
+        replaceRoutes("c1", configurationDocument(7, "seven"));
         DatabaseInstance instance = instance(100, false);
-        eventually(() -> daemons.get("c2").operations().announce(instance));
+        retryUntilSuccess(() -> daemons.get("c2").operations().announce(instance));
         SystemUpdate first = watch(update -> update.getInstancesCount() == 1);
         assertThat(first.getConfiguration().getVersion()).isEqualTo(7);
         assertThat(first.getConfiguration().getSource().isEmpty()).isTrue();
         assertThat(first.getControlPeersCount()).isEqualTo(3);
 
-        eventually(() -> daemons.get("c3").operations().announce(instance(100, true)));
+        retryUntilSuccess(() -> daemons.get("c3").operations().announce(instance(100, true)));
         watch(update ->
                 update.getInstancesCount() == 1 && update.getInstances(0).getDraining());
-        eventually(() -> daemons.get("c1").operations().depart(new Departure("i-1", 100)));
+        retryUntilSuccess(() -> daemons.get("c1").operations().depart(new Departure("i-1", 100)));
         watch(update -> update.getChanged() && update.getInstancesCount() == 0);
     }
 
     @Test
-    void whatWasAcceptedSurvivesTheLossOfAMemberAndReachesOneThatJoins() {
-        replace("c1", document(7, "seven"));
+    void acceptedConfigurationSurvivesAMemberLossAndReachesAJoiningMember() {
+        replaceRoutes("c1", configurationDocument(7, "seven"));
         daemons.remove("c3").close();
         ControlMember joining = member("c4");
         start(joining, members, false);
 
-        assertThat(read("c4").getSource().toStringUtf8()).isEqualTo("seven");
-        assertThat(replace("c4", document(9, "nine"))).isEqualTo(9);
-        assertThat(read("c1").getVersion()).isEqualTo(9);
+        assertThat(readRoutes("c4").getSource().toStringUtf8()).isEqualTo("seven");
+        assertThat(replaceRoutes("c4", configurationDocument(9, "nine"))).isEqualTo(9);
+        assertThat(readRoutes("c1").getVersion()).isEqualTo(9);
     }
 
     /** Without a leader a call fails for another reason, and is repeated. */
-    private static FailureType requireCertain(FailureType type) {
+    private static FailureType requireInvalidConfiguration(FailureType type) {
         if (type != FailureType.INVALID_CONFIGURATION) {
             throw new FailureException(type, "no leader yet");
         }
@@ -180,27 +180,27 @@
                         new PrometheusRegistry()));
     }
 
-    private long replace(String id, RouteConfigurationDocument document) {
-        return eventually(() -> daemons.get(id).operations().replaceRoutes(document));
+    private long replaceRoutes(String id, RouteConfigurationDocument document) {
+        return retryUntilSuccess(() -> daemons.get(id).operations().replaceRoutes(document));
     }
 
-    private RouteConfigurationDocument read(String id) {
-        return eventually(() -> daemons.get(id).operations().readRoutes());
+    private RouteConfigurationDocument readRoutes(String id) {
+        return retryUntilSuccess(() -> daemons.get(id).operations().readRoutes());
     }
 
     /** Asks the members in turn, as a proxy does, until an update satisfies the predicate. */
     private SystemUpdate watch(java.util.function.Predicate<SystemUpdate> wanted) {
         int[] turn = {0};
-        return eventually(() -> {
+        return retryUntilSuccess(() -> {
             List<ControlMember> known = members;
             Endpoint peer = known.get(turn[0]++ % known.size()).getPeer();
             Envelope question = Envelope.newBuilder()
                     .setWatchSystem(WatchSystem.newBuilder().setProxyId("p1"))
                     .build();
             return transport
-                    .connect(peer, ATTEMPT, (from, request, answer) -> from.close())
+                    .connect(peer, ATTEMPT_TIMEOUT, (from, request, answer) -> from.close())
                     .thenCompose((PeerConnection open) ->
-                            open.request(question, ATTEMPT).whenComplete((answer, error) -> open.close()))
+                            open.request(question, ATTEMPT_TIMEOUT).whenComplete((answer, error) -> open.close()))
                     .thenApply(Envelope::getSystemUpdate)
                     .thenApply(update -> {
                         if (!wanted.test(update)) {
@@ -212,18 +212,18 @@
     }
 
     /** Repeats what may fail while there is no leader yet. */
-    private static <T> T eventually(Supplier<CompletableFuture<T>> attempt) {
+    private static <T> T retryUntilSuccess(Supplier<CompletableFuture<T>> attempt) {
         CompletableFuture<T> outcome = new CompletableFuture<>();
-        repeat(attempt, outcome);
-        return outcome.orTimeout(LIMIT.toSeconds(), TimeUnit.SECONDS).join();
+        retry(attempt, outcome);
+        return outcome.orTimeout(TEST_TIMEOUT.toSeconds(), TimeUnit.SECONDS).join();
     }
 
-    private static <T> void repeat(Supplier<CompletableFuture<T>> attempt, CompletableFuture<T> outcome) {
+    private static <T> void retry(Supplier<CompletableFuture<T>> attempt, CompletableFuture<T> outcome) {
         attempt.get().whenComplete((value, error) -> {
             if (error == null) {
                 outcome.complete(value);
             } else if (!outcome.isDone()) {
-                LATER.execute(() -> repeat(attempt, outcome));
+                RETRY_EXECUTOR.execute(() -> retry(attempt, outcome));
             }
         });
     }
@@ -233,7 +233,7 @@
                 "i-1", "ledger", new Address("10.0.0.1", 5432), "domain", 2, draining, true, bornMs, draining ? 2 : 1);
     }
 
-    private static RouteConfigurationDocument document(long version, String source) {
+    private static RouteConfigurationDocument configurationDocument(long version, String source) {
         Route route = new Route("r", "topup", "ledger", RouteKind.PRIMARY, 0, 800, 250, 0);
         RouteConfiguration configuration =
                 new RouteConfiguration(version, List.of(route), List.of(new RoutedService("ledger", 28, 1)), 3_000);
--- a/control/src/test/java/org/hornbeamspread/control/routes/UnreachableDatabases.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/UnreachableDatabases.java
@@ -32,12 +32,12 @@
     }
 
     @Override
-    public CompletableFuture<Optional<LogPosition>> provePrimary(DatabaseInstance instance) {
+    public CompletableFuture<Optional<LogPosition>> probePrimary(DatabaseInstance instance) {
         return unreachable(instance);
     }
 
     @Override
-    public void retain(Collection<DatabaseInstance> instances) {}
+    public void retainConnections(Collection<DatabaseInstance> instances) {}
 
     private static <T> CompletableFuture<T> unreachable(DatabaseInstance instance) {
         return CompletableFuture.failedFuture(new FailureException(FailureType.REQUEST_TIMEOUT, instance.instanceId()));
--- a/control/src/test/java/org/hornbeamspread/control/routes/WatchingProxiesTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/WatchingProxiesTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 final class WatchingProxiesTest {
-    private static final ControlState SEVEN = ControlState.newBuilder()
+    private static final ControlState STATE_WITH_VERSION_7 = ControlState.newBuilder()
             .setRoutes(RouteConfigurationDocument.newBuilder().setVersion(7))
             .build();
 
@@ -32,39 +32,43 @@
 
     @BeforeEach
     void begin() {
-        proxies.begin(3);
-        proxies.publish(SEVEN, List.of(), List.of());
+        proxies.onLeadershipGained(3);
+        proxies.publish(STATE_WITH_VERSION_7, List.of(), List.of());
     }
 
     @Test
-    void aProxyThatLacksTheConfigurationIsAnsweredAtOnce() {
-        proxies.add(question("p1").build(), answers::add);
+    void proxyWithoutTheConfigurationIsAnsweredImmediately() {
+        proxies.watch(watchRequest("p1").build(), answers::add);
 
-        assertThat(last().getConfiguration().getVersion()).isEqualTo(7);
-        assertThat(last().getLeaderTerm()).isEqualTo(3);
+        assertThat(lastUpdate().getConfiguration().getVersion()).isEqualTo(7);
+        assertThat(lastUpdate().getLeaderTerm()).isEqualTo(3);
     }
 
     @Test
-    void aCurrentProxyIsAnsweredWhenThereIsNewsOrAfterAWhile() {
-        proxies.add(current("p1").build(), answers::add);
+    void upToDateProxyIsAnsweredOnChangeOrAfterTheHoldTime() {
+        proxies.watch(upToDateWatchRequest("p1").build(), answers::add);
         assertThat(answers).isEmpty();
-        proxies.publish(SEVEN, List.of(), List.of());
+        proxies.publish(STATE_WITH_VERSION_7, List.of(), List.of());
         assertThat(answers).hasSize(1);
 
-        proxies.add(current("p1").setSystemVersion(last().getSystemVersion()).build(), answers::add);
+        proxies.watch(
+                upToDateWatchRequest("p1")
+                        .setSystemVersion(lastUpdate().getSystemVersion())
+                        .build(),
+                answers::add);
         advance(249);
-        proxies.answerDue();
+        proxies.answerExpiredWatches();
         assertThat(answers).hasSize(1);
         advance(1);
-        proxies.answerDue();
+        proxies.answerExpiredWatches();
         assertThat(answers).hasSize(2);
-        assertThat(last().hasConfiguration()).isFalse();
+        assertThat(lastUpdate().hasConfiguration()).isFalse();
     }
 
     /** Before its order: the primary before it may lead on until the order takes effect. */
     @ParameterizedTest
     @CsvSource({"'', '', false, 0", "b, '', false, 1", "b, '', true, 1", "'', b, false, 1"})
-    void proxiesAreToldOfAChoiceOnceItIsCommitted(String chosenId, String unsettledId, boolean concluded, int told) {
+    void chosenInstanceIsSentOnceCommitted(String chosenId, String unsettledId, boolean concluded, int told) {
         GroupTerm group = GroupTerm.newBuilder()
                 .setGroup("ledger")
                 .setTerm(4)
@@ -72,40 +76,40 @@
                 .setWritable(concluded)
                 .addAllUnsettledIds(unsettledId.isEmpty() ? List.of() : List.of(unsettledId))
                 .build();
-        proxies.publish(SEVEN.toBuilder().addGroups(group).build(), List.of(), List.of());
-        proxies.add(question("p1").build(), answers::add);
+        proxies.publish(STATE_WITH_VERSION_7.toBuilder().addGroups(group).build(), List.of(), List.of());
+        proxies.watch(watchRequest("p1").build(), answers::add);
 
-        assertThat(last().getPromotedCount()).isEqualTo(told);
+        assertThat(lastUpdate().getPromotedCount()).isEqualTo(told);
     }
 
     @Test
-    void aProxyThatWantsPositionsIsAnsweredAtOnceWithTheirAge() {
-        proxies.onProof("ledger", "p", new LogPosition(2, 40), clock.millis(), proxies.epoch());
+    void positionsAndTheirAgeAreSentImmediatelyOnRequest() {
+        proxies.onProof("ledger", "p", new LogPosition(2, 40), clock.millis(), proxies.clockEpoch());
         advance(120);
-        proxies.add(current("p1").setPositionsWanted(true).build(), answers::add);
+        proxies.watch(upToDateWatchRequest("p1").setPositionsWanted(true).build(), answers::add);
 
-        assertThat(last().getPositions(0).getAgeMs()).isEqualTo(120);
-        assertThat(last().getPositions(0).getPosition().getIndex()).isEqualTo(40);
+        assertThat(lastUpdate().getPositions(0).getAgeMs()).isEqualTo(120);
+        assertThat(lastUpdate().getPositions(0).getPosition().getIndex()).isEqualTo(40);
     }
 
     @Test
-    void positionsAreForgottenWhenTheClockStoodStill() {
-        proxies.onProof("ledger", "p", new LogPosition(2, 40), clock.millis(), proxies.epoch());
+    void positionsAreDroppedAfterASuspensionOfTheMachine() {
+        proxies.onProof("ledger", "p", new LogPosition(2, 40), clock.millis(), proxies.clockEpoch());
         timeOfDay.advance(Duration.ofSeconds(4));
-        proxies.add(current("p1").setPositionsWanted(true).build(), answers::add);
+        proxies.watch(upToDateWatchRequest("p1").setPositionsWanted(true).build(), answers::add);
 
-        assertThat(last().getPositionsCount()).isEqualTo(0);
+        assertThat(lastUpdate().getPositionsCount()).isEqualTo(0);
     }
 
     @ParameterizedTest
     @CsvSource({"0, 0.0", "1, 0.25", "2, 0.5"})
-    void theShareThatIsCutOffCountsAllProxies(int cutOff, double share) {
+    void unreachableShareIsRelativeToAllProxies(int cutOff, double share) {
         for (int i = 0; i < 4; i++) {
             PrimaryObservation seen = PrimaryObservation.newBuilder()
                     .setInstanceId("p")
                     .setUnreachableMs(i < cutOff ? 1_000 : 0)
                     .build();
-            proxies.add(current("p" + i).addObservations(seen).build(), answers::add);
+            proxies.watch(upToDateWatchRequest("p" + i).addObservations(seen).build(), answers::add);
         }
 
         assertThat(proxies.unreachableShare("p", 900)).isEqualTo(share);
@@ -113,45 +117,45 @@
 
     /** Proxies that are cut off together with the primary are not heard any more. */
     @Test
-    void proxiesThatAreNotHeardCountAsReachingThePrimary() {
-        proxies.add(current("far").build(), answers::add);
+    void silentProxiesCountAsReachingThePrimary() {
+        proxies.watch(upToDateWatchRequest("far").build(), answers::add);
         advance(2_000);
         PrimaryObservation seen = PrimaryObservation.newBuilder()
                 .setInstanceId("p")
                 .setUnreachableMs(1_000)
                 .build();
-        proxies.add(current("near").addObservations(seen).build(), answers::add);
+        proxies.watch(upToDateWatchRequest("near").addObservations(seen).build(), answers::add);
 
         assertThat(proxies.unreachableShare("p", 900)).isEqualTo(0.5);
     }
 
     @Test
-    void aWriteThatWaitsIsAStallOnlyWhileNoneSucceeds() {
+    void waitingWriteIsStalledOnlyWhileNoWriteSucceeds() {
         PrimaryObservation stalled = PrimaryObservation.newBuilder()
                 .setInstanceId("p")
                 .setOldestWriteMs(2_500)
                 .setSinceSuccessMs(3_000)
                 .build();
-        proxies.add(current("p1").addObservations(stalled).build(), answers::add);
+        proxies.watch(upToDateWatchRequest("p1").addObservations(stalled).build(), answers::add);
         assertThat(proxies.stalledWriteMs("p")).isEqualTo(2_500);
 
         PrimaryObservation working = PrimaryObservation.newBuilder()
                 .setInstanceId("p")
                 .setSinceSuccessMs(100)
                 .build();
-        proxies.add(current("p2").addObservations(working).build(), answers::add);
+        proxies.watch(upToDateWatchRequest("p2").addObservations(working).build(), answers::add);
         assertThat(proxies.stalledWriteMs("p")).isEqualTo(0);
     }
 
-    private static WatchSystem.Builder question(String proxyId) {
+    private static WatchSystem.Builder watchRequest(String proxyId) {
         return WatchSystem.newBuilder().setProxyId(proxyId);
     }
 
-    private static WatchSystem.Builder current(String proxyId) {
-        return question(proxyId).setLeaderTerm(3).setSystemVersion(1).setConfigurationVersion(7);
+    private static WatchSystem.Builder upToDateWatchRequest(String proxyId) {
+        return watchRequest(proxyId).setLeaderTerm(3).setSystemVersion(1).setConfigurationVersion(7);
     }
 
-    private SystemUpdate last() {
+    private SystemUpdate lastUpdate() {
         return answers.get(answers.size() - 1).getSystemUpdate();
     }
 
