--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
@@ -51,7 +51,7 @@
     private final DutyThread<Runnable> thread;
     private final InstanceRegistry registry = new InstanceRegistry();
     private final DatabaseLivenessTracker liveness;
-    private final WatchingProxies watchers;
+    private final WatchingProxies watchingProxies;
     private final ServicePromotions promotions;
     private ControlState appliedState = ControlState.getDefaultInstance();
     private Leadership leadership = new Leadership(0, Optional.empty(), false);
@@ -80,9 +80,9 @@
         this.events = events;
         this.thread = new DutyThread<>("routes", RING_CAPACITY_EVENTS, Runnable::run, TICK_INTERVAL, this::tick);
         this.liveness = new DatabaseLivenessTracker(clock, events);
-        this.watchers = new WatchingProxies(clock, new ClockGuard(clock, timeOfDay));
+        this.watchingProxies = new WatchingProxies(clock, new ClockGuard(clock, timeOfDay));
         this.promotions = new ServicePromotions(
-                memberId, log, databases, orders, clock, events, metrics, thread::offer, watchers);
+                memberId, log, databases, orders, clock, events, metrics, thread::offer, watchingProxies);
     }
 
     /** Starts the thread. */
@@ -241,10 +241,10 @@
                 changed.isLeader());
         if (began) {
             liveness.reset(registry.all());
-            watchers.onLeadershipGained(changed.term());
+            watchingProxies.onLeadershipGained(changed.term());
             promotions.onLeadershipGained();
         } else if (!changed.isLeader()) {
-            watchers.refuseAll(notLeader());
+            watchingProxies.refuseAll(notLeader());
             promotions.onLeadershipLost();
         }
         applyState();
@@ -273,7 +273,7 @@
     }
 
     private void publish(ControlState state) {
-        watchers.publish(state, liveness.instancesToPublish(state, promotions::isSettled), members.get());
+        watchingProxies.publish(state, liveness.instancesToPublish(state, promotions::isSettled), members.get());
     }
 
     /** One line for each instance that came, changed or is gone; by the leader only, whose decisions they explain. */
@@ -322,14 +322,14 @@
         }
         liveness.markSilent(registry.all());
         publish(publishedState.get());
-        watchers.answerExpiredWatches();
-        metrics.onWatchingProxies(watchers.liveProxies());
+        watchingProxies.answerExpiredWatches();
+        metrics.onWatchingProxies(watchingProxies.liveProxies());
         promotions.tick(publishedState, registry, liveness.lastAnnouncedAtMs());
     }
 
     private void onWatch(WatchSystem request, Consumer<Envelope> answer) {
         if (leadership.isLeader()) {
-            watchers.watch(request, answer);
+            watchingProxies.watch(request, answer);
         } else {
             answer.accept(Envelopes.failureEnvelope(notLeader()));
         }
--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteDaemon.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteDaemon.java
@@ -24,7 +24,7 @@
     private final ConsensusService log;
     private final RouteControl control;
     private final ControlMembership membership;
-    private final ForwardingRouteOperations peers;
+    private final ForwardingRouteOperations operations;
     private final PeerServer server;
     private final RouteMetrics metrics;
 
@@ -39,7 +39,7 @@
         this.log = log;
         this.control = control;
         this.membership = membership;
-        this.peers = peers;
+        this.operations = peers;
         this.server = server;
     }
 
@@ -121,7 +121,7 @@
 
     /** What operators and databases may ask. */
     public RouteOperations operations() {
-        return peers;
+        return operations;
     }
 
     /** Counts what the calls of operators and databases come to. */
--- a/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
@@ -107,7 +107,7 @@
         Watcher watcher = watchers.computeIfAbsent(request.getProxyId(), id -> new Watcher());
         watcher.request = request;
         watcher.receivedAtMs = clock.millis();
-        watcher.answer = Optional.of(answer);
+        watcher.pendingAnswer = Optional.of(answer);
         if (!isUpToDate(request) || request.getPositionsWanted()) {
             sendUpdate(watcher);
         }
@@ -139,7 +139,7 @@
             systemVersion++;
         }
         watchers.values().stream()
-                .filter(watcher -> watcher.answer.isPresent() && !isUpToDate(watcher.request))
+                .filter(watcher -> watcher.pendingAnswer.isPresent() && !isUpToDate(watcher.request))
                 .forEach(this::sendUpdate);
     }
 
@@ -161,7 +161,7 @@
             Watcher watcher = all.next();
             if (nowMs - watcher.receivedAtMs > PROXY_EXPIRY_MS) {
                 all.remove();
-            } else if (watcher.answer.isPresent() && nowMs - watcher.receivedAtMs >= holdMs()) {
+            } else if (watcher.pendingAnswer.isPresent() && nowMs - watcher.receivedAtMs >= holdMs()) {
                 sendUpdate(watcher);
             }
         }
@@ -173,7 +173,7 @@
 
     void refuseAll(FailureException failure) {
         watchers.values().forEach(watcher -> {
-            watcher.answer.ifPresent(open -> open.accept(Envelopes.failureEnvelope(failure)));
+            watcher.pendingAnswer.ifPresent(open -> open.accept(Envelopes.failureEnvelope(failure)));
         });
         watchers.clear();
     }
@@ -228,8 +228,8 @@
         if (request.getConfigurationVersion() < state.getRoutes().getVersion()) {
             update.setConfiguration(state.getRoutes().toBuilder().clearSource());
         }
-        Optional<Consumer<Envelope>> answer = watcher.answer;
-        watcher.answer = Optional.empty();
+        Optional<Consumer<Envelope>> answer = watcher.pendingAnswer;
+        watcher.pendingAnswer = Optional.empty();
         answer.ifPresent(open ->
                 open.accept(Envelope.newBuilder().setSystemUpdate(update).build()));
     }
@@ -251,6 +251,6 @@
         private long receivedAtMs;
 
         /** Empty once the question is answered. */
-        private Optional<Consumer<Envelope>> answer = Optional.empty();
+        private Optional<Consumer<Envelope>> pendingAnswer = Optional.empty();
     }
 }
--- a/control/src/test/java/org/hornbeamspread/control/routes/ImmediateLog.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/ImmediateLog.java
@@ -17,7 +17,7 @@
  * promotions never come to an end.
  */
 final class ImmediateLog implements ReplicatedLog {
-    private static final Leadership LEADING = new Leadership(1, Optional.of("c1"), true);
+    private static final Leadership LEADERSHIP = new Leadership(1, Optional.of("c1"), true);
 
     private final PublishedState state;
     private Runnable onApplied = () -> {};
@@ -58,11 +58,11 @@
 
     @Override
     public Leadership leadership() {
-        return LEADING;
+        return LEADERSHIP;
     }
 
     @Override
     public void onLeadershipChange(Consumer<Leadership> listener) {
-        listener.accept(LEADING);
+        listener.accept(LEADERSHIP);
     }
 }
