--- a/control/src/main/java/org/hornbeamspread/control/routes/ControlMembership.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ControlMembership.java
@@ -21,15 +21,19 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * Members that come and go without an operator. A process that knows no leader for a while asks the seeds to take it in; the
- * leader records it as a learner, and the log makes it a voter once it has caught up. A voter that has been silent is dropped
- * once enough others vote, so that a machine that is gone for good does not weaken the majority.
+ * Adds and removes control members without an operator. A process without a leader for a while sends a join request to
+ * the seeds; the leader adds it as a learner, and the log makes it a voter once it has caught up. A silent voter is
+ * removed once enough other voters are reachable, so that a machine that has failed for good does not weaken the
+ * majority.
  */
 public final class ControlMembership implements AutoCloseable {
-    /** Longer than two elections, so that a member that is merely between leaders does not ask. */
+    /**
+     * Time without a leader until a join request; a voter that is silent for less counts as reachable. Longer than two
+     * elections, so that a member does not send a join request during an election.
+     */
     private static final long LEADERLESS_TIMEOUT_MS = 2_500;
 
-    /** Longer than a restart of a machine takes. */
+    /** Silence after which a member is removed. Longer than the restart of a machine. */
     private static final long REMOVAL_TIMEOUT_MS = 6_000;
 
     private static final Duration TICK_INTERVAL = Duration.ofMillis(500);
@@ -48,21 +52,21 @@
     private boolean removalPending;
 
     /**
-     * Makes the duty; {@link #start} runs it.
+     * Creates the membership without starting its thread; see {@link #start}.
      *
-     * @param wantedVoters how many voters bear the losses that the deployment is built for
-     * @param seeds peer endpoints of other members, as the settings have them now
+     * @param requiredVoters the number of voters needed to tolerate the losses that the deployment is designed for
+     * @param seeds supplies the peer endpoints of other members from the current settings
      */
     public ControlMembership(
             ControlMember self,
-            int wantedVoters,
+            int requiredVoters,
             ReplicatedLog log,
             Supplier<List<ControlMember>> members,
             Supplier<List<Endpoint>> seeds,
             PeerTransport transport,
             EventLog events) {
         this.self = self;
-        this.requiredVoters = wantedVoters;
+        this.requiredVoters = requiredVoters;
         this.log = log;
         this.members = members;
         this.seeds = seeds;
@@ -77,24 +81,24 @@
         return this;
     }
 
-    /** Takes a member in. Fails with NOT_LEADER elsewhere than at the leader. */
+    /** Adds a member as a learner. Fails with NOT_LEADER on a member that is not the leader. */
     public CompletableFuture<Void> join(JoinControl request) {
         if (!log.leadership().isLeader()) {
             return CompletableFuture.failedFuture(new FailureException(
                     FailureType.NOT_LEADER, log.leadership().leaderId().orElse("")));
         }
-        List<ControlMember> present = members.get();
-        if (present.stream().anyMatch(member -> member.getMemberId().equals(request.getMemberId()))) {
+        List<ControlMember> currentMembers = members.get();
+        if (currentMembers.stream().anyMatch(member -> member.getMemberId().equals(request.getMemberId()))) {
             return CompletableFuture.completedFuture(null);
         }
-        events.record("control_member_joins", "member", request.getMemberId(), "members", present.size());
-        List<ControlMember> next = new ArrayList<>(present);
-        next.add(ControlMember.newBuilder()
+        events.record("control_member_joins", "member", request.getMemberId(), "members", currentMembers.size());
+        List<ControlMember> newMembers = new ArrayList<>(currentMembers);
+        newMembers.add(ControlMember.newBuilder()
                 .setMemberId(request.getMemberId())
                 .setPeer(request.getPeer())
                 .setHttp(request.getHttp())
                 .build());
-        return proposeMembers(next);
+        return proposeMembers(newMembers);
     }
 
     @Override
@@ -102,9 +106,9 @@
         thread.close();
     }
 
-    private CompletableFuture<Void> proposeMembers(List<ControlMember> next) {
+    private CompletableFuture<Void> proposeMembers(List<ControlMember> newMembers) {
         return log.propose(ControlCommand.newBuilder()
-                        .setChangeMembers(ChangeMembers.newBuilder().addAllMembers(next))
+                        .setChangeMembers(ChangeMembers.newBuilder().addAllMembers(newMembers))
                         .build())
                 .thenApply(CommandResult::failure)
                 .thenAccept(failure -> failure.ifPresent(reason -> {
@@ -124,15 +128,15 @@
     }
 
     private void removeLostMember() {
-        List<ControlMember> present = members.get();
-        Optional<ControlMember> lost = present.stream()
+        List<ControlMember> currentMembers = members.get();
+        Optional<ControlMember> lost = currentMembers.stream()
                 .filter(member -> !member.getMemberId().equals(self.getMemberId()))
                 .filter(member -> member.getSilentMs() > REMOVAL_TIMEOUT_MS)
                 .findFirst();
-        long living = present.stream()
+        long reachableVoters = currentMembers.stream()
                 .filter(member -> member.getVoting() && member.getSilentMs() < LEADERLESS_TIMEOUT_MS)
                 .count();
-        if (removalPending || lost.isEmpty() || (lost.get().getVoting() && living < requiredVoters)) {
+        if (removalPending || lost.isEmpty() || (lost.get().getVoting() && reachableVoters < requiredVoters)) {
             return;
         }
         removalPending = true;
@@ -143,10 +147,10 @@
                 "silent_ms",
                 lost.get().getSilentMs(),
                 "living_voters",
-                living);
-        List<ControlMember> next = new ArrayList<>(present);
-        next.remove(lost.get());
-        proposeMembers(next).whenComplete((done, error) -> thread.offer(() -> removalPending = false));
+                reachableVoters);
+        List<ControlMember> newMembers = new ArrayList<>(currentMembers);
+        newMembers.remove(lost.get());
+        proposeMembers(newMembers).whenComplete((result, error) -> thread.offer(() -> removalPending = false));
     }
 
     private void requestJoin() {
@@ -166,9 +170,9 @@
         sendJoinRequest(seed, request, true);
     }
 
-    private void sendJoinRequest(Endpoint endpoint, Envelope request, boolean follow) {
+    private void sendJoinRequest(Endpoint endpoint, Envelope request, boolean followRedirect) {
         transport
-                .connect(endpoint, REQUEST_TIMEOUT, (peer, unexpected, answer) -> peer.close())
+                .connect(endpoint, REQUEST_TIMEOUT, (peer, unexpectedRequest, answer) -> peer.close())
                 .thenCompose(
                         peer -> peer.request(request, REQUEST_TIMEOUT).whenComplete((answer, error) -> peer.close()))
                 .whenComplete((answer, error) -> {
@@ -182,7 +186,7 @@
                     boolean redirected = failure != null
                             && failure.type() == FailureType.NOT_LEADER
                             && !failure.detail().isEmpty();
-                    if (redirected && follow) {
+                    if (redirected && followRedirect) {
                         sendJoinRequest(
                                 org.hornbeamspread.transport.AddressTranslator.parse(failure.detail()), request, false);
                     }
--- a/control/src/main/java/org/hornbeamspread/control/routes/DatabaseAdministration.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/DatabaseAdministration.java
@@ -6,23 +6,23 @@
 import org.hornbeamspread.core.route.DatabaseInstance;
 import org.hornbeamspread.core.sql.ReplicaStatus;
 
-/** The commands that control gives to databases. Futures fail with a typed failure when there is no answer. */
+/** The commands that control sends to databases. Futures fail with a typed failure when there is no response. */
 public interface DatabaseAdministration {
-    /** Asks for role and position. */
+    /** Requests the role and the log position of an instance. */
     CompletableFuture<ReplicaStatus> status(DatabaseInstance instance);
 
-    /** Stops a replica from receiving. */
+    /** Pauses replication on a replica, which then receives nothing. */
     CompletableFuture<ReplicaStatus> pause(DatabaseInstance instance, long term);
 
-    /** Lets a paused replica receive again. */
+    /** Resumes replication on a paused replica. */
     CompletableFuture<ReplicaStatus> resume(DatabaseInstance instance);
 
-    /** Makes a primary a replica. */
+    /** Demotes a primary to a replica. */
     CompletableFuture<ReplicaStatus> demote(DatabaseInstance instance, long term);
 
-    /** The end of the instance's log, if it proves to be the primary. */
+    /** Returns the end of the instance's log if the instance proves to be the primary. */
     CompletableFuture<Optional<LogPosition>> probePrimary(DatabaseInstance instance);
 
-    /** Drops connections to instances that are not among these. */
+    /** Closes the connections to all other instances than the given ones. */
     void retainConnections(java.util.Collection<DatabaseInstance> instances);
 }
--- a/control/src/main/java/org/hornbeamspread/control/routes/DatabaseLivenessTracker.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/DatabaseLivenessTracker.java
@@ -17,14 +17,14 @@
 import org.hornbeamspread.protocol.schema.RegisteredInstance;
 
 /**
- * When the leader heard each database last, and which of them it tells proxies of.
+ * Tracks the last announcement of each database to the leader, and selects the databases that are published to proxies.
  *
- * <p>Silence is not a departure. A database that is cut off from control may still receive from its primary and acknowledge
- * commits, so it stays in the registry, and counts in promotions. It is only left out of what proxies are told, until it
- * announces itself again. Confined to the routes duty.
+ * <p>Silence is not a departure. A database that is partitioned from control may still receive from its primary and
+ * acknowledge commits, so it stays in the registry and counts in promotions. It is only excluded from the instances
+ * that are published to proxies, until it announces itself again. Confined to the routes thread.
  */
 final class DatabaseLivenessTracker {
-    /** A database that has not announced itself for longer is silent. */
+    /** A database that has not announced itself for longer than this is silent. */
     private static final long SILENCE_TIMEOUT_MS = SyncFailoverTimings.DEFAULT.silenceMs();
 
     private final Clock clock;
@@ -37,36 +37,40 @@
         this.events = events;
     }
 
-    /** Forgets everything; what is known counts as heard now. */
-    void reset(Collection<DatabaseInstance> known) {
+    /** Drops all state. The last announcement of each registered database counts as received now. */
+    void reset(Collection<DatabaseInstance> registered) {
         lastAnnouncedAtMs.clear();
         silentIds.clear();
-        retainConnections(known);
+        retain(registered);
     }
 
-    /** Forgets all but what is known; what is new counts as heard now. */
-    void retainConnections(Collection<DatabaseInstance> known) {
-        Set<String> knownIds = known.stream().map(DatabaseInstance::instanceId).collect(Collectors.toUnmodifiableSet());
-        knownIds.forEach(id -> lastAnnouncedAtMs.putIfAbsent(id, clock.millis()));
-        lastAnnouncedAtMs.keySet().retainAll(knownIds);
-        silentIds.retainAll(knownIds);
+    /**
+     * Drops the state of databases that are not registered. The last announcement of a newly registered database counts
+     * as received now.
+     */
+    void retain(Collection<DatabaseInstance> registered) {
+        Set<String> registeredIds =
+                registered.stream().map(DatabaseInstance::instanceId).collect(Collectors.toUnmodifiableSet());
+        registeredIds.forEach(id -> lastAnnouncedAtMs.putIfAbsent(id, clock.millis()));
+        lastAnnouncedAtMs.keySet().retainAll(registeredIds);
+        silentIds.retainAll(registeredIds);
     }
 
-    /** A database announced itself. True when it was silent. */
+    /** Records an announcement. Returns whether the database was silent before. */
     boolean onAnnounced(String instanceId) {
         long nowMs = clock.millis();
-        Long beforeMs = lastAnnouncedAtMs.put(instanceId, nowMs);
+        Long previousMs = lastAnnouncedAtMs.put(instanceId, nowMs);
         boolean wasSilent = silentIds.remove(instanceId);
-        if (wasSilent && beforeMs != null) {
-            events.record("instance_heard_again", "instance", instanceId, "silent_ms", nowMs - beforeMs);
+        if (wasSilent && previousMs != null) {
+            events.record("instance_heard_again", "instance", instanceId, "silent_ms", nowMs - previousMs);
         }
         return wasSilent;
     }
 
-    /** Notes which of the known databases have become silent. */
-    void markSilent(Collection<DatabaseInstance> known) {
+    /** Marks the registered databases that have become silent, and logs an event for each. */
+    void markSilent(Collection<DatabaseInstance> registered) {
         long nowMs = clock.millis();
-        for (DatabaseInstance instance : known) {
+        for (DatabaseInstance instance : registered) {
             String id = instance.instanceId();
             if (nowMs - lastAnnouncedAtMs.getOrDefault(id, nowMs) > SILENCE_TIMEOUT_MS && silentIds.add(id)) {
                 events.record("instance_silent", "instance", id, "limit_ms", SILENCE_TIMEOUT_MS);
@@ -75,10 +79,10 @@
     }
 
     /**
-     * What proxies are told: all but silent replicas. Those are told too while a promotion of their service goes on, as one of
-     * them may be chosen.
+     * Returns the instances to publish to proxies: all but silent replicas. Silent replicas are published too while a
+     * promotion of their service is in progress, since one of them may be chosen.
      *
-     * @param isSettled whether no promotion of a service goes on
+     * @param isSettled whether no promotion of a service is in progress
      */
     List<RegisteredInstance> instancesToPublish(ControlState state, Predicate<String> isSettled) {
         Set<String> promotedIds = state.getGroupsList().stream()
@@ -93,7 +97,7 @@
                 .toList();
     }
 
-    /** When each known database was heard last, by its id. */
+    /** Returns the time of the last announcement of each registered database, by instance id. */
     Map<String, Long> lastAnnouncedAtMs() {
         return lastAnnouncedAtMs;
     }
--- a/control/src/main/java/org/hornbeamspread/control/routes/ForwardingRouteOperations.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ForwardingRouteOperations.java
@@ -29,11 +29,11 @@
 import org.hornbeamspread.transport.RouteMessages;
 
 /**
- * The same operations at every member: one that does not lead passes them on to the leader. Also serves what the others and
- * the proxies send. Safe for any thread.
+ * The route operations at every member: a member that is not the leader forwards them to the leader. Also handles the
+ * requests of other members and of proxies. Safe for any thread.
  */
 public final class ForwardingRouteOperations implements RouteOperations, PeerHandler {
-    /** Below the second that callers wait before they turn to another member. */
+    /** Shorter than the second after which callers retry at another member. */
     private static final Duration FORWARD_TIMEOUT = Duration.ofMillis(700);
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(300);
@@ -44,7 +44,7 @@
     private final Supplier<List<ControlMember>> members;
     private final Map<Endpoint, CompletableFuture<PeerConnection>> connections = new ConcurrentHashMap<>();
 
-    /** Serves the operations of a member. */
+    /** Creates the operations of a member. */
     public ForwardingRouteOperations(
             RouteControl local,
             ControlMembership membership,
@@ -126,7 +126,8 @@
             case DEPARTURE ->
                 local.depart(RouteMessages.departure(change.getDeparture())).thenApply(done -> changeAccepted(0));
             case CHANGE_NOT_SET ->
-                CompletableFuture.failedFuture(new FailureException(FailureType.INVALID_REQUEST, "empty change"));
+                CompletableFuture.failedFuture(
+                        new FailureException(FailureType.INVALID_REQUEST, "change request without a change"));
         };
     }
 
@@ -145,7 +146,10 @@
                 error == null ? envelope : withLeaderEndpoint(Envelopes.failureEnvelope(FailureException.of(error)))));
     }
 
-    /** A refusal of a member that does not lead names the leader's endpoint, which its asker may not know by id. */
+    /**
+     * Replaces the leader's member id in a NOT_LEADER failure by the leader's peer endpoint, since the sender of the
+     * request may not be able to resolve the id.
+     */
     private Envelope withLeaderEndpoint(Envelope reply) {
         if (!reply.hasFailure() || !reply.getFailure().getType().equals(FailureType.NOT_LEADER.name())) {
             return reply;
@@ -165,8 +169,9 @@
     }
 
     private <T> CompletableFuture<T> orForwardToLeader(
-            CompletableFuture<T> attempt, Envelope request, Function<Envelope, T> decode) {
-        return attempt.handle((value, error) -> {
+            CompletableFuture<T> localAttempt, Envelope request, Function<Envelope, T> decode) {
+        return localAttempt
+                .handle((value, error) -> {
                     if (error == null) {
                         return CompletableFuture.completedFuture(value);
                     }
@@ -177,15 +182,16 @@
                     return leader.map(endpoint -> forward(endpoint, request).thenApply(decode))
                             .orElseGet(() -> CompletableFuture.failedFuture(failure));
                 })
-                .thenCompose(next -> next);
+                .thenCompose(result -> result);
     }
 
     private CompletableFuture<Envelope> forward(Endpoint leader, Envelope request) {
         CompletableFuture<PeerConnection> connection = connections.compute(
                 leader,
-                (endpoint, present) -> present == null || isBroken(present)
-                        ? transport.connect(endpoint, CONNECT_TIMEOUT, (peer, unexpected, answer) -> peer.close())
-                        : present);
+                (endpoint, existing) -> existing == null || isBroken(existing)
+                        ? transport.connect(
+                                endpoint, CONNECT_TIMEOUT, (peer, unexpectedRequest, answer) -> peer.close())
+                        : existing);
         return connection.thenCompose(peer -> peer.request(request, FORWARD_TIMEOUT)
                 .whenComplete((answer, error) -> {
                     if (error != null && FailureException.of(error).type() == FailureType.REQUEST_TIMEOUT) {
--- a/control/src/main/java/org/hornbeamspread/control/routes/InstancePromoter.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/InstancePromoter.java
@@ -2,14 +2,14 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Orders promotions from whoever carries them out. */
+/** Requests promotions from the platform, which performs them. */
 public interface InstancePromoter {
     /**
-     * Orders an instance to lead its service. Completes with whether the order was accepted; fails when there is no clear
-     * answer, after which it may still be carried out.
+     * Requests the promotion of an instance to the primary of its service. Completes with whether the request was
+     * accepted; fails when the outcome is unknown, after which the promotion may still be performed.
      *
-     * @param holder names who orders
-     * @param fencingToken an order with a lower one than was seen before is refused
+     * @param holder the id of the requester
+     * @param fencingToken a request with a lower token than an earlier request is refused
      */
     CompletableFuture<Boolean> promote(String service, String instanceId, String holder, long fencingToken);
 }
--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
@@ -33,14 +33,15 @@
 import org.hornbeamspread.transport.RouteMessages;
 
 /**
- * What the leading control member does with routes and databases: it commits what is new, tells watching proxies of
- * the databases that it hears, and drives the promotions of each service. On a member that does not lead every call fails with
- * NOT_LEADER, whose detail names the leader's peer endpoint. All state belongs to one duty thread.
+ * The control leader's handling of routes and databases: commits new configurations, announcements and departures,
+ * sends the watching proxies the databases that are not silent, and drives the promotions of each service. On a member
+ * that is not the leader every call fails with NOT_LEADER, whose detail is the leader's member id. All state is
+ * confined to one thread.
  */
 public final class RouteControl implements RouteOperations, AutoCloseable {
     private static final int RING_CAPACITY_EVENTS = 16_384;
 
-    /** Decides how soon a promotion's next step follows an answer that was lost. */
+    /** Limits the delay of a promotion's next step after a lost response. */
     private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
 
     private final ReplicatedLog log;
@@ -57,32 +58,32 @@
     private Leadership leadership = new Leadership(0, Optional.empty(), false);
 
     /**
-     * Makes the duty; {@link #start} runs it.
+     * Creates the route control without starting its thread; see {@link #start}.
      *
-     * @param clock a steady clock
-     * @param timeOfDay the wall clock, used only to notice that the steady one stood still
+     * @param clock a monotonic clock
+     * @param timeOfDay the wall clock, used only to detect that the monotonic clock has stood still
      */
     public RouteControl(
             String memberId,
             ReplicatedLog log,
-            Supplier<ControlState> published,
+            Supplier<ControlState> publishedState,
             Supplier<List<ControlMember>> members,
             DatabaseAdministration databases,
-            InstancePromoter orders,
+            InstancePromoter promoter,
             Clock clock,
             Clock timeOfDay,
             EventLog events,
             RouteMetrics metrics) {
         this.metrics = metrics;
         this.log = log;
-        this.publishedState = published;
+        this.publishedState = publishedState;
         this.members = members;
         this.events = events;
         this.thread = new DutyThread<>("routes", RING_CAPACITY_EVENTS, Runnable::run, TICK_INTERVAL, this::tick);
         this.liveness = new DatabaseLivenessTracker(clock, events);
         this.watchingProxies = new WatchingProxies(clock, new ClockGuard(clock, timeOfDay));
         this.promotions = new ServicePromotions(
-                memberId, log, databases, orders, clock, events, metrics, thread::offer, watchingProxies);
+                memberId, log, databases, promoter, clock, events, metrics, thread::offer, watchingProxies);
     }
 
     /** Starts the thread. */
@@ -92,12 +93,12 @@
         return this;
     }
 
-    /** Something was applied to the log. */
+    /** Called when a command of the log has been applied. */
     public void onApplied() {
         thread.offer(this::applyState);
     }
 
-    /** A proxy asks for news; the answer may be held for a while. */
+    /** Handles a proxy's watch request. The answer is held until there is a change, for a limited time. */
     public void watch(WatchSystem request, Consumer<Envelope> answer) {
         if (!thread.offer(() -> onWatch(request, answer))) {
             answer.accept(Envelopes.failureEnvelope(new FailureException(FailureType.RING_FULL, "routes")));
@@ -131,14 +132,14 @@
         thread.close();
     }
 
-    private <T> CompletableFuture<T> runAsLeader(Supplier<CompletableFuture<T>> work) {
+    private <T> CompletableFuture<T> runAsLeader(Supplier<CompletableFuture<T>> operation) {
         CompletableFuture<T> outcome = new CompletableFuture<>();
-        boolean taken = thread.offer(() -> {
+        boolean accepted = thread.offer(() -> {
             if (!leadership.isLeader()) {
                 outcome.completeExceptionally(notLeader());
                 return;
             }
-            startOrFail(work).whenComplete((value, error) -> {
+            startOrFail(operation).whenComplete((value, error) -> {
                 if (error == null) {
                     outcome.complete(value);
                 } else {
@@ -146,16 +147,16 @@
                 }
             });
         });
-        if (!taken) {
+        if (!accepted) {
             outcome.completeExceptionally(new FailureException(FailureType.RING_FULL, "routes"));
         }
         return outcome;
     }
 
-    /** A refusal before anything was started is an outcome like any other. */
-    private static <T> CompletableFuture<T> startOrFail(Supplier<CompletableFuture<T>> work) {
+    /** Returns a failed future when the operation throws a failure before anything was started. */
+    private static <T> CompletableFuture<T> startOrFail(Supplier<CompletableFuture<T>> operation) {
         try {
-            return work.get();
+            return operation.get();
         } catch (FailureException e) {
             return CompletableFuture.failedFuture(e);
         }
@@ -169,7 +170,7 @@
     private RouteConfigurationDocument currentRoutes() {
         RouteConfigurationDocument routes = publishedState.get().getRoutes();
         if (routes.getVersion() == 0) {
-            throw new FailureException(FailureType.NO_VIEW, "no configuration was accepted yet");
+            throw new FailureException(FailureType.NO_VIEW, "no route configuration has been accepted yet");
         }
         return routes;
     }
@@ -177,10 +178,10 @@
     private CompletableFuture<Long> commitRoutes(RouteConfigurationDocument configuration) {
         RouteMessages.configuration(configuration).validate();
         long version = configuration.getVersion();
-        long present = publishedState.get().getRoutes().getVersion();
-        if (version <= present) {
-            events.record("configuration_unchanged", "version", version, "in_force", present);
-            return log.confirmLeadership().thenApply(confirmed -> present);
+        long currentVersion = publishedState.get().getRoutes().getVersion();
+        if (version <= currentVersion) {
+            events.record("configuration_unchanged", "version", version, "in_force", currentVersion);
+            return log.confirmLeadership().thenApply(confirmed -> currentVersion);
         }
         return log.propose(ControlCommand.newBuilder()
                         .setReplaceRoutes(configuration)
@@ -193,8 +194,8 @@
     }
 
     private CompletableFuture<Void> commitAnnouncement(DatabaseInstance instance) {
-        AnnouncementStatus verdict = registry.classify(instance);
-        if (verdict == AnnouncementStatus.OUTDATED) {
+        AnnouncementStatus status = registry.classify(instance);
+        if (status == AnnouncementStatus.OUTDATED) {
             events.record(
                     "announcement_outdated",
                     "instance",
@@ -208,7 +209,7 @@
         if (liveness.onAnnounced(instance.instanceId())) {
             publish(publishedState.get());
         }
-        if (verdict == AnnouncementStatus.UNCHANGED) {
+        if (status == AnnouncementStatus.UNCHANGED) {
             return CompletableFuture.completedFuture(null);
         }
         return commit(ChangeInstances.newBuilder()
@@ -229,7 +230,7 @@
     }
 
     private void onLeadershipChange(Leadership changed) {
-        boolean began = changed.isLeader() && !leadership.isLeader();
+        boolean becameLeader = changed.isLeader() && !leadership.isLeader();
         leadership = changed;
         events.record(
                 "control_leadership",
@@ -239,7 +240,7 @@
                 changed.leaderId().orElse("none"),
                 "self",
                 changed.isLeader());
-        if (began) {
+        if (becameLeader) {
             liveness.reset(registry.all());
             watchingProxies.onLeadershipGained(changed.term());
             promotions.onLeadershipGained();
@@ -253,7 +254,7 @@
     private void applyState() {
         ControlState state = publishedState.get();
         boolean instancesChanged = !state.getInstancesList().equals(appliedState.getInstancesList());
-        Collection<DatabaseInstance> known = registry.all();
+        Collection<DatabaseInstance> registeredBefore = registry.all();
         if (instancesChanged
                 || !state.getDeparturesList().equals(appliedState.getDeparturesList())
                 || !state.getLostCopiesList().equals(appliedState.getLostCopiesList())) {
@@ -265,8 +266,8 @@
         if (instancesChanged) {
             metrics.onCommit("instances");
             events.record("instances_changed", "instances", state.getInstancesCount());
-            logInstanceChanges(known);
-            liveness.retainConnections(registry.all());
+            logInstanceChanges(registeredBefore);
+            liveness.retain(registry.all());
         }
         appliedState = state;
         publish(state);
@@ -276,7 +277,10 @@
         watchingProxies.publish(state, liveness.instancesToPublish(state, promotions::isSettled), members.get());
     }
 
-    /** One line for each instance that came, changed or is gone; by the leader only, whose decisions they explain. */
+    /**
+     * Logs an event for each instance that joined, changed or left. Only the leader does, since they explain its
+     * decisions.
+     */
     private void logInstanceChanges(Collection<DatabaseInstance> before) {
         if (!leadership.isLeader()) {
             return;
--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteDaemon.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteDaemon.java
@@ -19,7 +19,7 @@
 import org.hornbeamspread.transport.PeerServer;
 import org.hornbeamspread.transport.PeerTransport;
 
-/** One running control member that serves routes: the log, the routes' duty, the members and the shared peer port. */
+/** A running control member that serves routes: the log, the route control, the membership and the shared peer port. */
 public final class RouteDaemon implements AutoCloseable {
     private final ConsensusService log;
     private final RouteControl control;
@@ -32,28 +32,29 @@
             ConsensusService log,
             RouteControl control,
             ControlMembership membership,
-            ForwardingRouteOperations peers,
+            ForwardingRouteOperations operations,
             PeerServer server,
             RouteMetrics metrics) {
         this.metrics = metrics;
         this.log = log;
         this.control = control;
         this.membership = membership;
-        this.operations = peers;
+        this.operations = operations;
         this.server = server;
     }
 
     /**
-     * What a member is started with.
+     * The settings of a member.
      *
-     * @param self this member, by the addresses that others use
-     * @param listen where it takes its peers' connections; another address than the members' where a relay stands between
-     * @param clusterId names the log
-     * @param initialMembers the members to form the log with
-     * @param mayForm whether this is the first start of the whole system
-     * @param wantedVoters how many voters bear the losses that the deployment is built for
-     * @param dataDirectory where the log lives
-     * @param seeds peer endpoints of other members, as the settings have them now
+     * @param self this member, with the addresses that other members use
+     * @param listenEndpoint the local endpoint for peer connections; differs from the address in {@code self} where a
+     *     relay is in between
+     * @param clusterId the id of the log
+     * @param initialMembers the members to bootstrap the log with
+     * @param mayBootstrap whether this is the first start of the whole system
+     * @param requiredVoters the number of voters needed to tolerate the losses that the deployment is designed for
+     * @param dataDirectory the directory of the log
+     * @param seeds supplies the peer endpoints of other members from the current settings
      */
     public record Settings(
             ControlMember self,
@@ -71,60 +72,62 @@
 
         private ConsensusSettings consensusSettings() {
             List<ControlMember> members = new ArrayList<>(initialMembers);
-            boolean named =
+            boolean isInitialMember =
                     members.stream().anyMatch(member -> member.getMemberId().equals(self.getMemberId()));
-            if (!named) {
+            if (!isInitialMember) {
                 members.add(self);
             }
             ConsensusSettings settings = ConsensusSettings.of(self.getMemberId(), clusterId, members, dataDirectory);
-            return mayBootstrap && named ? settings : settings.joining();
+            return mayBootstrap && isInitialMember ? settings : settings.joining();
         }
     }
 
-    /** Opens the log and the peer port. Fails with the type of what could not be opened. */
+    /** Opens the log and the peer port. Fails with the failure type of the one that could not be opened. */
     public static RouteDaemon start(
             Settings settings,
             PeerTransport transport,
             DatabaseAdministration databases,
-            InstancePromoter orders,
+            InstancePromoter promoter,
             Clock clock,
             Clock timeOfDay,
             EventLog events,
             PrometheusRegistry registry) {
         RouteMetrics metrics = new RouteMetrics(registry);
-        ControlStateMachine machine = new ControlStateMachine();
-        PublishedState state = new PublishedState(machine, machine::state);
-        ConsensusService log = new ConsensusService(settings.consensusSettings(), state, clock, transport, registry);
+        ControlStateMachine stateMachine = new ControlStateMachine();
+        PublishedState publishedState = new PublishedState(stateMachine, stateMachine::state);
+        ConsensusService log =
+                new ConsensusService(settings.consensusSettings(), publishedState, clock, transport, registry);
         RouteControl control = new RouteControl(
                 settings.self().getMemberId(),
                 log,
-                state,
+                publishedState,
                 log::members,
                 databases,
-                orders,
+                promoter,
                 clock,
                 timeOfDay,
                 events,
                 metrics);
         ControlMembership membership = new ControlMembership(
                 settings.self(), settings.requiredVoters(), log, log::members, settings.seeds(), transport, events);
-        ForwardingRouteOperations peers = new ForwardingRouteOperations(control, membership, transport, log::members);
+        ForwardingRouteOperations operations =
+                new ForwardingRouteOperations(control, membership, transport, log::members);
         PeerServer server = transport
-                .listen(settings.listenEndpoint(), new SharedPortHandler(log, peers))
+                .listen(settings.listenEndpoint(), new SharedPortHandler(log, operations))
                 .join();
         log.onApplied(index -> control.onApplied());
         control.start();
         log.start();
         membership.start();
-        return new RouteDaemon(log, control, membership, peers, server, metrics);
+        return new RouteDaemon(log, control, membership, operations, server, metrics);
     }
 
-    /** What operators and databases may ask. */
+    /** The operations for operators and databases. */
     public RouteOperations operations() {
         return operations;
     }
 
-    /** Counts what the calls of operators and databases come to. */
+    /** The metrics that count the outcomes of calls by operators and databases. */
     public RouteMetrics metrics() {
         return metrics;
     }
@@ -137,7 +140,7 @@
         log.close();
     }
 
-    /** Gives the log its own requests, and everything else to the routes. */
+    /** Passes consensus requests to the log, and all other requests to the route operations. */
     private record SharedPortHandler(ConsensusService log, PeerHandler routes) implements PeerHandler {
         @Override
         public void onRequest(
--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteMetrics.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteMetrics.java
@@ -7,7 +7,7 @@
 import org.hornbeamspread.core.failover.SyncFailoverEffect;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** Counters of the routes' duty. Safe for any thread. */
+/** Metrics of the route control. Safe for any thread. */
 public final class RouteMetrics {
     private static final double[] OUTAGE_BUCKETS_SECONDS = {0.1, 0.25, 0.5, 1, 1.5, 2, 3, 5, 8, 13};
     private static final double MILLIS_PER_SECOND = 1000;
@@ -18,7 +18,7 @@
     private final Histogram outages;
     private final Gauge proxies;
 
-    /** Registers everything. */
+    /** Registers the metrics. */
     public RouteMetrics(PrometheusRegistry registry) {
         steps = Counter.builder()
                 .name("hornbeamspread_route_promotion_steps_total")
@@ -37,7 +37,7 @@
                 .register(registry);
         outages = Histogram.builder()
                 .name("hornbeamspread_route_outage_seconds")
-                .help("Time without proof of a working primary, until its successor was ordered")
+                .help("Time without proof of a working primary, until the promotion of its successor was requested")
                 .classicOnly()
                 .classicUpperBounds(OUTAGE_BUCKETS_SECONDS)
                 .register(registry);
@@ -63,7 +63,7 @@
         proxies.set(count);
     }
 
-    /** A call was refused. */
+    /** Counts a refused call. */
     public void onRefused(FailureType type) {
         refusals.labelValues(type.name()).inc();
     }
--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteOperations.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteOperations.java
@@ -5,20 +5,24 @@
 import org.hornbeamspread.core.route.InstanceRegistry.Departure;
 import org.hornbeamspread.protocol.schema.RouteConfigurationDocument;
 
-/** What operators and databases ask of control, at any member. Safe for any thread. */
+/** The operations of control for operators and databases, available at every member. Safe for any thread. */
 public interface RouteOperations {
     /**
-     * Puts a configuration in force unless its version is not higher than the present one. Completes with the version in
-     * force once that is durable. Fails with INVALID_CONFIGURATION, NO_LEADER, or an unknown outcome.
+     * Replaces the configuration in force if the version of the new one is higher. Completes with the version in force
+     * once that version is durable. Fails with INVALID_CONFIGURATION, with NOT_LEADER if there is no known leader, or
+     * with a failure after which the outcome is unknown.
      */
     CompletableFuture<Long> replaceRoutes(RouteConfigurationDocument configuration);
 
-    /** The configuration in force, confirmed with a majority. Fails with NO_LEADER and the like when there is no certainty. */
+    /**
+     * Returns the configuration in force, confirmed by a majority. Fails when it can't be confirmed, such as with
+     * NOT_LEADER if there is no known leader.
+     */
     CompletableFuture<RouteConfigurationDocument> readRoutes();
 
-    /** Takes an announcement of a database. Completes once what is new in it is durable. */
+    /** Applies an announcement of a database. Completes once its changes are durable. */
     CompletableFuture<Void> announce(DatabaseInstance instance);
 
-    /** A database has left. Completes once that is durable. */
+    /** Removes a departed database. Completes once the departure is durable. */
     CompletableFuture<Void> depart(Departure departure);
 }
--- a/control/src/main/java/org/hornbeamspread/control/routes/ServicePromotions.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ServicePromotions.java
@@ -32,24 +32,24 @@
 import org.hornbeamspread.protocol.schema.SetGroupTerms;
 import org.hornbeamspread.transport.RouteMessages;
 
-/** Runs a {@link SyncGroupFailover} for each service, and carries out what they decide. Confined to the routes duty. */
+/** Runs a {@link SyncGroupFailover} for each service, and applies its effects. Confined to the routes thread. */
 final class ServicePromotions {
-    /** How often the leader asks each primary for proof. Priced by connections and bytes, not by slots. */
+    /** Interval of the probes of each primary. A probe costs a connection and some bytes, but no slot. */
     private static final long PROBE_INTERVAL_MS = 250;
 
-    /** A primary that this part of the proxies can't reach is replaced, though others can. */
+    /** Share of the proxies. A primary that they can't reach is replaced, even if all other proxies can. */
     private static final double UNREACHABLE_SHARE = 0.34;
 
-    /** One may meet a process that is about to listen. */
+    /** Refused probes in a row until the primary counts as refusing: one may hit a process that does not listen yet. */
     private static final int REQUIRED_CONSECUTIVE_REFUSALS = 2;
 
-    /** Longer than two attempts to connect. */
+    /** Time after which a proxy counts as unable to reach a primary. Longer than two connection attempts. */
     private static final long UNREACHABLE_AFTER_MS = 900;
 
-    /** Between two replacements of primaries that some proxies can't reach: another one may not help. */
+    /** Minimum time between two replacements of primaries that some proxies can't reach: another one may not help. */
     private static final long UNREACHABLE_REPLACEMENT_INTERVAL_MS = 10_000;
 
-    /** Between two lines on a promotion that waits for answers. */
+    /** Minimum time between two evidence events of a promotion that waits for responses. */
     private static final long EVIDENCE_LOG_INTERVAL_MS = 1_000;
 
     private final String memberId;
@@ -67,21 +67,21 @@
             String memberId,
             ReplicatedLog log,
             DatabaseAdministration databases,
-            InstancePromoter orders,
+            InstancePromoter promoter,
             Clock clock,
             EventLog events,
             RouteMetrics metrics,
-            Consumer<Runnable> duty,
-            WatchingProxies watchers) {
+            Consumer<Runnable> routesThread,
+            WatchingProxies watchingProxies) {
         this.memberId = memberId;
         this.log = log;
         this.databases = databases;
-        this.promoter = orders;
+        this.promoter = promoter;
         this.clock = clock;
         this.events = events;
         this.metrics = metrics;
-        this.routesThread = duty;
-        this.watchingProxies = watchers;
+        this.routesThread = routesThread;
+        this.watchingProxies = watchingProxies;
     }
 
     void onLeadershipGained() {
@@ -93,55 +93,56 @@
         databases.retainConnections(List.of());
     }
 
-    /** Answers to what a group has asked may still come; it decides nothing by them any more. */
+    /** Responses to requests of a discarded group may still arrive; they lead to no decision any more. */
     private void dropGroups() {
         groups.values().forEach(group -> group.discarded = true);
         groups.clear();
     }
 
+    /** Whether no promotion of a service is in progress. */
     boolean isSettled(String service) {
         DatabaseGroup group = groups.get(service);
         return group == null || group.settled;
     }
 
-    void tick(Supplier<ControlState> state, InstanceRegistry registry, Map<String, Long> heardAtMs) {
+    void tick(Supplier<ControlState> state, InstanceRegistry registry, Map<String, Long> announcementTimesMs) {
         databases.retainConnections(registry.all());
         TreeSet<String> services = new TreeSet<>();
         registry.all().forEach(instance -> services.add(instance.service()));
         groups.keySet().retainAll(services);
         for (String service : services) {
             DatabaseGroup group = groups.computeIfAbsent(service, name -> new DatabaseGroup(name));
-            group.tick(state, registry, heardAtMs);
+            group.tick(state, registry, announcementTimesMs);
         }
     }
 
-    /** One service's promotions. */
+    /** The database group of one service, and its promotions. */
     private final class DatabaseGroup {
         private final String service;
         private final SyncGroupFailover failover = new SyncGroupFailover(clock, SyncFailoverTimings.DEFAULT);
         private List<DatabaseInstance> members = List.of();
         private List<LostCopy> lostCopies = List.of();
 
-        /** The latest that this leader got itself. */
+        /** The latest proof from this leader's own probes. */
         private Optional<PrimaryProof> latestProof = Optional.empty();
 
         private long evidenceLoggedAtMs;
         private long probeSentAtMs;
 
-        /** Questions in a row for which the primary's address refused a connection. */
+        /** The number of probes in a row for which the primary's address refused a connection. */
         private int consecutiveRefusals;
 
         private long concludedAtMs = Long.MIN_VALUE / 2;
         private long latestProofAtMs = Long.MIN_VALUE / 4;
 
-        /** The instance that the proof is of. */
+        /** The instance that gave the latest proof. */
         private String provenInstanceId = "";
 
         private boolean settled = true;
         private boolean discarded;
         private Map<String, Long> lastAnnouncedAtMs = Map.of();
 
-        /** Empty when none was, or a promotion is under way. */
+        /** The instance that was promoted last; empty if there is none, or while a promotion is in progress. */
         private String promotedInstanceId = "";
 
         private Supplier<Situation> snapshotSupplier = () -> new Situation(
@@ -162,8 +163,8 @@
             this.service = service;
         }
 
-        void tick(Supplier<ControlState> state, InstanceRegistry registry, Map<String, Long> heard) {
-            lastAnnouncedAtMs = heard;
+        void tick(Supplier<ControlState> state, InstanceRegistry registry, Map<String, Long> announcementTimesMs) {
+            lastAnnouncedAtMs = announcementTimesMs;
             snapshotSupplier = () -> {
                 refreshMembers(registry);
                 return snapshot(state.get());
@@ -182,46 +183,46 @@
                     .toList();
         }
 
-        /** Goes on as far as is known now. */
+        /** Applies the failover's next effects in the current state. */
         private void advance() {
             if (discarded) {
                 return;
             }
-            Situation present = snapshotSupplier.get();
-            for (SyncFailoverEffect effect : failover.step(present)) {
-                apply(effect, present);
+            Situation current = snapshotSupplier.get();
+            for (SyncFailoverEffect effect : failover.step(current)) {
+                apply(effect, current);
             }
             if (!settled && clock.millis() - evidenceLoggedAtMs > EVIDENCE_LOG_INTERVAL_MS) {
-                logEvidence(present);
+                logEvidence(current);
             }
         }
 
-        /** What a choice goes by, or why there is none yet. */
-        private void logEvidence(Situation present) {
+        /** Logs the evidence on which an instance is chosen, or that shows why none can be chosen yet. */
+        private void logEvidence(Situation current) {
             evidenceLoggedAtMs = clock.millis();
             events.record(
                     "promotion_evidence",
                     "service",
                     service,
                     "token",
-                    present.token(),
+                    current.token(),
                     "copies",
-                    failover.copies(present),
+                    failover.copies(current),
                     "lost_copies",
-                    present.lostCopies(),
+                    current.lostCopies(),
                     "answers",
-                    failover.answers(present));
+                    failover.answers(current));
         }
 
         private Situation snapshot(ControlState state) {
             long nowMs = clock.millis();
-            GroupTerm record = state.getGroupsList().stream()
+            GroupTerm groupTerm = state.getGroupsList().stream()
                     .filter(group -> group.getGroup().equals(service))
                     .findFirst()
                     .orElseGet(GroupTerm::getDefaultInstance);
-            settled = record.getTerm() == 0 || record.getWritable();
-            promotedInstanceId = record.getWritable() ? record.getPrimaryId() : "";
-            List<MemberView> views = members.stream()
+            settled = groupTerm.getTerm() == 0 || groupTerm.getWritable();
+            promotedInstanceId = groupTerm.getWritable() ? groupTerm.getPrimaryId() : "";
+            List<MemberView> memberViews = members.stream()
                     .map(member -> new MemberView(
                             member.instanceId(),
                             member.draining(),
@@ -230,16 +231,16 @@
                             lostCopies.stream().anyMatch(copy -> copy.address().equals(member.address()))))
                     .toList();
             Optional<String> primaryId = primary().map(DatabaseInstance::instanceId);
-            boolean provenItself = primaryId.equals(Optional.of(provenInstanceId));
+            boolean provenByLeader = primaryId.equals(Optional.of(provenInstanceId));
             long proofAgeMs = Math.min(
-                    provenItself ? nowMs - latestProofAtMs : Long.MAX_VALUE / 4,
+                    provenByLeader ? nowMs - latestProofAtMs : Long.MAX_VALUE / 4,
                     primaryId.map(watchingProxies::proofAgeMs).orElse(Long.MAX_VALUE / 4));
             return new Situation(
-                    record.getTerm(),
-                    record.getPrimaryId().isEmpty() ? Optional.empty() : Optional.of(record.getPrimaryId()),
-                    Set.copyOf(record.getUnsettledIdsList()),
-                    record.getWritable(),
-                    views,
+                    groupTerm.getTerm(),
+                    groupTerm.getPrimaryId().isEmpty() ? Optional.empty() : Optional.of(groupTerm.getPrimaryId()),
+                    Set.copyOf(groupTerm.getUnsettledIdsList()),
+                    groupTerm.getWritable(),
+                    memberViews,
                     lostCopies,
                     lostCopies.stream()
                             .filter(copy -> members.stream()
@@ -257,7 +258,10 @@
                     && watchingProxies.unreachableShare(primaryId, UNREACHABLE_AFTER_MS) >= UNREACHABLE_SHARE;
         }
 
-        /** The member that was promoted last, or that says it leads; of several the one that was heard last. */
+        /**
+         * The member that was promoted last; otherwise, of those that announce themselves as primary, the one with the
+         * latest announcement.
+         */
         private Optional<DatabaseInstance> primary() {
             return members.stream()
                     .filter(member -> member.primary() || member.instanceId().equals(promotedInstanceId))
@@ -273,7 +277,7 @@
             }
             probeSentAtMs = nowMs;
             String instanceId = primary.get().instanceId();
-            long epoch = watchingProxies.clockEpoch();
+            long clockEpoch = watchingProxies.clockEpoch();
             databases
                     .probePrimary(primary.get())
                     .whenComplete((position, error) -> routesThread.accept(() -> {
@@ -285,12 +289,12 @@
                                     provenInstanceId.equals(instanceId) ? Math.max(latestProofAtMs, nowMs) : nowMs;
                             provenInstanceId = instanceId;
                             latestProof = Optional.of(new PrimaryProof(position.get(), nowMs));
-                            watchingProxies.onProof(service, instanceId, position.get(), nowMs, epoch);
+                            watchingProxies.onProof(service, instanceId, position.get(), nowMs, clockEpoch);
                         }
                     }));
         }
 
-        private void apply(SyncFailoverEffect effect, Situation seen) {
+        private void apply(SyncFailoverEffect effect, Situation current) {
             metrics.onPromotionStep(effect);
             if (!(effect instanceof SyncFailoverEffect.Resume)) {
                 events.record(
@@ -302,15 +306,15 @@
                         "outage_ms",
                         failover.outageMs(),
                         "proof_age_ms",
-                        seen.primaryProofAgeMs(),
+                        current.primaryProofAgeMs(),
                         "stalled_write_ms",
-                        seen.stalledWriteMs());
+                        current.stalledWriteMs());
             }
             if (effect instanceof SyncFailoverEffect.RaiseToken raise) {
                 commitGroupTerm(raise.expectedToken(), raise.expectedToken() + 1, "", false, raise.unsettledChoices());
             } else if (effect instanceof SyncFailoverEffect.Choose choose) {
-                logEvidence(seen);
-                commitGroupTerm(choose.token(), choose.token(), choose.instanceId(), false, seen.unsettledChoices());
+                logEvidence(current);
+                commitGroupTerm(choose.token(), choose.token(), choose.instanceId(), false, current.unsettledChoices());
             } else if (effect instanceof SyncFailoverEffect.Conclude conclude) {
                 concludedAtMs = clock.millis();
                 commitGroupTerm(conclude.token(), conclude.token(), conclude.instanceId(), true, Set.of());
@@ -325,7 +329,7 @@
 
         private void commitGroupTerm(
                 long expectedToken, long token, String instanceId, boolean concluded, Set<String> unsettledIds) {
-            GroupTerm next = GroupTerm.newBuilder()
+            GroupTerm newTerm = GroupTerm.newBuilder()
                     .setGroup(service)
                     .setExpectedTerm(expectedToken)
                     .setTerm(token)
@@ -334,7 +338,7 @@
                     .addAllUnsettledIds(new TreeSet<>(unsettledIds))
                     .build();
             log.propose(ControlCommand.newBuilder()
-                            .setSetGroupTerms(SetGroupTerms.newBuilder().addGroups(next))
+                            .setSetGroupTerms(SetGroupTerms.newBuilder().addGroups(newTerm))
                             .build())
                     .whenComplete((result, error) -> routesThread.accept(() -> {
                         Optional<FailureException> failure =
@@ -354,7 +358,7 @@
                     }));
         }
 
-        /** Where it fails it is decided and proposed again. */
+        /** Commits the recovery of lost copies. After a failure, the failover decides and proposes it again. */
         private void commitRecovery(List<LostCopy> copies) {
             ChangeInstances.Builder change = ChangeInstances.newBuilder();
             copies.forEach(copy -> change.addRecovered(RouteMessages.wire(copy)));
@@ -417,8 +421,8 @@
         private void sendCommand(
                 String instanceId,
                 java.util.function.Function<DatabaseInstance, CompletableFuture<ReplicaStatus>> command,
-                java.util.function.BiConsumer<String, ReplicaStatus> report,
-                String name) {
+                java.util.function.BiConsumer<String, ReplicaStatus> onStatus,
+                String commandName) {
             Optional<DatabaseInstance> target = members.stream()
                     .filter(member -> member.instanceId().equals(instanceId))
                     .findFirst();
@@ -435,13 +439,13 @@
                                 "instance",
                                 instanceId,
                                 "command",
-                                name,
+                                commandName,
                                 "outcome",
                                 error == null
                                         ? status
                                         : FailureException.of(error).getMessage());
                         if (error == null) {
-                            report.accept(instanceId, status);
+                            onStatus.accept(instanceId, status);
                             advance();
                         } else if (FailureException.of(error).type() == FailureType.CONNECTION_REFUSED) {
                             failover.onRefused(instanceId);
--- a/control/src/main/java/org/hornbeamspread/control/routes/SqlAdministration.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/SqlAdministration.java
@@ -21,11 +21,11 @@
 import org.hornbeamspread.core.sql.SqlResult;
 import org.hornbeamspread.core.sql.SqlStatement;
 
-/** Commands as statements on one connection an instance, kept open while it is used. Safe for any thread. */
+/** Sends commands as SQL statements over one connection per instance, kept open while in use. Safe for any thread. */
 public final class SqlAdministration implements DatabaseAdministration {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
-    /** A connection that leaves a command unanswered for this long is closed. */
+    /** A connection on which a command has no response for this long is closed. */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(800);
 
     private final SqlConnector connector;
@@ -33,13 +33,13 @@
     private final Map<DatabaseKey, CompletableFuture<SqlConnection>> connections = new HashMap<>();
 
     /**
-     * Commands over a connector.
+     * Creates an administration that opens its connections with the given connector.
      *
-     * @param decoder reads the answer to a command; fails with INVALID_REQUEST
+     * @param statusDecoder decodes the response to a command; fails with INVALID_REQUEST
      */
-    public SqlAdministration(SqlConnector connector, Function<SqlResult, ReplicaStatus> decoder) {
+    public SqlAdministration(SqlConnector connector, Function<SqlResult, ReplicaStatus> statusDecoder) {
         this.connector = connector;
-        this.statusDecoder = decoder;
+        this.statusDecoder = statusDecoder;
     }
 
     @Override
@@ -66,18 +66,19 @@
     public CompletableFuture<Optional<LogPosition>> probePrimary(DatabaseInstance instance) {
         List<SqlRequest> probe =
                 List.of(SqlRequest.own(new SqlStatement.Begin(false)), SqlRequest.own(new SqlStatement.Rollback()));
-        return sendBatch(instance, probe).thenApply(begun -> begun.isSuccess() ? begun.position() : Optional.empty());
+        return sendBatch(instance, probe)
+                .thenApply(beginResult -> beginResult.isSuccess() ? beginResult.position() : Optional.empty());
     }
 
     @Override
     public synchronized void retainConnections(Collection<DatabaseInstance> instances) {
-        List<DatabaseKey> kept = instances.stream().map(DatabaseKey::of).toList();
+        List<DatabaseKey> retainedKeys = instances.stream().map(DatabaseKey::of).toList();
         connections.entrySet().removeIf(entry -> {
-            boolean gone = !kept.contains(entry.getKey());
-            if (gone) {
+            boolean obsolete = !retainedKeys.contains(entry.getKey());
+            if (obsolete) {
                 entry.getValue().thenAccept(SqlConnection::close);
             }
-            return gone;
+            return obsolete;
         });
     }
 
@@ -90,16 +91,16 @@
         });
     }
 
-    /** Sends, and completes with the first result once all are there. */
+    /** Sends requests in one batch. Completes with the first result once all results have arrived. */
     private CompletableFuture<SqlResult> sendBatch(DatabaseInstance instance, List<SqlRequest> requests) {
-        return openConnection(instance).thenCompose(open -> {
-            List<CompletableFuture<SqlResult>> results = open.send(requests);
+        return openConnection(instance).thenCompose(connection -> {
+            List<CompletableFuture<SqlResult>> results = connection.send(requests);
             return results.get(results.size() - 1)
                     .thenCompose(last -> results.get(0))
                     .orTimeout(RESPONSE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
                     .whenComplete((result, error) -> {
                         if (error != null) {
-                            open.close();
+                            connection.close();
                         }
                     });
         });
@@ -107,15 +108,15 @@
 
     private synchronized CompletableFuture<SqlConnection> openConnection(DatabaseInstance instance) {
         DatabaseKey key = DatabaseKey.of(instance);
-        CompletableFuture<SqlConnection> present = connections.get(key);
-        boolean usable = present != null
-                && !present.isCompletedExceptionally()
-                && (!present.isDone() || present.join().isOpen());
+        CompletableFuture<SqlConnection> connection = connections.get(key);
+        boolean usable = connection != null
+                && !connection.isCompletedExceptionally()
+                && (!connection.isDone() || connection.join().isOpen());
         if (!usable) {
-            present = connector.connect(instance, CONNECT_TIMEOUT);
-            connections.put(key, present);
+            connection = connector.connect(instance, CONNECT_TIMEOUT);
+            connections.put(key, connection);
         }
-        return present;
+        return connection;
     }
 
     private record DatabaseKey(String instanceId, long bornMs, String address) {
--- a/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
@@ -23,19 +23,20 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * The proxies that watch the leader. Each has one question open, which is answered when there is news or when it has been held
- * for a while; so a change reaches every proxy at once, and a proxy that hears nothing knows that the leader is gone.
+ * The proxies that watch the leader. Each keeps one watch request open, which is answered on a change or at the end of
+ * its hold time. A change therefore reaches every proxy immediately, and a proxy that receives no answer detects that
+ * the leader is gone.
  */
 final class WatchingProxies {
-    /** Below a proxy's limit for an answer. */
+    /** Shorter than a proxy's timeout for the answer. */
     private static final long MAX_HOLD_MS = 800;
 
     private static final long MIN_HOLD_MS = 250;
 
-    /** More proxies are heard less often each: about 60 questions a second in all. */
+    /** The hold time grows with the number of proxies, so that all together send about 60 watch requests a second. */
     private static final long HOLD_MS_PER_PROXY = 15;
 
-    /** A proxy that has not asked for this long is gone. */
+    /** A proxy that has sent no watch request for this long is dropped. */
     private static final long PROXY_EXPIRY_MS = 10_000;
 
     private final Clock clock;
@@ -43,27 +44,34 @@
     private long leaderTerm;
     private long systemVersion;
 
-    /** What the version stands for. */
+    /** The update of the current {@link #systemVersion}. */
     private SystemUpdate latestUpdate = SystemUpdate.getDefaultInstance();
 
     private ControlState state = ControlState.getDefaultInstance();
 
-    /** The latest proof of each service's primary; dropped when the clock can't tell its age any more. */
+    /**
+     * The latest proof of each service's primary. Proofs of an earlier clock epoch are dropped: their age is unknown.
+     */
     private final Map<String, Proof> proofs = new HashMap<>();
 
     private final ClockGuard clockGuard;
     private long clockEpoch;
 
-    WatchingProxies(Clock clock, ClockGuard guard) {
+    WatchingProxies(Clock clock, ClockGuard clockGuard) {
         this.clock = clock;
-        this.clockGuard = guard;
+        this.clockGuard = clockGuard;
     }
 
-    /** A primary's position, from an answer to a question that was sent at a time and in an epoch of the clock. */
-    void onProof(String service, String instanceId, LogPosition position, long askedMs, long askedEpoch) {
+    /**
+     * Records the position of a primary from the response to a probe.
+     *
+     * @param probeSentAtMs when the probe was sent
+     * @param probeClockEpoch the clock epoch in which it was sent; a proof of an earlier epoch is ignored
+     */
+    void onProof(String service, String instanceId, LogPosition position, long probeSentAtMs, long probeClockEpoch) {
         updateClockEpoch();
-        if (askedEpoch == clockEpoch) {
-            proofs.put(service, new Proof(instanceId, position, askedMs));
+        if (probeClockEpoch == clockEpoch) {
+            proofs.put(service, new Proof(instanceId, position, probeSentAtMs));
         }
     }
 
@@ -73,26 +81,26 @@
     }
 
     /**
-     * The part of the proxies that have failed to reach an instance for longer than a time. Those that control does not hear
-     * count as reaching it: they may be the ones that are cut off.
+     * Returns the share of the proxies that have failed to reach an instance for longer than a time. Proxies without a
+     * recent watch request count as reaching it: they may be the ones that are partitioned.
      */
     double unreachableShare(String instanceId, long longerThanMs) {
         long nowMs = clock.millis();
-        List<Watcher> present = watchers.values().stream()
+        List<Watcher> recentWatchers = watchers.values().stream()
                 .filter(watcher -> nowMs - watcher.receivedAtMs <= 2 * holdMs())
                 .toList();
-        double cutOff = present.stream()
+        double unreachable = recentWatchers.stream()
                 .flatMap(watcher -> watcher.request.getObservationsList().stream())
-                .filter(seen -> seen.getInstanceId().equals(instanceId))
-                .filter(seen -> seen.getUnreachableMs() > longerThanMs)
+                .filter(observation -> observation.getInstanceId().equals(instanceId))
+                .filter(observation -> observation.getUnreachableMs() > longerThanMs)
                 .count();
-        return watchers.isEmpty() ? 0 : cutOff / watchers.size();
+        return watchers.isEmpty() ? 0 : unreachable / watchers.size();
     }
 
     private void updateClockEpoch() {
-        long present = clockGuard.epoch();
-        if (present != clockEpoch) {
-            clockEpoch = present;
+        long currentEpoch = clockGuard.epoch();
+        if (currentEpoch != clockEpoch) {
+            clockEpoch = currentEpoch;
             proofs.clear();
         }
     }
@@ -114,28 +122,30 @@
     }
 
     /**
-     * Takes the state over; proxies are answered if it is news to them.
+     * Replaces the published state, and answers the proxies that are not up to date.
      *
-     * @param told those of its instances that proxies are told of
+     * @param visibleInstances those of its instances that are published to proxies
      */
-    void publish(ControlState next, List<RegisteredInstance> told, List<ControlMember> members) {
-        state = next;
-        SystemUpdate.Builder update =
-                SystemUpdate.newBuilder().setChanged(true).addAllInstances(told).setProxies(liveProxies());
+    void publish(ControlState newState, List<RegisteredInstance> visibleInstances, List<ControlMember> members) {
+        state = newState;
+        SystemUpdate.Builder update = SystemUpdate.newBuilder()
+                .setChanged(true)
+                .addAllInstances(visibleInstances)
+                .setProxies(liveProxies());
         members.stream()
                 .map(ControlMember::getPeer)
                 .filter(peer -> !peer.getHost().isEmpty())
                 .forEach(update::addControlPeers);
-        for (GroupTerm group : next.getGroupsList()) {
+        for (GroupTerm group : newState.getGroupsList()) {
             chosenInstanceId(group)
                     .ifPresent(id -> update.addPromoted(PromotedInstance.newBuilder()
                             .setService(group.getGroup())
                             .setInstanceId(id)
                             .setFencingToken(group.getTerm())));
         }
-        SystemUpdate built = update.build();
-        if (!built.equals(latestUpdate)) {
-            latestUpdate = built;
+        SystemUpdate newUpdate = update.build();
+        if (!newUpdate.equals(latestUpdate)) {
+            latestUpdate = newUpdate;
             systemVersion++;
         }
         watchers.values().stream()
@@ -144,8 +154,8 @@
     }
 
     /**
-     * The instance that was chosen last, also before its order and while another is sought: nothing may be acknowledged by the primary
-     * before it.
+     * Returns the instance that was chosen last, even before its promotion is requested and while another one is being
+     * chosen: no commit of the previous primary may be acknowledged any more.
      */
     private static Optional<String> chosenInstanceId(GroupTerm group) {
         return Optional.of(group.getPrimaryId())
@@ -153,14 +163,14 @@
                 .or(() -> group.getUnsettledIdsList().stream().findFirst());
     }
 
-    /** Answers the questions that have been held long enough, and forgets proxies that are gone. */
+    /** Answers the watch requests whose hold time is over, and drops proxies that have expired. */
     void answerExpiredWatches() {
         long nowMs = clock.millis();
-        Iterator<Watcher> all = watchers.values().iterator();
-        while (all.hasNext()) {
-            Watcher watcher = all.next();
+        Iterator<Watcher> iterator = watchers.values().iterator();
+        while (iterator.hasNext()) {
+            Watcher watcher = iterator.next();
             if (nowMs - watcher.receivedAtMs > PROXY_EXPIRY_MS) {
-                all.remove();
+                iterator.remove();
             } else if (watcher.pendingAnswer.isPresent() && nowMs - watcher.receivedAtMs >= holdMs()) {
                 sendUpdate(watcher);
             }
@@ -173,12 +183,12 @@
 
     void refuseAll(FailureException failure) {
         watchers.values().forEach(watcher -> {
-            watcher.pendingAnswer.ifPresent(open -> open.accept(Envelopes.failureEnvelope(failure)));
+            watcher.pendingAnswer.ifPresent(answer -> answer.accept(Envelopes.failureEnvelope(failure)));
         });
         watchers.clear();
     }
 
-    /** The least time since any proxy had proof that an instance works as primary; a large number when none had. */
+    /** The shortest time since a proxy had proof that an instance works as primary; a large number if none had. */
     long proofAgeMs(String instanceId) {
         return observations(instanceId)
                 .mapToLong(PrimaryObservation::getSinceSuccessMs)
@@ -186,7 +196,10 @@
                 .orElse(Long.MAX_VALUE / 4);
     }
 
-    /** How long the oldest write has waited at an instance, if no proxy saw one succeed since; 0 otherwise. */
+    /**
+     * How long the oldest write has waited at an instance if no proxy has observed a successful write since; 0
+     * otherwise.
+     */
     long stalledWriteMs(String instanceId) {
         long oldestMs = observations(instanceId)
                 .mapToLong(PrimaryObservation::getOldestWriteMs)
@@ -199,9 +212,10 @@
         long nowMs = clock.millis();
         return watchers.values().stream()
                 .flatMap(watcher -> watcher.request.getObservationsList().stream()
-                        .filter(seen -> seen.getInstanceId().equals(instanceId))
-                        .map(seen -> seen.toBuilder()
-                                .setSinceSuccessMs((int) (seen.getSinceSuccessMs() + nowMs - watcher.receivedAtMs))
+                        .filter(observation -> observation.getInstanceId().equals(instanceId))
+                        .map(observation -> observation.toBuilder()
+                                .setSinceSuccessMs(
+                                        (int) (observation.getSinceSuccessMs() + nowMs - watcher.receivedAtMs))
                                 .build()));
     }
 
@@ -228,10 +242,10 @@
         if (request.getConfigurationVersion() < state.getRoutes().getVersion()) {
             update.setConfiguration(state.getRoutes().toBuilder().clearSource());
         }
-        Optional<Consumer<Envelope>> answer = watcher.pendingAnswer;
+        Optional<Consumer<Envelope>> pendingAnswer = watcher.pendingAnswer;
         watcher.pendingAnswer = Optional.empty();
-        answer.ifPresent(open ->
-                open.accept(Envelope.newBuilder().setSystemUpdate(update).build()));
+        pendingAnswer.ifPresent(answer ->
+                answer.accept(Envelope.newBuilder().setSystemUpdate(update).build()));
     }
 
     private void addPositions(SystemUpdate.Builder update) {
@@ -250,7 +264,7 @@
         private WatchSystem request = WatchSystem.getDefaultInstance();
         private long receivedAtMs;
 
-        /** Empty once the question is answered. */
+        /** Receives the answer to the open watch request; empty once it is answered. */
         private Optional<Consumer<Envelope>> pendingAnswer = Optional.empty();
     }
 }
--- a/control/src/test/java/org/hornbeamspread/control/routes/DatabaseLivenessTrackerTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/DatabaseLivenessTrackerTest.java
@@ -16,6 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * A database that is partitioned from control stops announcing itself: proxies must not use it as a replica meanwhile,
+ * but it must not be hidden while it leads or may be chosen.
+ */
 final class DatabaseLivenessTrackerTest {
     private static final long SILENCE_TIMEOUT_MS = 12_000;
 
@@ -24,7 +28,7 @@
     private final DatabaseLivenessTracker tracker = new DatabaseLivenessTracker(
             clock, (event, fields) -> events.add(event + " " + fields[1] + " " + fields[3]));
 
-    /** A replica is told unless it is silent, was not promoted, and no promotion goes on. */
+    /** A replica is published unless it is silent, was not promoted, and no promotion is in progress. */
     @ParameterizedTest
     @CsvSource({
         "12000, false, false, true, true",
@@ -34,14 +38,14 @@
         "12001, false, false, false, true"
     })
     void onlySilentReplicasWithoutAPromotionAreNotPublished(
-            long silentMs, boolean primary, boolean promoted, boolean settled, boolean told) {
+            long silentMs, boolean primary, boolean promoted, boolean settled, boolean published) {
         DatabaseInstance database = database("a", primary);
         tracker.reset(List.of(database));
         advance(silentMs);
         tracker.markSilent(List.of(database));
-        RegisteredInstance wire = RouteMessages.wire(database);
+        RegisteredInstance registeredInstance = RouteMessages.wire(database);
         ControlState state = ControlState.newBuilder()
-                .addInstances(wire)
+                .addInstances(registeredInstance)
                 .addGroups(GroupTerm.newBuilder()
                         .setGroup("ledger")
                         .setTerm(1)
@@ -49,18 +53,19 @@
                         .setWritable(true))
                 .build();
 
-        assertThat(tracker.instancesToPublish(state, service -> settled)).isEqualTo(told ? List.of(wire) : List.of());
+        assertThat(tracker.instancesToPublish(state, service -> settled))
+                .isEqualTo(published ? List.of(registeredInstance) : List.of());
     }
 
     @Test
     void startAndEndOfEachSilenceAreLoggedOnce() {
-        List<DatabaseInstance> known = List.of(database("a", false));
-        tracker.reset(known);
-        for (int silence = 0; silence < 2; silence++) {
+        List<DatabaseInstance> registered = List.of(database("a", false));
+        tracker.reset(registered);
+        for (int round = 0; round < 2; round++) {
             advance(SILENCE_TIMEOUT_MS + 1);
-            tracker.markSilent(known);
+            tracker.markSilent(registered);
             advance(1_000);
-            tracker.markSilent(known);
+            tracker.markSilent(registered);
             assertThat(tracker.onAnnounced("a")).isTrue();
             assertThat(tracker.onAnnounced("a")).isFalse();
         }
@@ -76,17 +81,17 @@
 
     @Test
     void announcementTimesOfRegisteredDatabasesAreRetained() {
-        long beginMs = clock.millis();
-        List<DatabaseInstance> known = List.of(database("a", false), database("b", false));
-        tracker.reset(known);
+        long resetAtMs = clock.millis();
+        List<DatabaseInstance> registered = List.of(database("a", false), database("b", false));
+        tracker.reset(registered);
         advance(SILENCE_TIMEOUT_MS + 1);
-        tracker.markSilent(known);
-        tracker.retainConnections(List.of(database("a", false), database("c", false)));
+        tracker.markSilent(registered);
+        tracker.retain(List.of(database("a", false), database("c", false)));
 
-        assertThat(tracker.lastAnnouncedAtMs()).containsExactly("a", beginMs, "c", clock.millis());
+        assertThat(tracker.lastAnnouncedAtMs()).containsExactly("a", resetAtMs, "c", clock.millis());
     }
 
-    /** A leader has heard nobody before it began. */
+    /** A leader has received no announcements before its term. */
     @Test
     void newLeaderPublishesAllDatabasesUntilTheirSilenceTimeout() {
         DatabaseInstance database = database("a", false);
--- a/control/src/test/java/org/hornbeamspread/control/routes/ImmediateLog.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/ImmediateLog.java
@@ -13,8 +13,8 @@
 import org.hornbeamspread.protocol.schema.ControlState;
 
 /**
- * The log of a member that leads alone, for one proposing thread. A command is applied when it is proposed; but steps of
- * promotions never come to an end.
+ * The log of a single member that is always the leader, for one proposing thread. A command is applied when it is
+ * proposed, except for changes of group terms: these never complete, so that no promotion makes progress.
  */
 final class ImmediateLog implements ReplicatedLog {
     private static final Leadership LEADERSHIP = new Leadership(1, Optional.of("c1"), true);
@@ -24,15 +24,15 @@
     private long nextIndex = 1;
 
     ImmediateLog() {
-        ControlStateMachine machine = new ControlStateMachine();
-        state = new PublishedState(machine, machine::state);
+        ControlStateMachine stateMachine = new ControlStateMachine();
+        state = new PublishedState(stateMachine, stateMachine::state);
     }
 
     ControlState state() {
         return state.get();
     }
 
-    /** Is called after each command; set before the first. */
+    /** Sets the listener that is called after each command; to be set before the first command. */
     void onApplied(Runnable listener) {
         onApplied = listener;
     }
--- a/control/src/test/java/org/hornbeamspread/control/routes/RouteControlTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/RouteControlTest.java
@@ -21,7 +21,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The leader's duty with a clock that stands still: a proxy's question is answered only when there is news for it. */
+/**
+ * A database that is partitioned from control and so stops announcing itself must stay registered, and must be
+ * published to proxies again after its next announcement. The clock advances only in the tests, so that a proxy's watch
+ * request is answered only when there is a change.
+ */
 final class RouteControlTest {
     private static final long ANSWER_TIMEOUT_SECONDS = 20;
     private static final Duration LONGER_THAN_SILENCE_TIMEOUT = Duration.ofMillis(12_001);
@@ -95,7 +99,7 @@
                 .join();
     }
 
-    /** Asks as a proxy does until it is told of exactly these. */
+    /** Sends watch requests as a proxy does until exactly these instances are published. */
     private void awaitPublished(String... ids) {
         do {
             CompletableFuture<Envelope> answer = new CompletableFuture<>();
--- a/control/src/test/java/org/hornbeamspread/control/routes/RouteDaemonTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/RouteDaemonTest.java
@@ -41,7 +41,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Members on loopback, with real files; databases and the platform's orders are not reached. */
+/**
+ * A configuration must be accepted at every member and survive the loss of one, and proxies must receive announcements
+ * and departures. Runs three members on loopback with logs on disk; databases are unreachable, and promotions are
+ * refused.
+ */
 final class RouteDaemonTest {
     private static final Duration TEST_TIMEOUT = Duration.ofSeconds(60);
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(2);
@@ -92,12 +96,12 @@
         RouteConfigurationDocument invalid =
                 configurationDocument(8, "eight").toBuilder().clearServices().build();
 
-        FailureType refusal = retryUntilSuccess(() -> daemons.get("c2")
+        FailureType failureType = retryUntilSuccess(() -> daemons.get("c2")
                 .operations()
                 .replaceRoutes(invalid)
                 .handle((version, error) -> FailureException.of(error).type())
                 .thenApply(RouteDaemonTest::requireInvalidConfiguration));
-        assertThat(refusal).isEqualTo(FailureType.INVALID_CONFIGURATION);
+        assertThat(failureType).isEqualTo(FailureType.INVALID_CONFIGURATION);
         assertThat(readRoutes("c3").getVersion()).isEqualTo(7);
     }
 
@@ -130,7 +134,7 @@
         assertThat(readRoutes("c1").getVersion()).isEqualTo(9);
     }
 
-    /** Without a leader a call fails for another reason, and is repeated. */
+    /** Fails on any other failure type, as returned while there is no leader, so that the call is retried. */
     private static FailureType requireInvalidConfiguration(FailureType type) {
         if (type != FailureType.INVALID_CONFIGURATION) {
             throw new FailureException(type, "no leader yet");
@@ -150,23 +154,24 @@
     }
 
     private int freePort() {
-        Endpoint any = Endpoint.newBuilder().setHost("127.0.0.1").build();
-        try (org.hornbeamspread.transport.PeerServer server =
-                transport.listen(any, (from, request, answer) -> from.close()).join()) {
+        Endpoint anyPort = Endpoint.newBuilder().setHost("127.0.0.1").build();
+        try (org.hornbeamspread.transport.PeerServer server = transport
+                .listen(anyPort, (connection, request, answer) -> connection.close())
+                .join()) {
             return server.port();
         }
     }
 
-    private void start(ControlMember self, List<ControlMember> initial, boolean mayForm) {
+    private void start(ControlMember self, List<ControlMember> initialMembers, boolean mayBootstrap) {
         RouteDaemon.Settings settings = new RouteDaemon.Settings(
                 self,
                 self.getPeer(),
                 "test",
-                initial,
-                mayForm,
+                initialMembers,
+                mayBootstrap,
                 3,
                 directory.resolve(self.getMemberId()),
-                () -> initial.stream().map(ControlMember::getPeer).toList());
+                () -> initialMembers.stream().map(ControlMember::getPeer).toList());
         daemons.put(
                 self.getMemberId(),
                 RouteDaemon.start(
@@ -188,22 +193,23 @@
         return retryUntilSuccess(() -> daemons.get(id).operations().readRoutes());
     }
 
-    /** Asks the members in turn, as a proxy does, until an update satisfies the predicate. */
-    private SystemUpdate watch(java.util.function.Predicate<SystemUpdate> wanted) {
-        int[] turn = {0};
+    /** Sends watch requests to the members in turn, as a proxy does, until an update satisfies the predicate. */
+    private SystemUpdate watch(java.util.function.Predicate<SystemUpdate> condition) {
+        int[] attempts = {0};
         return retryUntilSuccess(() -> {
-            List<ControlMember> known = members;
-            Endpoint peer = known.get(turn[0]++ % known.size()).getPeer();
-            Envelope question = Envelope.newBuilder()
+            List<ControlMember> targets = members;
+            Endpoint peer = targets.get(attempts[0]++ % targets.size()).getPeer();
+            Envelope watchRequest = Envelope.newBuilder()
                     .setWatchSystem(WatchSystem.newBuilder().setProxyId("p1"))
                     .build();
             return transport
-                    .connect(peer, ATTEMPT_TIMEOUT, (from, request, answer) -> from.close())
-                    .thenCompose((PeerConnection open) ->
-                            open.request(question, ATTEMPT_TIMEOUT).whenComplete((answer, error) -> open.close()))
+                    .connect(peer, ATTEMPT_TIMEOUT, (connection, request, answer) -> connection.close())
+                    .thenCompose((PeerConnection connection) -> connection
+                            .request(watchRequest, ATTEMPT_TIMEOUT)
+                            .whenComplete((answer, error) -> connection.close()))
                     .thenApply(Envelope::getSystemUpdate)
                     .thenApply(update -> {
-                        if (!wanted.test(update)) {
+                        if (!condition.test(update)) {
                             throw new FailureException(FailureType.NO_VIEW, AddressTranslator.format(peer));
                         }
                         return update;
@@ -211,7 +217,7 @@
         });
     }
 
-    /** Repeats what may fail while there is no leader yet. */
+    /** Retries an operation that may fail while there is no leader yet. */
     private static <T> T retryUntilSuccess(Supplier<CompletableFuture<T>> attempt) {
         CompletableFuture<T> outcome = new CompletableFuture<>();
         retry(attempt, outcome);
--- a/control/src/test/java/org/hornbeamspread/control/routes/UnreachableDatabases.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/UnreachableDatabases.java
@@ -9,7 +9,7 @@
 import org.hornbeamspread.core.route.DatabaseInstance;
 import org.hornbeamspread.core.sql.ReplicaStatus;
 
-/** Databases that control does not reach. */
+/** Databases that control can't reach: every command fails with REQUEST_TIMEOUT. */
 final class UnreachableDatabases implements DatabaseAdministration {
     @Override
     public CompletableFuture<ReplicaStatus> status(DatabaseInstance instance) {
--- a/control/src/test/java/org/hornbeamspread/control/routes/WatchingProxiesTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/WatchingProxiesTest.java
@@ -20,6 +20,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/**
+ * A change that is not sent to a proxy at once leaves it with an outdated primary, position or configuration; wrongly
+ * counted observations let control replace a working primary, or keep one that proxies can't reach.
+ */
 final class WatchingProxiesTest {
     private static final ControlState STATE_WITH_VERSION_7 = ControlState.newBuilder()
             .setRoutes(RouteConfigurationDocument.newBuilder().setVersion(7))
@@ -65,10 +69,10 @@
         assertThat(lastUpdate().hasConfiguration()).isFalse();
     }
 
-    /** Before its order: the primary before it may lead on until the order takes effect. */
+    /** Sent before its promotion is requested: the previous primary may lead until the promotion takes effect. */
     @ParameterizedTest
     @CsvSource({"'', '', false, 0", "b, '', false, 1", "b, '', true, 1", "'', b, false, 1"})
-    void chosenInstanceIsSentOnceCommitted(String chosenId, String unsettledId, boolean concluded, int told) {
+    void chosenInstanceIsSentOnceCommitted(String chosenId, String unsettledId, boolean concluded, int promotedCount) {
         GroupTerm group = GroupTerm.newBuilder()
                 .setGroup("ledger")
                 .setTerm(4)
@@ -79,7 +83,7 @@
         proxies.publish(STATE_WITH_VERSION_7.toBuilder().addGroups(group).build(), List.of(), List.of());
         proxies.watch(watchRequest("p1").build(), answers::add);
 
-        assertThat(lastUpdate().getPromotedCount()).isEqualTo(told);
+        assertThat(lastUpdate().getPromotedCount()).isEqualTo(promotedCount);
     }
 
     @Test
@@ -103,28 +107,29 @@
 
     @ParameterizedTest
     @CsvSource({"0, 0.0", "1, 0.25", "2, 0.5"})
-    void unreachableShareIsRelativeToAllProxies(int cutOff, double share) {
+    void unreachableShareIsRelativeToAllProxies(int unreachable, double share) {
         for (int i = 0; i < 4; i++) {
-            PrimaryObservation seen = PrimaryObservation.newBuilder()
+            PrimaryObservation observation = PrimaryObservation.newBuilder()
                     .setInstanceId("p")
-                    .setUnreachableMs(i < cutOff ? 1_000 : 0)
+                    .setUnreachableMs(i < unreachable ? 1_000 : 0)
                     .build();
-            proxies.watch(upToDateWatchRequest("p" + i).addObservations(seen).build(), answers::add);
+            proxies.watch(
+                    upToDateWatchRequest("p" + i).addObservations(observation).build(), answers::add);
         }
 
         assertThat(proxies.unreachableShare("p", 900)).isEqualTo(share);
     }
 
-    /** Proxies that are cut off together with the primary are not heard any more. */
+    /** Watch requests of proxies that are partitioned together with the primary do not arrive any more. */
     @Test
     void silentProxiesCountAsReachingThePrimary() {
         proxies.watch(upToDateWatchRequest("far").build(), answers::add);
         advance(2_000);
-        PrimaryObservation seen = PrimaryObservation.newBuilder()
+        PrimaryObservation observation = PrimaryObservation.newBuilder()
                 .setInstanceId("p")
                 .setUnreachableMs(1_000)
                 .build();
-        proxies.watch(upToDateWatchRequest("near").addObservations(seen).build(), answers::add);
+        proxies.watch(upToDateWatchRequest("near").addObservations(observation).build(), answers::add);
 
         assertThat(proxies.unreachableShare("p", 900)).isEqualTo(0.5);
     }
