--- a/control/src/main/java/org/hornbeamspread/control/routes/ForwardingRouteOperations.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ForwardingRouteOperations.java
@@ -127,7 +127,7 @@
                 local.depart(RouteMessages.departure(change.getDeparture())).thenApply(done -> changeAccepted(0));
             case CHANGE_NOT_SET ->
                 CompletableFuture.failedFuture(
-                        new FailureException(FailureType.INVALID_REQUEST, "change request without a change"));
+                        new FailureException(FailureType.INVALID_REQUEST, "empty change request"));
         };
     }
 
--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
@@ -289,19 +289,19 @@
         for (DatabaseInstance instance : before) {
             beforeIds.add(instance.instanceId());
             if (registry.find(instance.instanceId()).isEmpty()) {
-                logInstanceChange("left", instance);
+                record("left", instance);
             }
         }
         for (DatabaseInstance instance : registry.all()) {
             if (!beforeIds.contains(instance.instanceId())) {
-                logInstanceChange("joined", instance);
+                record("joined", instance);
             } else if (before.stream().noneMatch(instance::equals)) {
-                logInstanceChange("changed", instance);
+                record("changed", instance);
             }
         }
     }
 
-    private void logInstanceChange(String change, DatabaseInstance instance) {
+    private void record(String change, DatabaseInstance instance) {
         events.record(
                 "instance_" + change,
                 "service",
--- a/control/src/main/java/org/hornbeamspread/control/routes/ServicePromotions.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ServicePromotions.java
@@ -216,12 +216,12 @@
 
         private Situation snapshot(ControlState state) {
             long nowMs = clock.millis();
-            GroupTerm groupTerm = state.getGroupsList().stream()
+            GroupTerm record = state.getGroupsList().stream()
                     .filter(group -> group.getGroup().equals(service))
                     .findFirst()
                     .orElseGet(GroupTerm::getDefaultInstance);
-            settled = groupTerm.getTerm() == 0 || groupTerm.getWritable();
-            promotedInstanceId = groupTerm.getWritable() ? groupTerm.getPrimaryId() : "";
+            settled = record.getTerm() == 0 || record.getWritable();
+            promotedInstanceId = record.getWritable() ? record.getPrimaryId() : "";
             List<MemberView> memberViews = members.stream()
                     .map(member -> new MemberView(
                             member.instanceId(),
@@ -236,10 +236,10 @@
                     provenByLeader ? nowMs - latestProofAtMs : Long.MAX_VALUE / 4,
                     primaryId.map(watchingProxies::proofAgeMs).orElse(Long.MAX_VALUE / 4));
             return new Situation(
-                    groupTerm.getTerm(),
-                    groupTerm.getPrimaryId().isEmpty() ? Optional.empty() : Optional.of(groupTerm.getPrimaryId()),
-                    Set.copyOf(groupTerm.getUnsettledIdsList()),
-                    groupTerm.getWritable(),
+                    record.getTerm(),
+                    record.getPrimaryId().isEmpty() ? Optional.empty() : Optional.of(record.getPrimaryId()),
+                    Set.copyOf(record.getUnsettledIdsList()),
+                    record.getWritable(),
                     memberViews,
                     lostCopies,
                     lostCopies.stream()
