--- a/control/src/main/java/org/hornbeamspread/control/routes/RoutePeers.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ForwardingRouteOperations.java
@@ -29,11 +29,11 @@
 import org.hornbeamspread.transport.RouteMessages;
 
 /**
- * The same operations at every member: one that does not lead passes them on to the leader. Also serves what the others and
- * the proxies send. Safe for any thread.
+ * The route operations at every member: a member that is not the leader forwards them to the leader. Also handles the
+ * requests of other members and of proxies. Safe for any thread.
  */
-public final class RoutePeers implements RouteOperations, PeerHandler {
-    /** Below the second that callers wait before they turn to another member. */
+public final class ForwardingRouteOperations implements RouteOperations, PeerHandler {
+    /** Shorter than the second after which callers retry at another member. */
     private static final Duration FORWARD_TIMEOUT = Duration.ofMillis(700);
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(300);
@@ -44,8 +44,8 @@
     private final Supplier<List<ControlMember>> members;
     private final Map<Endpoint, CompletableFuture<PeerConnection>> connections = new ConcurrentHashMap<>();
 
-    /** Serves the operations of a member. */
-    public RoutePeers(
+    /** Creates the operations of a member. */
+    public ForwardingRouteOperations(
             RouteControl local,
             ControlMembership membership,
             PeerTransport transport,
@@ -58,15 +58,15 @@
 
     @Override
     public CompletableFuture<Long> replaceRoutes(RouteConfigurationDocument configuration) {
-        return orAtLeader(
+        return orForwardToLeader(
                 local.replaceRoutes(configuration),
-                change(SubmitChange.newBuilder().setConfiguration(configuration)),
+                changeRequest(SubmitChange.newBuilder().setConfiguration(configuration)),
                 answer -> answer.getChangeAccepted().getConfigurationVersion());
     }
 
     @Override
     public CompletableFuture<RouteConfigurationDocument> readRoutes() {
-        return orAtLeader(
+        return orForwardToLeader(
                 local.readRoutes(),
                 Envelope.newBuilder()
                         .setReadConfiguration(ReadConfiguration.getDefaultInstance())
@@ -76,17 +76,17 @@
 
     @Override
     public CompletableFuture<Void> announce(DatabaseInstance instance) {
-        return orAtLeader(
+        return orForwardToLeader(
                 local.announce(instance),
-                change(SubmitChange.newBuilder().setAnnouncement(RouteMessages.wire(instance))),
+                changeRequest(SubmitChange.newBuilder().setAnnouncement(RouteMessages.wire(instance))),
                 answer -> null);
     }
 
     @Override
     public CompletableFuture<Void> depart(Departure departure) {
-        return orAtLeader(
+        return orForwardToLeader(
                 local.depart(departure),
-                change(SubmitChange.newBuilder().setDeparture(RouteMessages.wire(departure))),
+                changeRequest(SubmitChange.newBuilder().setDeparture(RouteMessages.wire(departure))),
                 answer -> null);
     }
 
@@ -95,16 +95,16 @@
         switch (request.getBodyCase()) {
             case WATCH_SYSTEM ->
                 local.watch(request.getWatchSystem(), reply -> answer.accept(withLeaderEndpoint(reply)));
-            case SUBMIT_CHANGE -> answer(submit(request.getSubmitChange()), answer);
+            case SUBMIT_CHANGE -> sendAnswer(applyChange(request.getSubmitChange()), answer);
             case READ_CONFIGURATION ->
-                answer(
+                sendAnswer(
                         local.readRoutes()
                                 .thenApply(routes -> Envelope.newBuilder()
                                         .setConfigurationRead(routes)
                                         .build()),
                         answer);
             case JOIN_CONTROL ->
-                answer(
+                sendAnswer(
                         membership
                                 .join(request.getJoinControl())
                                 .thenApply(joined -> Envelope.newBuilder()
@@ -117,45 +117,50 @@
         }
     }
 
-    private CompletableFuture<Envelope> submit(SubmitChange change) {
+    private CompletableFuture<Envelope> applyChange(SubmitChange change) {
         return switch (change.getChangeCase()) {
-            case CONFIGURATION -> local.replaceRoutes(change.getConfiguration()).thenApply(RoutePeers::accepted);
+            case CONFIGURATION ->
+                local.replaceRoutes(change.getConfiguration()).thenApply(ForwardingRouteOperations::changeAccepted);
             case ANNOUNCEMENT ->
-                local.announce(RouteMessages.instance(change.getAnnouncement())).thenApply(done -> accepted(0));
+                local.announce(RouteMessages.instance(change.getAnnouncement())).thenApply(done -> changeAccepted(0));
             case DEPARTURE ->
-                local.depart(RouteMessages.departure(change.getDeparture())).thenApply(done -> accepted(0));
+                local.depart(RouteMessages.departure(change.getDeparture())).thenApply(done -> changeAccepted(0));
             case CHANGE_NOT_SET ->
-                CompletableFuture.failedFuture(new FailureException(FailureType.INVALID_REQUEST, "empty change"));
+                CompletableFuture.failedFuture(
+                        new FailureException(FailureType.INVALID_REQUEST, "empty change request"));
         };
     }
 
-    private static Envelope accepted(long version) {
+    private static Envelope changeAccepted(long version) {
         return Envelope.newBuilder()
                 .setChangeAccepted(ChangeAccepted.newBuilder().setConfigurationVersion(version))
                 .build();
     }
 
-    private static Envelope change(SubmitChange.Builder change) {
+    private static Envelope changeRequest(SubmitChange.Builder change) {
         return Envelope.newBuilder().setSubmitChange(change).build();
     }
 
-    private void answer(CompletableFuture<Envelope> outcome, Consumer<Envelope> answer) {
+    private void sendAnswer(CompletableFuture<Envelope> outcome, Consumer<Envelope> answer) {
         outcome.whenComplete((envelope, error) -> answer.accept(
                 error == null ? envelope : withLeaderEndpoint(Envelopes.failureEnvelope(FailureException.of(error)))));
     }
 
-    /** A refusal of a member that does not lead names the leader's endpoint, which its asker may not know by id. */
+    /**
+     * Replaces the leader's member id in a NOT_LEADER failure by the leader's peer endpoint, since the sender of the
+     * request may not be able to resolve the id.
+     */
     private Envelope withLeaderEndpoint(Envelope reply) {
         if (!reply.hasFailure() || !reply.getFailure().getType().equals(FailureType.NOT_LEADER.name())) {
             return reply;
         }
-        String endpoint = endpoint(reply.getFailure().getDetail())
+        String endpoint = peerEndpoint(reply.getFailure().getDetail())
                 .map(AddressTranslator::format)
                 .orElse("");
         return Envelopes.failureEnvelope(new FailureException(FailureType.NOT_LEADER, endpoint));
     }
 
-    private Optional<Endpoint> endpoint(String memberId) {
+    private Optional<Endpoint> peerEndpoint(String memberId) {
         return members.get().stream()
                 .filter(member -> member.getMemberId().equals(memberId))
                 .map(ControlMember::getPeer)
@@ -163,27 +168,30 @@
                 .findFirst();
     }
 
-    private <T> CompletableFuture<T> orAtLeader(
-            CompletableFuture<T> attempt, Envelope request, Function<Envelope, T> decode) {
-        return attempt.handle((value, error) -> {
+    private <T> CompletableFuture<T> orForwardToLeader(
+            CompletableFuture<T> localAttempt, Envelope request, Function<Envelope, T> decode) {
+        return localAttempt
+                .handle((value, error) -> {
                     if (error == null) {
                         return CompletableFuture.completedFuture(value);
                     }
                     FailureException failure = FailureException.of(error);
-                    Optional<Endpoint> leader =
-                            failure.type() == FailureType.NOT_LEADER ? endpoint(failure.detail()) : Optional.empty();
+                    Optional<Endpoint> leader = failure.type() == FailureType.NOT_LEADER
+                            ? peerEndpoint(failure.detail())
+                            : Optional.empty();
                     return leader.map(endpoint -> forward(endpoint, request).thenApply(decode))
                             .orElseGet(() -> CompletableFuture.failedFuture(failure));
                 })
-                .thenCompose(next -> next);
+                .thenCompose(result -> result);
     }
 
     private CompletableFuture<Envelope> forward(Endpoint leader, Envelope request) {
         CompletableFuture<PeerConnection> connection = connections.compute(
                 leader,
-                (endpoint, present) -> present == null || isBroken(present)
-                        ? transport.connect(endpoint, CONNECT_TIMEOUT, (peer, unexpected, answer) -> peer.close())
-                        : present);
+                (endpoint, existing) -> existing == null || isBroken(existing)
+                        ? transport.connect(
+                                endpoint, CONNECT_TIMEOUT, (peer, unexpectedRequest, answer) -> peer.close())
+                        : existing);
         return connection.thenCompose(peer -> peer.request(request, FORWARD_TIMEOUT)
                 .whenComplete((answer, error) -> {
                     if (error != null && FailureException.of(error).type() == FailureType.REQUEST_TIMEOUT) {
--- a/control/src/main/java/org/hornbeamspread/control/routes/SqlAdministration.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/SqlAdministration.java
@@ -21,101 +21,102 @@
 import org.hornbeamspread.core.sql.SqlResult;
 import org.hornbeamspread.core.sql.SqlStatement;
 
-/** Commands as statements on one connection an instance, kept open while it is used. Safe for any thread. */
+/** Sends commands as SQL statements over one connection per instance, kept open while in use. Safe for any thread. */
 public final class SqlAdministration implements DatabaseAdministration {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
-    /** A connection that leaves a command unanswered for this long is closed. */
-    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(800);
+    /** A connection on which a command has no response for this long is closed. */
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(800);
 
     private final SqlConnector connector;
-    private final Function<SqlResult, ReplicaStatus> decoder;
+    private final Function<SqlResult, ReplicaStatus> statusDecoder;
     private final Map<DatabaseKey, CompletableFuture<SqlConnection>> connections = new HashMap<>();
 
     /**
-     * Commands over a connector.
+     * Creates an administration that opens its connections with the given connector.
      *
-     * @param decoder reads the answer to a command; fails with INVALID_REQUEST
+     * @param statusDecoder decodes the response to a command; fails with INVALID_REQUEST
      */
-    public SqlAdministration(SqlConnector connector, Function<SqlResult, ReplicaStatus> decoder) {
+    public SqlAdministration(SqlConnector connector, Function<SqlResult, ReplicaStatus> statusDecoder) {
         this.connector = connector;
-        this.decoder = decoder;
+        this.statusDecoder = statusDecoder;
     }
 
     @Override
     public CompletableFuture<ReplicaStatus> status(DatabaseInstance instance) {
-        return command(instance, new SqlStatement.Status());
+        return sendCommand(instance, new SqlStatement.Status());
     }
 
     @Override
     public CompletableFuture<ReplicaStatus> pause(DatabaseInstance instance, long term) {
-        return command(instance, new SqlStatement.PauseReplication(term));
+        return sendCommand(instance, new SqlStatement.PauseReplication(term));
     }
 
     @Override
     public CompletableFuture<ReplicaStatus> resume(DatabaseInstance instance) {
-        return command(instance, new SqlStatement.ResumeReplication());
+        return sendCommand(instance, new SqlStatement.ResumeReplication());
     }
 
     @Override
     public CompletableFuture<ReplicaStatus> demote(DatabaseInstance instance, long term) {
-        return command(instance, new SqlStatement.Demote(term));
+        return sendCommand(instance, new SqlStatement.Demote(term));
     }
 
     @Override
-    public CompletableFuture<Optional<LogPosition>> provePrimary(DatabaseInstance instance) {
+    public CompletableFuture<Optional<LogPosition>> probePrimary(DatabaseInstance instance) {
         List<SqlRequest> probe = List.of(
                 SqlRequest.internal(new SqlStatement.Begin(false)), SqlRequest.internal(new SqlStatement.Rollback()));
-        return send(instance, probe).thenApply(begun -> begun.isSuccess() ? begun.position() : Optional.empty());
+        return sendBatch(instance, probe)
+                .thenApply(beginResult -> beginResult.isSuccess() ? beginResult.position() : Optional.empty());
     }
 
     @Override
-    public synchronized void retain(Collection<DatabaseInstance> instances) {
-        List<DatabaseKey> kept = instances.stream().map(DatabaseKey::of).toList();
+    public synchronized void retainConnections(Collection<DatabaseInstance> instances) {
+        List<DatabaseKey> retainedKeys = instances.stream().map(DatabaseKey::of).toList();
         connections.entrySet().removeIf(entry -> {
-            boolean gone = !kept.contains(entry.getKey());
-            if (gone) {
+            boolean obsolete = !retainedKeys.contains(entry.getKey());
+            if (obsolete) {
                 entry.getValue().thenAccept(SqlConnection::close);
             }
-            return gone;
+            return obsolete;
         });
     }
 
-    private CompletableFuture<ReplicaStatus> command(DatabaseInstance instance, SqlStatement statement) {
-        return send(instance, List.of(SqlRequest.internal(statement))).thenApply(result -> {
+    private CompletableFuture<ReplicaStatus> sendCommand(DatabaseInstance instance, SqlStatement statement) {
+        return sendBatch(instance, List.of(SqlRequest.internal(statement))).thenApply(result -> {
             if (result.hasError(SqlError.BUSY)) {
                 throw new FailureException(FailureType.QUEUE_FULL, instance.instanceId());
             }
-            return decoder.apply(result);
+            return statusDecoder.apply(result);
         });
     }
 
-    /** Sends, and completes with the first result once all are there. */
-    private CompletableFuture<SqlResult> send(DatabaseInstance instance, List<SqlRequest> requests) {
-        return connection(instance).thenCompose(open -> {
-            List<CompletableFuture<SqlResult>> results = open.send(requests);
+    /** Sends requests in one batch. Completes with the first result once all results have arrived. */
+    private CompletableFuture<SqlResult> sendBatch(DatabaseInstance instance, List<SqlRequest> requests) {
+        return openConnection(instance).thenCompose(connection -> {
+            List<CompletableFuture<SqlResult>> results = connection.send(requests);
             return results.get(results.size() - 1)
                     .thenCompose(last -> results.get(0))
-                    .orTimeout(ANSWER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
+                    .orTimeout(RESPONSE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
                     .whenComplete((result, error) -> {
                         if (error != null) {
-                            open.close();
+                            connection.close();
                         }
                     });
         });
     }
 
-    private synchronized CompletableFuture<SqlConnection> connection(DatabaseInstance instance) {
+    private synchronized CompletableFuture<SqlConnection> openConnection(DatabaseInstance instance) {
         DatabaseKey key = DatabaseKey.of(instance);
-        CompletableFuture<SqlConnection> present = connections.get(key);
-        boolean usable = present != null
-                && !present.isCompletedExceptionally()
-                && (!present.isDone() || present.join().isOpen());
+        CompletableFuture<SqlConnection> connection = connections.get(key);
+        boolean usable = connection != null
+                && !connection.isCompletedExceptionally()
+                && (!connection.isDone() || connection.join().isOpen());
         if (!usable) {
-            present = connector.connect(instance, CONNECT_TIMEOUT);
-            connections.put(key, present);
+            connection = connector.connect(instance, CONNECT_TIMEOUT);
+            connections.put(key, connection);
         }
-        return present;
+        return connection;
     }
 
     private record DatabaseKey(String instanceId, long bornMs, String address) {
--- a/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
@@ -23,162 +23,172 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * The proxies that watch the leader. Each has one question open, which is answered when there is news or when it has been held
- * for a while; so a change reaches every proxy at once, and a proxy that hears nothing knows that the leader is gone.
+ * The proxies that watch the leader. Each keeps one watch request open, which is answered on a change or at the end of
+ * its hold time. A change therefore reaches every proxy immediately, and a proxy that receives no answer detects that
+ * the leader is gone.
  */
 final class WatchingProxies {
-    /** Below a proxy's limit for an answer. */
-    private static final long LONGEST_HOLD_MS = 800;
+    /** Shorter than a proxy's timeout for the answer. */
+    private static final long MAX_HOLD_MS = 800;
 
-    private static final long SHORTEST_HOLD_MS = 250;
+    private static final long MIN_HOLD_MS = 250;
 
-    /** More proxies are heard less often each: about 60 questions a second in all. */
+    /** The hold time grows with the number of proxies, so that all together send about 60 watch requests a second. */
     private static final long HOLD_MS_PER_PROXY = 15;
 
-    /** A proxy that has not asked for this long is gone. */
-    private static final long GONE_MS = 10_000;
+    /** A proxy that has sent no watch request for this long is dropped. */
+    private static final long PROXY_EXPIRY_MS = 10_000;
 
     private final Clock clock;
     private final Map<String, Watcher> watchers = new HashMap<>();
     private long leaderTerm;
-    private long version;
+    private long systemVersion;
 
-    /** What the version stands for. */
-    private SystemUpdate latest = SystemUpdate.getDefaultInstance();
+    /** The update of the current {@link #systemVersion}. */
+    private SystemUpdate latestUpdate = SystemUpdate.getDefaultInstance();
 
     private ControlState state = ControlState.getDefaultInstance();
 
-    /** The latest proof of each service's primary; dropped when the clock can't tell its age any more. */
+    /**
+     * The latest proof of each service's primary. Proofs of an earlier clock epoch are dropped: their age is unknown.
+     */
     private final Map<String, Proof> proofs = new HashMap<>();
 
-    private final ClockJumpDetector guard;
-    private long epoch;
+    private final ClockJumpDetector clockGuard;
+    private long clockEpoch;
 
-    WatchingProxies(Clock clock, ClockJumpDetector guard) {
+    WatchingProxies(Clock clock, ClockJumpDetector clockGuard) {
         this.clock = clock;
-        this.guard = guard;
+        this.clockGuard = clockGuard;
     }
 
-    /** A primary's position, from an answer to a question that was sent at a time and in an epoch of the clock. */
-    void onProof(String service, String instanceId, LogPosition position, long askedMs, long askedEpoch) {
-        checkEpoch();
-        if (askedEpoch == epoch) {
-            proofs.put(service, new Proof(instanceId, position, askedMs));
+    /**
+     * Records the position of a primary from the response to a probe.
+     *
+     * @param probeSentAtMs when the probe was sent
+     * @param probeClockEpoch the clock epoch in which it was sent; a proof of an earlier epoch is ignored
+     */
+    void onProof(String service, String instanceId, LogPosition position, long probeSentAtMs, long probeClockEpoch) {
+        updateClockEpoch();
+        if (probeClockEpoch == clockEpoch) {
+            proofs.put(service, new Proof(instanceId, position, probeSentAtMs));
         }
     }
 
-    long epoch() {
-        checkEpoch();
-        return epoch;
+    long clockEpoch() {
+        updateClockEpoch();
+        return clockEpoch;
     }
 
     /**
-     * The part of the proxies that have failed to reach an instance for longer than a time. Those that control does not hear
-     * count as reaching it: they may be the ones that are cut off.
+     * Returns the share of the proxies that have failed to reach an instance for longer than a time. Proxies without a
+     * recent watch request count as reaching it: they may be the ones that are partitioned.
      */
     double unreachableShare(String instanceId, long longerThanMs) {
         long nowMs = clock.millis();
-        List<Watcher> present = watchers.values().stream()
-                .filter(watcher -> nowMs - watcher.askedAtMs <= 2 * holdMs())
+        List<Watcher> recentWatchers = watchers.values().stream()
+                .filter(watcher -> nowMs - watcher.receivedAtMs <= 2 * holdMs())
                 .toList();
-        double cutOff = present.stream()
+        double unreachable = recentWatchers.stream()
                 .flatMap(watcher -> watcher.request.getObservationsList().stream())
-                .filter(seen -> seen.getInstanceId().equals(instanceId))
-                .filter(seen -> seen.getUnreachableMs() > longerThanMs)
+                .filter(observation -> observation.getInstanceId().equals(instanceId))
+                .filter(observation -> observation.getUnreachableMs() > longerThanMs)
                 .count();
-        return watchers.isEmpty() ? 0 : cutOff / watchers.size();
+        return watchers.isEmpty() ? 0 : unreachable / watchers.size();
     }
 
-    private void checkEpoch() {
-        long present = guard.epoch();
-        if (present != epoch) {
-            epoch = present;
+    private void updateClockEpoch() {
+        long currentEpoch = clockGuard.epoch();
+        if (currentEpoch != clockEpoch) {
+            clockEpoch = currentEpoch;
             proofs.clear();
         }
     }
 
-    void begin(long term) {
+    void onLeadershipGained(long term) {
         leaderTerm = term;
-        version = 0;
-        latest = SystemUpdate.getDefaultInstance();
+        systemVersion = 0;
+        latestUpdate = SystemUpdate.getDefaultInstance();
     }
 
-    void add(WatchSystem request, Consumer<Envelope> answer) {
+    void watch(WatchSystem request, Consumer<Envelope> answer) {
         Watcher watcher = watchers.computeIfAbsent(request.getProxyId(), id -> new Watcher());
         watcher.request = request;
-        watcher.askedAtMs = clock.millis();
-        watcher.answer = Optional.of(answer);
-        if (!isCurrent(request) || request.getPositionsWanted()) {
-            answer(watcher);
+        watcher.receivedAtMs = clock.millis();
+        watcher.pendingAnswer = Optional.of(answer);
+        if (!isUpToDate(request) || request.getPositionsWanted()) {
+            sendUpdate(watcher);
         }
     }
 
     /**
-     * Takes the state over; proxies are answered if it is news to them.
+     * Replaces the published state, and answers the proxies that are not up to date.
      *
-     * @param told those of its instances that proxies are told of
+     * @param visibleInstances those of its instances that are published to proxies
      */
-    void publish(ControlState next, List<RegisteredInstance> told, List<ControlMember> members) {
-        state = next;
-        SystemUpdate.Builder update =
-                SystemUpdate.newBuilder().setChanged(true).addAllInstances(told).setProxies(liveProxies());
+    void publish(ControlState newState, List<RegisteredInstance> visibleInstances, List<ControlMember> members) {
+        state = newState;
+        SystemUpdate.Builder update = SystemUpdate.newBuilder()
+                .setChanged(true)
+                .addAllInstances(visibleInstances)
+                .setProxies(liveProxies());
         members.stream()
                 .map(ControlMember::getPeer)
                 .filter(peer -> !peer.getHost().isEmpty())
                 .forEach(update::addControlPeers);
-        for (GroupTerm group : next.getGroupsList()) {
-            promotedId(group)
+        for (GroupTerm group : newState.getGroupsList()) {
+            chosenInstanceId(group)
                     .ifPresent(id -> update.addPromoted(PromotedInstance.newBuilder()
                             .setService(group.getGroup())
                             .setInstanceId(id)
                             .setFencingToken(group.getTerm())));
         }
-        SystemUpdate built = update.build();
-        if (!built.equals(latest)) {
-            latest = built;
-            version++;
+        SystemUpdate newUpdate = update.build();
+        if (!newUpdate.equals(latestUpdate)) {
+            latestUpdate = newUpdate;
+            systemVersion++;
         }
         watchers.values().stream()
-                .filter(watcher -> watcher.answer.isPresent() && !isCurrent(watcher.request))
-                .forEach(this::answer);
+                .filter(watcher -> watcher.pendingAnswer.isPresent() && !isUpToDate(watcher.request))
+                .forEach(this::sendUpdate);
     }
 
     /**
-     * The instance that was chosen last, also before its order and while another is sought: nothing may be acknowledged by the primary
-     * before it.
+     * Returns the instance that was chosen last, even before its promotion is requested and while another one is being
+     * chosen: no commit of the previous primary may be acknowledged any more.
      */
-    private static Optional<String> promotedId(GroupTerm group) {
+    private static Optional<String> chosenInstanceId(GroupTerm group) {
         return Optional.of(group.getPrimaryId())
                 .filter(id -> !id.isEmpty())
                 .or(() -> group.getUnsettledIdsList().stream().findFirst());
     }
 
-    /** Answers the questions that have been held long enough, and forgets proxies that are gone. */
-    void answerDue() {
+    /** Answers the watch requests whose hold time is over, and drops proxies that have expired. */
+    void answerExpiredWatches() {
         long nowMs = clock.millis();
-        Iterator<Watcher> all = watchers.values().iterator();
-        while (all.hasNext()) {
-            Watcher watcher = all.next();
-            if (nowMs - watcher.askedAtMs > GONE_MS) {
-                all.remove();
-            } else if (watcher.answer.isPresent() && nowMs - watcher.askedAtMs >= holdMs()) {
-                answer(watcher);
+        Iterator<Watcher> iterator = watchers.values().iterator();
+        while (iterator.hasNext()) {
+            Watcher watcher = iterator.next();
+            if (nowMs - watcher.receivedAtMs > PROXY_EXPIRY_MS) {
+                iterator.remove();
+            } else if (watcher.pendingAnswer.isPresent() && nowMs - watcher.receivedAtMs >= holdMs()) {
+                sendUpdate(watcher);
             }
         }
     }
 
     private long holdMs() {
-        return Math.max(SHORTEST_HOLD_MS, Math.min(LONGEST_HOLD_MS, HOLD_MS_PER_PROXY * watchers.size()));
+        return Math.max(MIN_HOLD_MS, Math.min(MAX_HOLD_MS, HOLD_MS_PER_PROXY * watchers.size()));
     }
 
     void refuseAll(FailureException failure) {
         watchers.values().forEach(watcher -> {
-            watcher.answer.ifPresent(open -> open.accept(Envelopes.failureEnvelope(failure)));
+            watcher.pendingAnswer.ifPresent(answer -> answer.accept(Envelopes.failureEnvelope(failure)));
         });
         watchers.clear();
     }
 
-    /** The least time since any proxy had proof that an instance works as primary; a large number when none had. */
+    /** The shortest time since a proxy had proof that an instance works as primary; a large number if none had. */
     long proofAgeMs(String instanceId) {
         return observations(instanceId)
                 .mapToLong(PrimaryObservation::getSinceSuccessMs)
@@ -186,7 +196,10 @@
                 .orElse(Long.MAX_VALUE / 4);
     }
 
-    /** How long the oldest write has waited at an instance, if no proxy saw one succeed since; 0 otherwise. */
+    /**
+     * How long the oldest write has waited at an instance if no proxy has observed a successful write since; 0
+     * otherwise.
+     */
     long stalledWriteMs(String instanceId) {
         long oldestMs = observations(instanceId)
                 .mapToLong(PrimaryObservation::getOldestWriteMs)
@@ -199,9 +212,10 @@
         long nowMs = clock.millis();
         return watchers.values().stream()
                 .flatMap(watcher -> watcher.request.getObservationsList().stream()
-                        .filter(seen -> seen.getInstanceId().equals(instanceId))
-                        .map(seen -> seen.toBuilder()
-                                .setSinceSuccessMs((int) (seen.getSinceSuccessMs() + nowMs - watcher.askedAtMs))
+                        .filter(observation -> observation.getInstanceId().equals(instanceId))
+                        .map(observation -> observation.toBuilder()
+                                .setSinceSuccessMs(
+                                        (int) (observation.getSinceSuccessMs() + nowMs - watcher.receivedAtMs))
                                 .build()));
     }
 
@@ -211,45 +225,46 @@
                 .count();
     }
 
-    private boolean isCurrent(WatchSystem request) {
+    private boolean isUpToDate(WatchSystem request) {
         return request.getLeaderTerm() == leaderTerm
-                && request.getSystemVersion() == version
+                && request.getSystemVersion() == systemVersion
                 && request.getConfigurationVersion() == state.getRoutes().getVersion();
     }
 
-    private void answer(Watcher watcher) {
+    private void sendUpdate(Watcher watcher) {
         WatchSystem request = watcher.request;
         boolean sameTerm = request.getLeaderTerm() == leaderTerm;
-        SystemUpdate.Builder update =
-                sameTerm && request.getSystemVersion() == version ? SystemUpdate.newBuilder() : latest.toBuilder();
-        update.setLeaderTerm(leaderTerm).setSystemVersion(version);
+        SystemUpdate.Builder update = sameTerm && request.getSystemVersion() == systemVersion
+                ? SystemUpdate.newBuilder()
+                : latestUpdate.toBuilder();
+        update.setLeaderTerm(leaderTerm).setSystemVersion(systemVersion);
         addPositions(update);
         if (request.getConfigurationVersion() < state.getRoutes().getVersion()) {
             update.setConfiguration(state.getRoutes().toBuilder().clearSource());
         }
-        Optional<Consumer<Envelope>> answer = watcher.answer;
-        watcher.answer = Optional.empty();
-        answer.ifPresent(open ->
-                open.accept(Envelope.newBuilder().setSystemUpdate(update).build()));
+        Optional<Consumer<Envelope>> pendingAnswer = watcher.pendingAnswer;
+        watcher.pendingAnswer = Optional.empty();
+        pendingAnswer.ifPresent(answer ->
+                answer.accept(Envelope.newBuilder().setSystemUpdate(update).build()));
     }
 
     private void addPositions(SystemUpdate.Builder update) {
-        checkEpoch();
+        updateClockEpoch();
         long nowMs = clock.millis();
         proofs.forEach((service, proof) -> update.addPositions(PrimaryPosition.newBuilder()
                 .setService(service)
                 .setInstanceId(proof.instanceId())
                 .setPosition(Envelopes.position(proof.position()))
-                .setAgeMs((int) (nowMs - proof.askedMs()))));
+                .setAgeMs((int) (nowMs - proof.probeSentAtMs()))));
     }
 
-    private record Proof(String instanceId, LogPosition position, long askedMs) {}
+    private record Proof(String instanceId, LogPosition position, long probeSentAtMs) {}
 
     private static final class Watcher {
         private WatchSystem request = WatchSystem.getDefaultInstance();
-        private long askedAtMs;
+        private long receivedAtMs;
 
-        /** Empty once the question is answered. */
-        private Optional<Consumer<Envelope>> answer = Optional.empty();
+        /** Receives the answer to the open watch request; empty once it is answered. */
+        private Optional<Consumer<Envelope>> pendingAnswer = Optional.empty();
     }
 }
--- a/control/src/test/java/org/hornbeamspread/control/routes/RouteDaemonTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/RouteDaemonTest.java
@@ -41,11 +41,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Members on loopback, with real files; databases and the platform's orders are not reached. */
+/**
+ * A configuration must be accepted at every member and survive the loss of one, and proxies must receive announcements
+ * and departures. Runs three members on loopback with logs on disk; databases are unreachable, and promotions are
+ * refused.
+ */
 final class RouteDaemonTest {
-    private static final Duration LIMIT = Duration.ofSeconds(60);
-    private static final Duration ATTEMPT = Duration.ofSeconds(2);
-    private static final Executor LATER = CompletableFuture.delayedExecutor(50, TimeUnit.MILLISECONDS);
+    private static final Duration TEST_TIMEOUT = Duration.ofSeconds(60);
+    private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(2);
+    private static final Executor RETRY_EXECUTOR = CompletableFuture.delayedExecutor(50, TimeUnit.MILLISECONDS);
 
     @TempDir
     Path directory;
@@ -69,69 +73,69 @@
     }
 
     @Test
-    void aConfigurationIsAcceptedAndReadAtEveryMember() {
-        assertThat(replace("c2", document(7, "seven"))).isEqualTo(7);
+    void configurationIsAcceptedAndReadAtEveryMember() {
+        assertThat(replaceRoutes("c2", configurationDocument(7, "seven"))).isEqualTo(7);
 
         for (String id : daemons.keySet()) {
-            assertThat(read(id).getSource()).isEqualTo(ByteString.copyFromUtf8("seven"));
+            assertThat(readRoutes(id).getSource()).isEqualTo(ByteString.copyFromUtf8("seven"));
         }
     }
 
     @Test
-    void aVersionThatIsNotHigherIsAcknowledgedAndChangesNothing() {
-        replace("c1", document(7, "seven"));
+    void configurationWithoutAHigherVersionIsAcknowledgedAndIgnored() {
+        replaceRoutes("c1", configurationDocument(7, "seven"));
 
-        assertThat(replace("c3", document(5, "five"))).isEqualTo(7);
-        assertThat(replace("c3", document(7, "other"))).isEqualTo(7);
-        assertThat(read("c2").getSource().toStringUtf8()).isEqualTo("seven");
+        assertThat(replaceRoutes("c3", configurationDocument(5, "five"))).isEqualTo(7);
+        assertThat(replaceRoutes("c3", configurationDocument(7, "other"))).isEqualTo(7);
+        assertThat(readRoutes("c2").getSource().toStringUtf8()).isEqualTo("seven");
     }
 
     @Test
-    void anInvalidConfigurationIsRefusedForGood() {
-        replace("c1", document(7, "seven"));
+    void invalidConfigurationIsRejected() {
+        replaceRoutes("c1", configurationDocument(7, "seven"));
         RouteConfigurationDocument invalid =
-                document(8, "eight").toBuilder().clearServices().build();
+                configurationDocument(8, "eight").toBuilder().clearServices().build();
 
-        FailureType refusal = eventually(() -> daemons.get("c2")
+        FailureType failureType = retryUntilSuccess(() -> daemons.get("c2")
                 .operations()
                 .replaceRoutes(invalid)
                 .handle((version, error) -> FailureException.of(error).type())
-                .thenApply(RouteDaemonTest::requireCertain));
-        assertThat(refusal).isEqualTo(FailureType.INVALID_CONFIGURATION);
-        assertThat(read("c3").getVersion()).isEqualTo(7);
+                .thenApply(RouteDaemonTest::requireInvalidConfiguration));
+        assertThat(failureType).isEqualTo(FailureType.INVALID_CONFIGURATION);
+        assertThat(readRoutes("c3").getVersion()).isEqualTo(7);
     }
 
     @Test
-    void aWatchingProxyIsToldOfAnnouncementsAndDepartures() {
-        replace("c1", document(7, "seven"));
+    void watchingProxyReceivesAnnouncementsAndDepartures() {
+        replaceRoutes("c1", configurationDocument(7, "seven"));
         DatabaseInstance instance = instance(100, false);
-        eventually(() -> daemons.get("c2").operations().announce(instance));
+        retryUntilSuccess(() -> daemons.get("c2").operations().announce(instance));
         SystemUpdate first = watch(update -> update.getInstancesCount() == 1);
         assertThat(first.getConfiguration().getVersion()).isEqualTo(7);
         assertThat(first.getConfiguration().getSource().isEmpty()).isTrue();
         assertThat(first.getControlPeersCount()).isEqualTo(3);
 
-        eventually(() -> daemons.get("c3").operations().announce(instance(100, true)));
+        retryUntilSuccess(() -> daemons.get("c3").operations().announce(instance(100, true)));
         watch(update ->
                 update.getInstancesCount() == 1 && update.getInstances(0).getDraining());
-        eventually(() -> daemons.get("c1").operations().depart(new Departure("i-1", 100)));
+        retryUntilSuccess(() -> daemons.get("c1").operations().depart(new Departure("i-1", 100)));
         watch(update -> update.getChanged() && update.getInstancesCount() == 0);
     }
 
     @Test
-    void whatWasAcceptedSurvivesTheLossOfAMemberAndReachesOneThatJoins() {
-        replace("c1", document(7, "seven"));
+    void acceptedConfigurationSurvivesAMemberLossAndReachesAJoiningMember() {
+        replaceRoutes("c1", configurationDocument(7, "seven"));
         daemons.remove("c3").close();
         ControlMember joining = member("c4");
         start(joining, members, false);
 
-        assertThat(read("c4").getSource().toStringUtf8()).isEqualTo("seven");
-        assertThat(replace("c4", document(9, "nine"))).isEqualTo(9);
-        assertThat(read("c1").getVersion()).isEqualTo(9);
+        assertThat(readRoutes("c4").getSource().toStringUtf8()).isEqualTo("seven");
+        assertThat(replaceRoutes("c4", configurationDocument(9, "nine"))).isEqualTo(9);
+        assertThat(readRoutes("c1").getVersion()).isEqualTo(9);
     }
 
-    /** Without a leader a call fails for another reason, and is repeated. */
-    private static FailureType requireCertain(FailureType type) {
+    /** Fails on any other failure type, as returned while there is no leader, so that the call is retried. */
+    private static FailureType requireInvalidConfiguration(FailureType type) {
         if (type != FailureType.INVALID_CONFIGURATION) {
             throw new FailureException(type, "no leader yet");
         }
@@ -150,23 +154,24 @@
     }
 
     private int freePort() {
-        Endpoint any = Endpoint.newBuilder().setHost("127.0.0.1").build();
-        try (org.hornbeamspread.transport.PeerServer server =
-                transport.listen(any, (from, request, answer) -> from.close()).join()) {
+        Endpoint anyPort = Endpoint.newBuilder().setHost("127.0.0.1").build();
+        try (org.hornbeamspread.transport.PeerServer server = transport
+                .listen(anyPort, (connection, request, answer) -> connection.close())
+                .join()) {
             return server.port();
         }
     }
 
-    private void start(ControlMember self, List<ControlMember> initial, boolean mayForm) {
+    private void start(ControlMember self, List<ControlMember> initialMembers, boolean mayBootstrap) {
         RouteDaemon.Settings settings = new RouteDaemon.Settings(
                 self,
                 self.getPeer(),
                 "test",
-                initial,
-                mayForm,
+                initialMembers,
+                mayBootstrap,
                 3,
                 directory.resolve(self.getMemberId()),
-                () -> initial.stream().map(ControlMember::getPeer).toList());
+                () -> initialMembers.stream().map(ControlMember::getPeer).toList());
         daemons.put(
                 self.getMemberId(),
                 RouteDaemon.start(
@@ -180,30 +185,31 @@
                         new PrometheusRegistry()));
     }
 
-    private long replace(String id, RouteConfigurationDocument document) {
-        return eventually(() -> daemons.get(id).operations().replaceRoutes(document));
+    private long replaceRoutes(String id, RouteConfigurationDocument document) {
+        return retryUntilSuccess(() -> daemons.get(id).operations().replaceRoutes(document));
     }
 
-    private RouteConfigurationDocument read(String id) {
-        return eventually(() -> daemons.get(id).operations().readRoutes());
+    private RouteConfigurationDocument readRoutes(String id) {
+        return retryUntilSuccess(() -> daemons.get(id).operations().readRoutes());
     }
 
-    /** Asks the members in turn, as a proxy does, until an update satisfies the predicate. */
-    private SystemUpdate watch(java.util.function.Predicate<SystemUpdate> wanted) {
-        int[] turn = {0};
-        return eventually(() -> {
-            List<ControlMember> known = members;
-            Endpoint peer = known.get(turn[0]++ % known.size()).getPeer();
-            Envelope question = Envelope.newBuilder()
+    /** Sends watch requests to the members in turn, as a proxy does, until an update satisfies the predicate. */
+    private SystemUpdate watch(java.util.function.Predicate<SystemUpdate> condition) {
+        int[] attempts = {0};
+        return retryUntilSuccess(() -> {
+            List<ControlMember> targets = members;
+            Endpoint peer = targets.get(attempts[0]++ % targets.size()).getPeer();
+            Envelope watchRequest = Envelope.newBuilder()
                     .setWatchSystem(WatchSystem.newBuilder().setProxyId("p1"))
                     .build();
             return transport
-                    .connect(peer, ATTEMPT, (from, request, answer) -> from.close())
-                    .thenCompose((PeerConnection open) ->
-                            open.request(question, ATTEMPT).whenComplete((answer, error) -> open.close()))
+                    .connect(peer, ATTEMPT_TIMEOUT, (connection, request, answer) -> connection.close())
+                    .thenCompose((PeerConnection connection) -> connection
+                            .request(watchRequest, ATTEMPT_TIMEOUT)
+                            .whenComplete((answer, error) -> connection.close()))
                     .thenApply(Envelope::getSystemUpdate)
                     .thenApply(update -> {
-                        if (!wanted.test(update)) {
+                        if (!condition.test(update)) {
                             throw new FailureException(FailureType.NO_VIEW, AddressTranslator.format(peer));
                         }
                         return update;
@@ -211,19 +217,19 @@
         });
     }
 
-    /** Repeats what may fail while there is no leader yet. */
-    private static <T> T eventually(Supplier<CompletableFuture<T>> attempt) {
+    /** Retries an operation that may fail while there is no leader yet. */
+    private static <T> T retryUntilSuccess(Supplier<CompletableFuture<T>> attempt) {
         CompletableFuture<T> outcome = new CompletableFuture<>();
-        repeat(attempt, outcome);
-        return outcome.orTimeout(LIMIT.toSeconds(), TimeUnit.SECONDS).join();
+        retry(attempt, outcome);
+        return outcome.orTimeout(TEST_TIMEOUT.toSeconds(), TimeUnit.SECONDS).join();
     }
 
-    private static <T> void repeat(Supplier<CompletableFuture<T>> attempt, CompletableFuture<T> outcome) {
+    private static <T> void retry(Supplier<CompletableFuture<T>> attempt, CompletableFuture<T> outcome) {
         attempt.get().whenComplete((value, error) -> {
             if (error == null) {
                 outcome.complete(value);
             } else if (!outcome.isDone()) {
-                LATER.execute(() -> repeat(attempt, outcome));
+                RETRY_EXECUTOR.execute(() -> retry(attempt, outcome));
             }
         });
     }
@@ -233,7 +239,7 @@
                 "i-1", "ledger", new Address("10.0.0.1", 5432), "domain", 2, draining, true, bornMs, draining ? 2 : 1);
     }
 
-    private static RouteConfigurationDocument document(long version, String source) {
+    private static RouteConfigurationDocument configurationDocument(long version, String source) {
         Route route = new Route("r", "topup", "ledger", RouteKind.PRIMARY, 0, 800, 250, 0);
         RouteConfiguration configuration =
                 new RouteConfiguration(version, List.of(route), List.of(new RoutedService("ledger", 28, 1)), 3_000);
