--- a/control/src/main/java/org/hornbeamspread/control/failover/ControlEvent.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/ControlEvent.java
@@ -18,7 +18,7 @@
 /** What the coordinator's thread is told. */
 sealed interface ControlEvent {
     /** A database announced itself. */
-    record Announced(AnnouncedDatabase database) implements ControlEvent {}
+    record DatabaseAnnounced(AnnouncedDatabase database) implements ControlEvent {}
 
     /** A proxy asks for a lease. */
     record Renewal(
@@ -26,9 +26,10 @@
             implements ControlEvent {}
 
     /** A majority confirmed, or not, that the leader of this term led after these renewals had arrived. */
-    record LeadershipChecked(long leaderTerm, boolean confirmed, List<Renewal> renewals) implements ControlEvent {
+    record LeadershipCheckCompleted(long leaderTerm, boolean confirmed, List<Renewal> renewals)
+            implements ControlEvent {
         /** Keeps a copy. */
-        public LeadershipChecked {
+        public LeadershipCheckCompleted {
             renewals = List.copyOf(renewals);
         }
     }
@@ -37,15 +38,15 @@
     record LeadershipChanged(Leadership leadership) implements ControlEvent {}
 
     /** An append of the leader's of this term ended, for these groups. */
-    record ProposalEnded(long leaderTerm, List<String> groups) implements ControlEvent {
+    record ProposalCompleted(long leaderTerm, List<String> groups) implements ControlEvent {
         /** Keeps a copy. */
-        public ProposalEnded {
+        public ProposalCompleted {
             groups = List.copyOf(groups);
         }
     }
 
     /** A database reported its status in answer to a command. */
-    record Reported(DatabaseStatus status) implements ControlEvent {}
+    record StatusReported(DatabaseStatus status) implements ControlEvent {}
 
     /** A database became primary. */
     record BecamePrimary(String databaseId, long incarnation, long term, LogPosition marker) implements ControlEvent {}
@@ -54,18 +55,18 @@
     record PromoteRefused(String group, long term) implements ControlEvent {}
 
     /** A database follows the primary of a term. */
-    record Followed(String group, DatabaseStatus status, long term) implements ControlEvent {}
+    record FollowConfirmed(String group, DatabaseStatus status, long term) implements ControlEvent {}
 
     /** A database's address refuses connections, or the connection that it announced itself on broke. */
-    record Refused(String databaseId) implements ControlEvent {}
+    record ConnectionRefused(String databaseId) implements ControlEvent {}
 
     /** The connection that a database announced itself on was closed. */
-    record AnnouncerClosed(String databaseId) implements ControlEvent {}
+    record AnnouncingConnectionClosed(String databaseId) implements ControlEvent {}
 
     /** An operator asks for the topology. */
-    record TopologyAsked(CompletableFuture<Topology> answer) implements ControlEvent {}
+    record TopologyRequested(CompletableFuture<Topology> answer) implements ControlEvent {}
 
     /** An operator asks for another primary. */
-    record HandoverAsked(String group, Optional<String> databaseId, CompletableFuture<Void> answer)
+    record HandoverRequested(String group, Optional<String> databaseId, CompletableFuture<Void> answer)
             implements ControlEvent {}
 }
--- a/control/src/main/java/org/hornbeamspread/control/failover/ControlMetrics.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/ControlMetrics.java
@@ -17,11 +17,11 @@
     private static final double MILLIS_PER_SECOND = 1000;
 
     private final Counter promotions;
-    private final Counter refusals;
+    private final Counter failures;
     private final Counter commands;
-    private final Counter renewals;
+    private final Counter leasesGranted;
     private final Counter entriesSetAside;
-    private final Histogram steps;
+    private final Histogram stepSeconds;
     private final Gauge leading;
     private final Gauge livingProxies;
     private final Gauge viewVersion;
@@ -33,7 +33,7 @@
                 .help("Promotions started, by reason")
                 .labelNames("type")
                 .register(registry);
-        refusals = Counter.builder()
+        failures = Counter.builder()
                 .name("hornbeamspread_control_refusals_total")
                 .help("Requests refused and commands that failed, by failure type")
                 .labelNames("type")
@@ -43,7 +43,7 @@
                 .help("Commands sent to databases, by kind")
                 .labelNames("type")
                 .register(registry);
-        renewals = Counter.builder()
+        leasesGranted = Counter.builder()
                 .name("hornbeamspread_control_leases_granted_total")
                 .help("View leases granted, by full view or delta")
                 .labelNames("type")
@@ -52,7 +52,7 @@
                 .name("hornbeamspread_control_entries_set_aside_total")
                 .help("Unacknowledged log entries that followers set aside")
                 .register(registry);
-        steps = Histogram.builder()
+        stepSeconds = Histogram.builder()
                 .name("hornbeamspread_control_failover_seconds")
                 .help("Time from the start of a promotion to the end of each step; detect: silence before the start")
                 .labelNames("step")
@@ -65,60 +65,60 @@
     }
 
     /** A request was refused or a command failed. */
-    public void refused(FailureType type) {
-        refusals.labelValues(type.name()).inc();
+    public void countFailure(FailureType type) {
+        failures.labelValues(type.name()).inc();
     }
 
     @Override
     public void onPromotionStarted(String group, long term, PromotionReason reason, long silenceMs) {
         promotions.labelValues(reason.name()).inc();
-        steps.labelValues("detect").observe(silenceMs / MILLIS_PER_SECOND);
+        stepSeconds.labelValues("detect").observe(silenceMs / MILLIS_PER_SECOND);
         LOG.log(Level.INFO, "group {0}: promotion to term {1}, {2}, silence {3} ms", group, term, reason, silenceMs);
     }
 
     @Override
     public void onPrimaryChosen(String group, long term, String databaseId, long sinceStartMs) {
-        step("fence", sinceStartMs);
+        observeStep("fence", sinceStartMs);
         LOG.log(Level.INFO, "group {0}: {1} chosen at term {2} after {3} ms", group, databaseId, term, sinceStartMs);
     }
 
     @Override
     public void onPrimaryPromoted(String group, long term, long sinceStartMs) {
-        step("promote", sinceStartMs);
+        observeStep("promote", sinceStartMs);
         LOG.log(Level.INFO, "group {0}: promoted at term {1} after {2} ms", group, term, sinceStartMs);
     }
 
     @Override
     public void onOldLeasesExpired(String group, long term, long sinceStartMs) {
-        step("lease wait", sinceStartMs);
+        observeStep("lease wait", sinceStartMs);
     }
 
     @Override
     public void onWritable(String group, long term, long sinceStartMs) {
-        step("open", sinceStartMs);
+        observeStep("open", sinceStartMs);
         LOG.log(Level.INFO, "group {0}: writable at term {1} after {2} ms", group, term, sinceStartMs);
     }
 
-    void commandSent(String kind) {
+    void countCommand(String kind) {
         commands.labelValues(kind).inc();
     }
 
-    void leaseGranted(boolean full) {
-        renewals.labelValues(full ? "full" : "delta").inc();
+    void countLease(boolean full) {
+        leasesGranted.labelValues(full ? "full" : "delta").inc();
     }
 
-    void setAside(int entries) {
+    void countEntriesSetAside(int entries) {
         entriesSetAside.inc(entries);
     }
 
-    void state(boolean isLeading, int proxies, long version) {
+    void setLeaderState(boolean isLeading, int proxies, long version) {
         leading.set(isLeading ? 1 : 0);
         livingProxies.set(proxies);
         viewVersion.set((double) version);
     }
 
-    private void step(String name, long sinceStartMs) {
-        steps.labelValues(name).observe(sinceStartMs / MILLIS_PER_SECOND);
+    private void observeStep(String name, long sinceStartMs) {
+        stepSeconds.labelValues(name).observe(sinceStartMs / MILLIS_PER_SECOND);
     }
 
     private static Gauge gauge(PrometheusRegistry registry, String name, String help) {
--- a/control/src/main/java/org/hornbeamspread/control/failover/Coordinator.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/Coordinator.java
@@ -13,7 +13,7 @@
 import java.util.function.Supplier;
 import org.hornbeamspread.control.Leadership;
 import org.hornbeamspread.control.ReplicatedLog;
-import org.hornbeamspread.control.failover.ControlEvent.LeadershipChecked;
+import org.hornbeamspread.control.failover.ControlEvent.LeadershipCheckCompleted;
 import org.hornbeamspread.control.failover.ControlEvent.Renewal;
 import org.hornbeamspread.control.view.ViewMessages;
 import org.hornbeamspread.core.failover.FailoverTimings;
@@ -47,10 +47,10 @@
  */
 public final class Coordinator implements PeerHandler, AutoCloseable {
     private static final Logger LOG = System.getLogger(Coordinator.class.getName());
-    private static final int RING_EVENTS = 1 << 16;
-    private static final Duration TICK = Duration.ofMillis(20);
-    private static final Duration REACHABLE_FOR = Duration.ofSeconds(1);
-    private static final Duration EXPIRY = Duration.ofSeconds(30);
+    private static final int RING_CAPACITY = 1 << 16;
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
+    private static final Duration REACHABLE_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration REGISTRY_EXPIRY = Duration.ofSeconds(30);
 
     private final ReplicatedLog log;
     private final Supplier<ControlState> state;
@@ -61,11 +61,11 @@
     private final ControlMetrics metrics;
     private final DatabaseRegistry registry;
     private final FailureDetector detector;
-    private final DatabaseClients databases;
-    private final EffectRunner effects;
+    private final DatabaseClients databaseClients;
+    private final EffectRunner effectRunner;
     private final RenewalQueue renewals;
-    private final DutyThread<ControlEvent> duty;
-    private final VersionPusher pusher;
+    private final DutyThread<ControlEvent> eventLoop;
+    private final VersionPusher versionPusher;
 
     /** This member's leadership; null while another leads. */
     private LeaderSession session;
@@ -95,34 +95,35 @@
         this.clock = clock;
         this.timings = FailoverTimings.DEFAULT;
         this.metrics = metrics;
-        this.registry = new DatabaseRegistry(clock, REACHABLE_FOR, EXPIRY);
+        this.registry = new DatabaseRegistry(clock, REACHABLE_TIMEOUT, REGISTRY_EXPIRY);
         this.detector = new FailureDetector(clock, timings);
-        this.duty = new DutyThread<>("coordinator", RING_EVENTS, this::handle, TICK, this::tick);
-        this.databases = new DatabaseClients(transport, duty::offer, metrics);
-        this.pusher = new VersionPusher(clock);
-        this.renewals = new RenewalQueue(log, clock, duty::offer);
-        this.effects = new EffectRunner(registry, databases, new ProposalSender(log, clock, duty::offer, metrics));
+        this.eventLoop = new DutyThread<>("coordinator", RING_CAPACITY, this::handle, TICK_INTERVAL, this::tick);
+        this.databaseClients = new DatabaseClients(transport, eventLoop::offer, metrics);
+        this.versionPusher = new VersionPusher(clock);
+        this.renewals = new RenewalQueue(log, clock, eventLoop::offer);
+        this.effectRunner =
+                new EffectRunner(registry, databaseClients, new ProposalBatcher(log, clock, eventLoop::offer, metrics));
     }
 
     /** Starts the thread and follows the log's leadership. */
     public Coordinator start() {
-        log.onLeadershipChange(next -> duty.offer(new ControlEvent.LeadershipChanged(next)));
-        duty.offer(new ControlEvent.LeadershipChanged(log.leadership()));
-        duty.start();
+        log.onLeadershipChange(next -> eventLoop.offer(new ControlEvent.LeadershipChanged(next)));
+        eventLoop.offer(new ControlEvent.LeadershipChanged(log.leadership()));
+        eventLoop.start();
         return this;
     }
 
     /** The topology as this leader publishes it, without control's own members. Fails with NOT_LEADER. */
     public CompletableFuture<Topology> topology() {
         CompletableFuture<Topology> answer = new CompletableFuture<>();
-        offer(new ControlEvent.TopologyAsked(answer), answer);
+        offer(new ControlEvent.TopologyRequested(answer), answer);
         return answer;
     }
 
     /** Asks for another primary. Completes when the promotion is under way. Fails with NOT_LEADER, UNKNOWN_GROUP. */
-    public CompletableFuture<Void> handOver(String group, Optional<String> databaseId) {
+    public CompletableFuture<Void> requestHandover(String group, Optional<String> databaseId) {
         CompletableFuture<Void> answer = new CompletableFuture<>();
-        offer(new ControlEvent.HandoverAsked(group, databaseId, answer), answer);
+        offer(new ControlEvent.HandoverRequested(group, databaseId, answer), answer);
         return answer;
     }
 
@@ -135,7 +136,7 @@
         RenewView renew = request.getRenewView();
         LiveProxy proxy = ViewMessages.proxy(renew.getProxy());
         Renewal renewal = new Renewal(renew, proxy, clock.instant(), connection, answer);
-        if (!duty.offer(renewal)) {
+        if (!eventLoop.offer(renewal)) {
             refuse(answer, FailureType.RING_FULL, "coordinator");
         }
     }
@@ -148,75 +149,75 @@
         try {
             AnnouncedDatabase database = ViewMessages.announced(push.getAnnounce());
             connection.attach(database.databaseId());
-            if (!duty.offer(new ControlEvent.Announced(database))) {
-                metrics.refused(FailureType.RING_FULL);
+            if (!eventLoop.offer(new ControlEvent.DatabaseAnnounced(database))) {
+                metrics.countFailure(FailureType.RING_FULL);
             }
         } catch (FailureException e) {
-            metrics.refused(e.type());
+            metrics.countFailure(e.type());
         }
     }
 
     @Override
     public void onClose(PeerConnection connection) {
         if (connection.attachment() instanceof String) {
-            duty.offer(new ControlEvent.AnnouncerClosed((String) connection.attachment()));
+            eventLoop.offer(new ControlEvent.AnnouncingConnectionClosed((String) connection.attachment()));
         }
     }
 
     @Override
     public void close() {
-        duty.close();
+        eventLoop.close();
     }
 
     private void offer(ControlEvent event, CompletableFuture<?> answer) {
-        if (!duty.offer(event)) {
+        if (!eventLoop.offer(event)) {
             answer.completeExceptionally(new FailureException(FailureType.RING_FULL, "coordinator"));
         }
     }
 
     private void handle(ControlEvent event) {
-        if (event instanceof ControlEvent.Announced announced) {
-            announced(announced.database());
+        if (event instanceof ControlEvent.DatabaseAnnounced announced) {
+            handleAnnouncement(announced.database());
         } else if (event instanceof Renewal renewal) {
-            renew(renewal);
-        } else if (event instanceof LeadershipChecked check) {
-            checked(check);
+            handleRenewal(renewal);
+        } else if (event instanceof LeadershipCheckCompleted check) {
+            handleLeadershipCheck(check);
         } else if (event instanceof ControlEvent.LeadershipChanged changed) {
-            leadershipChanged(changed.leadership());
-        } else if (event instanceof ControlEvent.TopologyAsked asked) {
+            handleLeadershipChange(changed.leadership());
+        } else if (event instanceof ControlEvent.TopologyRequested asked) {
             answerTopology(asked.answer());
-        } else if (event instanceof ControlEvent.HandoverAsked asked) {
-            handOver(asked);
+        } else if (event instanceof ControlEvent.HandoverRequested asked) {
+            requestHandover(asked);
         } else {
-            databaseEvent(event);
+            handleDatabaseEvent(event);
         }
     }
 
-    private void databaseEvent(ControlEvent event) {
-        if (event instanceof ControlEvent.Reported reported) {
-            reported(reported.status());
+    private void handleDatabaseEvent(ControlEvent event) {
+        if (event instanceof ControlEvent.StatusReported reported) {
+            recordStatus(reported.status());
         } else if (event instanceof ControlEvent.BecamePrimary promoted) {
-            becamePrimary(promoted);
-        } else if (event instanceof ControlEvent.Refused refused) {
+            handleBecamePrimary(promoted);
+        } else if (event instanceof ControlEvent.ConnectionRefused refused) {
             detector.recordConnectionFailure(refused.databaseId());
-        } else if (event instanceof ControlEvent.AnnouncerClosed closed) {
+        } else if (event instanceof ControlEvent.AnnouncingConnectionClosed closed) {
             probe(closed.databaseId());
         } else if (session != null) {
-            sessionEvent(event);
+            handleSessionEvent(event);
             step();
         }
     }
 
-    private void sessionEvent(ControlEvent event) {
-        if (event instanceof ControlEvent.Followed followed) {
-            reported(followed.status());
+    private void handleSessionEvent(ControlEvent event) {
+        if (event instanceof ControlEvent.FollowConfirmed followed) {
+            recordStatus(followed.status());
             DatabaseStatus status = followed.status();
             session.group(followed.group())
                     .ifPresent(group ->
                             group.failover().onFollowing(status.databaseId(), status.incarnation(), followed.term()));
         } else if (event instanceof ControlEvent.PromoteRefused refused) {
             session.group(refused.group()).ifPresent(group -> group.failover().onPromoteRefused(refused.term()));
-        } else if (event instanceof ControlEvent.ProposalEnded ended && ended.leaderTerm() == leadership.term()) {
+        } else if (event instanceof ControlEvent.ProposalCompleted ended && ended.leaderTerm() == leadership.term()) {
             session.update(state.get());
             ended.groups()
                     .forEach(name -> session.group(name)
@@ -224,7 +225,7 @@
         }
     }
 
-    private void announced(AnnouncedDatabase database) {
+    private void handleAnnouncement(AnnouncedDatabase database) {
         Set<String> changed = registry.announce(database);
         if (!registry.isCurrent(database.status())) {
             return;
@@ -236,7 +237,7 @@
         }
     }
 
-    private void reported(DatabaseStatus status) {
+    private void recordStatus(DatabaseStatus status) {
         registry.report(status);
         if (registry.isCurrent(status)) {
             detector.recordContact(status.databaseId());
@@ -249,11 +250,11 @@
         });
     }
 
-    private void becamePrimary(ControlEvent.BecamePrimary event) {
+    private void handleBecamePrimary(ControlEvent.BecamePrimary event) {
         registry.find(event.databaseId())
                 .map(AnnouncedDatabase::status)
                 .filter(status -> status.incarnation() == event.incarnation())
-                .ifPresent(status -> reported(new DatabaseStatus(
+                .ifPresent(status -> recordStatus(new DatabaseStatus(
                         status.databaseId(),
                         status.incarnation(),
                         event.term(),
@@ -264,58 +265,58 @@
                         status.trusted())));
     }
 
-    private void renew(Renewal renewal) {
+    private void handleRenewal(Renewal renewal) {
         if (session == null) {
             refuseNotLeader(renewal.answer());
             return;
         }
         renewals.add(renewal);
-        renewals.check(leadership.term());
+        renewals.startCheck(leadership.term());
     }
 
-    private void checked(LeadershipChecked check) {
-        renewals.checkEnded();
+    private void handleLeadershipCheck(LeadershipCheckCompleted check) {
+        renewals.completeCheck();
         boolean stillLeading = session != null && check.leaderTerm() == leadership.term() && check.confirmed();
         if (!stillLeading) {
             check.renewals().forEach(renewal -> refuseNotLeader(renewal.answer()));
-            renewals.check(leadership.term());
+            renewals.startCheck(leadership.term());
             return;
         }
         session.update(state.get());
         session.publish();
         check.renewals().forEach(this::grant);
-        renewals.check(leadership.term());
+        renewals.startCheck(leadership.term());
         step();
     }
 
     /** A proxy that just learned of a promotion is called again at once, so that it confirms without waiting. */
     private void grant(Renewal renewal) {
         LiveProxy proxy = renewal.proxy();
-        session.observe(renewal.request(), proxy);
-        pusher.add(proxy.proxyId(), renewal.connection());
+        session.recordRenewal(renewal.request(), proxy);
+        versionPusher.register(proxy.proxyId(), renewal.connection());
         long held = session.view().heldVersion(renewal.request());
         ViewLease lease = session.grant(renewal.request(), proxy, renewal.arrivedAt());
         renewal.answer().accept(Envelope.newBuilder().setViewLease(lease).build());
-        if (lease.getViewVersion() > held && session.awaitsConfirmation()) {
+        if (lease.getViewVersion() > held && session.hasPromotionInProgress()) {
             VersionPusher.push(renewal.connection(), lease.getViewVersion());
         }
     }
 
-    private void leadershipChanged(Leadership next) {
+    private void handleLeadershipChange(Leadership next) {
         boolean gained = next.isLeader() && (session == null || next.term() != leadership.term());
         leadership = next;
         if (gained) {
             LOG.log(Level.INFO, "leading the control log at term {0}", next.term());
             session = new LeaderSession(next.term(), lease, clock, timings, registry, detector, metrics);
             session.update(state.get());
-            pusher.restart();
+            versionPusher.reset();
             step();
         } else if (!next.isLeader() && session != null) {
             LOG.log(Level.INFO, "no longer leading the control log, term {0}", next.term());
             session = null;
-            pusher.clear();
+            versionPusher.clear();
             renewals.takeAll().forEach(renewal -> refuseNotLeader(renewal.answer()));
-            metrics.state(false, 0, 0);
+            metrics.setLeaderState(false, 0, 0);
         }
     }
 
@@ -325,20 +326,20 @@
         if (session != null) {
             session.markChanged(changed);
             session.update(state.get());
-            renewals.check(leadership.term());
-            session.silentPrimaries().forEach(databases::probe);
+            renewals.startCheck(leadership.term());
+            session.silentPrimariesToProbe().forEach(databaseClients::probe);
             step();
         }
     }
 
     private void step() {
-        effects.run(session.step(), leadership.term());
-        pusher.push(session.view().version());
+        effectRunner.run(session.step(), leadership.term());
+        versionPusher.push(session.view().version());
     }
 
     private void probe(String databaseId) {
         if (session != null) {
-            registry.find(databaseId).filter(session::isProbeDue).ifPresent(databases::probe);
+            registry.find(databaseId).filter(session::markProbedIfDue).ifPresent(databaseClients::probe);
         }
     }
 
@@ -356,7 +357,7 @@
                 .build());
     }
 
-    private void handOver(ControlEvent.HandoverAsked asked) {
+    private void requestHandover(ControlEvent.HandoverRequested asked) {
         Optional<GroupState> group = session == null ? Optional.empty() : session.group(asked.group());
         if (session == null) {
             asked.answer().completeExceptionally(notLeader());
@@ -376,12 +377,12 @@
     }
 
     private void refuseNotLeader(Consumer<Envelope> answer) {
-        metrics.refused(FailureType.NOT_LEADER);
+        metrics.countFailure(FailureType.NOT_LEADER);
         answer.accept(Envelopes.failureEnvelope(notLeader()));
     }
 
     private void refuse(Consumer<Envelope> answer, FailureType type, String detail) {
-        metrics.refused(type);
+        metrics.countFailure(type);
         answer.accept(Envelopes.failureEnvelope(new FailureException(type, detail)));
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/failover/DatabaseClients.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/DatabaseClients.java
@@ -51,9 +51,9 @@
                 Envelope.newBuilder().setFence(Fence.newBuilder().setTerm(term)).build();
         send("fence", database, request).whenComplete((answer, error) -> {
             if (error == null) {
-                events.accept(new ControlEvent.Reported(
+                events.accept(new ControlEvent.StatusReported(
                         ViewMessages.status(answer.getFenced().getReport())));
-            } else if (failed(database, error) == FailureType.WRONG_TERM) {
+            } else if (recordFailure(database, error) == FailureType.WRONG_TERM) {
                 probe(database);
             }
         });
@@ -71,7 +71,7 @@
                         database.status().incarnation(),
                         term,
                         Envelopes.position(answer.getPromoted().getMarker())));
-            } else if (failed(database, error) == FailureType.WRONG_TERM) {
+            } else if (recordFailure(database, error) == FailureType.WRONG_TERM) {
                 events.accept(new ControlEvent.PromoteRefused(database.group(), term));
             }
         });
@@ -88,11 +88,11 @@
         send("follow", database, request).whenComplete((answer, error) -> {
             if (error == null) {
                 Following following = answer.getFollowing();
-                metrics.setAside(following.getEntriesSetAside());
-                events.accept(
-                        new ControlEvent.Followed(database.group(), ViewMessages.status(following.getReport()), term));
+                metrics.countEntriesSetAside(following.getEntriesSetAside());
+                events.accept(new ControlEvent.FollowConfirmed(
+                        database.group(), ViewMessages.status(following.getReport()), term));
             } else {
-                failed(database, error);
+                recordFailure(database, error);
             }
         });
     }
@@ -106,7 +106,7 @@
             if (error == null) {
                 probe(database);
             } else {
-                failed(database, error);
+                recordFailure(database, error);
             }
         });
     }
@@ -117,7 +117,7 @@
                 .setSubscribe(Subscribe.newBuilder().setHeartbeatMs(NO_HEARTBEAT_MS))
                 .build();
         PeerHandler handler = (connection, frame, answer) -> refuseRequest(answer);
-        metrics.commandSent("probe");
+        metrics.countCommand("probe");
         long startedNs = System.nanoTime();
         transport
                 .connect(ViewMessages.wire(database.address()), CONNECT_TIMEOUT, handler)
@@ -126,24 +126,24 @@
                         .whenComplete((answer, error) -> connection.close()))
                 .whenComplete((answer, error) -> {
                     if (error == null) {
-                        events.accept(new ControlEvent.Reported(
+                        events.accept(new ControlEvent.StatusReported(
                                 ViewMessages.status(answer.getSubscribed().getReport())));
                     } else {
                         boolean atOnce = System.nanoTime() - startedNs < CONNECT_TIMEOUT.toNanos();
-                        if (failed(database, error) == FailureType.CONNECTION_REFUSED && atOnce) {
-                            events.accept(new ControlEvent.Refused(database.databaseId()));
+                        if (recordFailure(database, error) == FailureType.CONNECTION_REFUSED && atOnce) {
+                            events.accept(new ControlEvent.ConnectionRefused(database.databaseId()));
                         }
                     }
                 });
     }
 
     private CompletableFuture<Envelope> send(String kind, AnnouncedDatabase database, Envelope request) {
-        metrics.commandSent(kind);
-        return connection(ViewMessages.wire(database.address()))
+        metrics.countCommand(kind);
+        return openConnection(ViewMessages.wire(database.address()))
                 .thenCompose(connection -> connection.request(request, COMMAND_TIMEOUT));
     }
 
-    private CompletableFuture<PeerConnection> connection(Endpoint endpoint) {
+    private CompletableFuture<PeerConnection> openConnection(Endpoint endpoint) {
         CompletableFuture<PeerConnection> known = connections.get(endpoint);
         boolean usable = known != null
                 && !known.isCompletedExceptionally()
@@ -157,9 +157,9 @@
         return opened;
     }
 
-    private FailureType failed(AnnouncedDatabase database, Throwable error) {
+    private FailureType recordFailure(AnnouncedDatabase database, Throwable error) {
         FailureType type = FailureException.of(error).type();
-        metrics.refused(type);
+        metrics.countFailure(type);
         if (type == FailureType.CONNECTION_REFUSED) {
             connections.remove(ViewMessages.wire(database.address()));
         }
--- a/control/src/main/java/org/hornbeamspread/control/failover/EffectRunner.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/EffectRunner.java
@@ -10,9 +10,9 @@
 final class EffectRunner {
     private final DatabaseRegistry registry;
     private final DatabaseClients databases;
-    private final ProposalSender proposals;
+    private final ProposalBatcher proposals;
 
-    EffectRunner(DatabaseRegistry registry, DatabaseClients databases, ProposalSender proposals) {
+    EffectRunner(DatabaseRegistry registry, DatabaseClients databases, ProposalBatcher proposals) {
         this.registry = registry;
         this.databases = databases;
         this.proposals = proposals;
--- a/control/src/main/java/org/hornbeamspread/control/failover/GroupState.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/GroupState.java
@@ -90,7 +90,7 @@
     }
 
     /** Whether a promotion is under way or due. */
-    boolean isActive() {
+    boolean isPromotionPending() {
         return !record.writable();
     }
 
@@ -99,7 +99,7 @@
     }
 
     /** Whether the view may be out of date; false from then on. */
-    boolean takeChanged() {
+    boolean getAndClearChanged() {
         boolean was = changed;
         changed = false;
         return was;
--- a/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
@@ -46,9 +46,9 @@
  * coordinator. Confined to the coordinator's thread.
  */
 final class LeaderSession {
-    private static final Duration QUIET_STEP_INTERVAL = Duration.ofMillis(100);
-    private static final int PROBE_DIVISOR = 3;
-    private static final int PROBE_NUMERATOR = 2;
+    private static final Duration IDLE_GROUP_STEP_INTERVAL = Duration.ofMillis(100);
+    private static final int PROBE_SILENCE_DENOMINATOR = 3;
+    private static final int PROBE_SILENCE_NUMERATOR = 2;
 
     private final Clock clock;
     private final FailoverTimings timings;
@@ -59,21 +59,21 @@
     private final ViewPublisher view;
     private final HolderAssignment holders;
     private final Map<String, GroupState> groups = new LinkedHashMap<>();
-    private final Map<String, Instant> probedAt = new HashMap<>();
+    private final Map<String, Instant> lastProbeTimes = new HashMap<>();
 
     /** The log's state that the groups were last brought up to; null before the first. */
-    private ControlState state;
+    private ControlState appliedState;
 
-    private Set<String> departingByOrder = Set.of();
+    private Set<String> departingByOperator = Set.of();
     private HolderCandidates candidates = new HolderCandidates(List.of());
 
     /** Whether some database waits for a holder or for the release by its old one. */
-    private boolean holdersUnsettled = true;
+    private boolean holderAssignmentPending = true;
 
     /** Whether proxies came, went or changed since the last step; many that come together cost one assignment. */
     private boolean proxiesChanged;
 
-    private Instant quietStepAt = Instant.EPOCH;
+    private Instant idleGroupsSteppedAt = Instant.EPOCH;
 
     LeaderSession(
             long leaderTerm,
@@ -101,17 +101,17 @@
     }
 
     /** Whether a promotion waits until the proxies have confirmed its term. */
-    boolean awaitsConfirmation() {
+    boolean hasPromotionInProgress() {
         return groups.values().stream()
-                .anyMatch(group -> group.isActive() && group.record().term() > 0);
+                .anyMatch(group -> group.isPromotionPending() && group.record().term() > 0);
     }
 
     /** Brings the groups up to the log's state. */
     void update(ControlState next) {
-        if (next.equals(state)) {
+        if (next.equals(appliedState)) {
             return;
         }
-        state = next;
+        appliedState = next;
         Map<String, GroupRecord> records = new HashMap<>();
         for (GroupTerm term : next.getGroupsList()) {
             records.put(term.getGroup(), ViewMessages.record(term));
@@ -122,8 +122,8 @@
                         .computeIfAbsent(database.getGroup(), name -> new ArrayList<>())
                         .add(ViewMessages.registration(database)));
         Set<String> departing = Set.copyOf(next.getDepartingDatabaseIdsList());
-        if (!departing.equals(departingByOrder)) {
-            departingByOrder = departing;
+        if (!departing.equals(departingByOperator)) {
+            departingByOperator = departing;
             groups.values().forEach(GroupState::markChanged);
         }
         view.publish(next.getConfiguration());
@@ -146,11 +146,11 @@
     /** The groups' descriptions changed in the registry. */
     void markChanged(Collection<String> names) {
         names.forEach(name -> group(name).ifPresent(GroupState::markChanged));
-        holdersUnsettled |= !names.isEmpty();
+        holderAssignmentPending |= !names.isEmpty();
     }
 
     /** Takes in what a proxy says with its renewal. */
-    void observe(RenewView request, LiveProxy proxy) {
+    void recordRenewal(RenewView request, LiveProxy proxy) {
         view.leases().confirm(proxy.proxyId(), view.heldVersion(request));
         for (DatabaseObservation observation : request.getObservationsList()) {
             boolean current = registry.find(observation.getDatabaseId())
@@ -165,7 +165,7 @@
             }
         }
         if (view.leases().earlierLeasesMayRun()) {
-            adoptHoldings(request, proxy);
+            adoptHeldDatabases(request, proxy);
         }
     }
 
@@ -173,7 +173,7 @@
     ViewLease grant(RenewView request, LiveProxy proxy, Instant arrivedAt) {
         Optional<LiveProxy> known = view.leases().find(proxy.proxyId());
         ViewLease answer = view.grant(proxy, request, arrivedAt);
-        metrics.leaseGranted(answer.getFull());
+        metrics.countLease(answer.getFull());
         proxiesChanged |= known.filter(proxy::describesSame).isEmpty();
         return answer;
     }
@@ -182,57 +182,57 @@
     Map<String, List<FailoverEffect>> step() {
         proxiesChanged |= !view.leases().expire().isEmpty();
         Instant now = clock.instant();
-        boolean quietStep = !now.isBefore(quietStepAt.plus(QUIET_STEP_INTERVAL));
+        boolean quietStep = !now.isBefore(idleGroupsSteppedAt.plus(IDLE_GROUP_STEP_INTERVAL));
         if (quietStep) {
-            quietStepAt = now;
+            idleGroupsSteppedAt = now;
         }
         publish();
         long oldestVersion = view.leases().oldestVersion();
         Map<String, List<FailoverEffect>> effects = new LinkedHashMap<>();
         for (GroupState group : groups.values()) {
-            if (quietStep || group.isActive()) {
-                List<FailoverEffect> next = group.failover().step(input(group, oldestVersion));
+            if (quietStep || group.isPromotionPending()) {
+                List<FailoverEffect> next = group.failover().step(failoverInput(group, oldestVersion));
                 if (!next.isEmpty()) {
                     effects.put(group.name(), next);
                 }
             }
         }
-        metrics.state(true, view.leases().size(), view.version());
+        metrics.setLeaderState(true, view.leases().size(), view.version());
         return effects;
     }
 
     /** Publishes whatever changed. */
     void publish() {
-        updateProxies();
+        publishChangedProxies();
         assignHolders();
         for (GroupState group : groups.values()) {
-            if (group.takeChanged()) {
+            if (group.getAndClearChanged()) {
                 view.publish(groupView(group));
             }
         }
     }
 
     /** Primaries that have been silent for a while and were not asked lately. */
-    List<AnnouncedDatabase> silentPrimaries() {
-        long limitMs = timings.heartbeatTimeoutMs() * PROBE_NUMERATOR / PROBE_DIVISOR;
+    List<AnnouncedDatabase> silentPrimariesToProbe() {
+        long limitMs = timings.heartbeatTimeoutMs() * PROBE_SILENCE_NUMERATOR / PROBE_SILENCE_DENOMINATOR;
         List<AnnouncedDatabase> silent = new ArrayList<>();
         for (GroupState group : groups.values()) {
             Optional<String> primaryId = group.record().primaryId();
             if (primaryId.isPresent() && detector.silence(primaryId.get()).toMillis() > limitMs) {
-                registry.find(primaryId.get()).filter(this::isProbeDue).ifPresent(silent::add);
+                registry.find(primaryId.get()).filter(this::markProbedIfDue).ifPresent(silent::add);
             }
         }
         return silent;
     }
 
     /** Whether a primary may be asked for its status now. */
-    boolean isProbeDue(AnnouncedDatabase database) {
+    boolean markProbedIfDue(AnnouncedDatabase database) {
         Instant now = clock.instant();
-        Instant last = probedAt.get(database.databaseId());
+        Instant last = lastProbeTimes.get(database.databaseId());
         if (last != null && now.isBefore(last.plusMillis(timings.retryMs()))) {
             return false;
         }
-        probedAt.put(database.databaseId(), now);
+        lastProbeTimes.put(database.databaseId(), now);
         return true;
     }
 
@@ -240,7 +240,7 @@
         return new GroupState(definition, new GroupFailover(clock, rules, timings, metrics));
     }
 
-    private void adoptHoldings(RenewView request, LiveProxy proxy) {
+    private void adoptHeldDatabases(RenewView request, LiveProxy proxy) {
         for (HeldDatabase held : request.getHeldList()) {
             Optional<AnnouncedDatabase> database = registry.find(held.getDatabaseId());
             if (database.isPresent() && holders.adopt(held.getDatabaseId(), proxy.proxyId(), held.getHolderEpoch())) {
@@ -249,22 +249,22 @@
         }
     }
 
-    private void updateProxies() {
+    private void publishChangedProxies() {
         if (!proxiesChanged) {
             return;
         }
         proxiesChanged = false;
         candidates = new HolderCandidates(view.leases().living());
         view.publishProxies();
-        holdersUnsettled = true;
+        holderAssignmentPending = true;
     }
 
     private void assignHolders() {
         boolean mayAssign = !view.leases().earlierLeasesMayRun();
-        if (!holdersUnsettled || !mayAssign) {
+        if (!holderAssignmentPending || !mayAssign) {
             return;
         }
-        holdersUnsettled = false;
+        holderAssignmentPending = false;
         for (GroupState group : groups.values()) {
             for (AnnouncedDatabase database : group.databases(registry)) {
                 boolean changed = holders.step(
@@ -276,12 +276,12 @@
                 if (changed) {
                     group.markChanged();
                 }
-                holdersUnsettled |= !holders.isSettled(database.databaseId());
+                holderAssignmentPending |= !holders.isSettled(database.databaseId());
             }
         }
     }
 
-    private FailoverInput input(GroupState group, long oldestVersion) {
+    private FailoverInput failoverInput(GroupState group, long oldestVersion) {
         List<AnnouncedDatabase> databases = group.databases(registry);
         int recent = group.failover().recentPromotions();
         Map<String, Long> suspected = new HashMap<>();
@@ -303,26 +303,26 @@
                 statuses,
                 group.registrations(),
                 suspected,
-                group.departing(databases, departingByOrder),
+                group.departing(databases, departingByOperator),
                 regions,
                 () -> oldestVersion >= neededVersion);
     }
 
     private GroupView groupView(GroupState group) {
         List<AnnouncedDatabase> databases = group.databases(registry);
-        Set<String> departing = group.departing(databases, departingByOrder);
+        Set<String> departing = group.departing(databases, departingByOperator);
         GroupView.Builder wire = GroupView.newBuilder()
                 .setGroup(group.name())
                 .setTerm(group.record().term())
                 .setPrimaryId(group.record().primaryId().orElse(""))
                 .setWritable(group.record().writable());
         for (AnnouncedDatabase database : databases) {
-            wire.addDatabases(entry(group, database, departing.contains(database.databaseId())));
+            wire.addDatabases(databaseEntry(group, database, departing.contains(database.databaseId())));
         }
         return wire.build();
     }
 
-    private DatabaseEntry entry(GroupState group, AnnouncedDatabase database, boolean departing) {
+    private DatabaseEntry databaseEntry(GroupState group, AnnouncedDatabase database, boolean departing) {
         String databaseId = database.databaseId();
         return DatabaseEntry.newBuilder()
                 .setDatabaseId(databaseId)
--- a/control/src/main/java/org/hornbeamspread/control/failover/ProposalSender.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/ProposalBatcher.java
@@ -18,17 +18,17 @@
  * Gathers the appends of one step of all groups into one log record of each kind, so that the loss of a failure domain
  * costs few records. Confined to the coordinator's thread.
  */
-final class ProposalSender {
+final class ProposalBatcher {
     private final ReplicatedLog log;
     private final Clock clock;
     private final Consumer<ControlEvent> events;
     private final ControlMetrics metrics;
-    private SetGroupTerms.Builder terms = SetGroupTerms.newBuilder();
+    private SetGroupTerms.Builder groupTerms = SetGroupTerms.newBuilder();
     private RegisterDatabases.Builder registrations = RegisterDatabases.newBuilder();
-    private List<String> termGroups = new ArrayList<>();
+    private List<String> groupTermGroups = new ArrayList<>();
     private List<String> registrationGroups = new ArrayList<>();
 
-    ProposalSender(ReplicatedLog log, Clock clock, Consumer<ControlEvent> events, ControlMetrics metrics) {
+    ProposalBatcher(ReplicatedLog log, Clock clock, Consumer<ControlEvent> events, ControlMetrics metrics) {
         this.log = log;
         this.clock = clock;
         this.events = events;
@@ -36,8 +36,8 @@
     }
 
     void add(AppendRecord append) {
-        terms.addGroups(ViewMessages.wire(append.nextRecord(), append.expectedTerm()));
-        termGroups.add(append.nextRecord().group());
+        groupTerms.addGroups(ViewMessages.wire(append.nextRecord(), append.expectedTerm()));
+        groupTermGroups.add(append.nextRecord().group());
     }
 
     void add(String group, AppendRegistrations append) {
@@ -53,10 +53,10 @@
             registrations = RegisterDatabases.newBuilder();
             registrationGroups = new ArrayList<>();
         }
-        if (!termGroups.isEmpty()) {
-            propose(command().setSetGroupTerms(terms), leaderTerm, termGroups);
-            terms = SetGroupTerms.newBuilder();
-            termGroups = new ArrayList<>();
+        if (!groupTermGroups.isEmpty()) {
+            propose(command().setSetGroupTerms(groupTerms), leaderTerm, groupTermGroups);
+            groupTerms = SetGroupTerms.newBuilder();
+            groupTermGroups = new ArrayList<>();
         }
     }
 
@@ -66,16 +66,16 @@
 
     private void propose(ControlCommand.Builder command, long leaderTerm, List<String> groups) {
         log.propose(command.build()).whenComplete((result, error) -> {
-            count(result, error);
-            events.accept(new ControlEvent.ProposalEnded(leaderTerm, groups));
+            countFailure(result, error);
+            events.accept(new ControlEvent.ProposalCompleted(leaderTerm, groups));
         });
     }
 
-    private void count(CommandResult result, Throwable error) {
+    private void countFailure(CommandResult result, Throwable error) {
         if (error != null) {
-            metrics.refused(FailureException.of(error).type());
+            metrics.countFailure(FailureException.of(error).type());
         } else {
-            result.failure().ifPresent(failure -> metrics.refused(failure.type()));
+            result.failure().ifPresent(failure -> metrics.countFailure(failure.type()));
         }
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/failover/RenewalQueue.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/RenewalQueue.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.hornbeamspread.control.ReplicatedLog;
-import org.hornbeamspread.control.failover.ControlEvent.LeadershipChecked;
+import org.hornbeamspread.control.failover.ControlEvent.LeadershipCheckCompleted;
 import org.hornbeamspread.control.failover.ControlEvent.Renewal;
 
 /**
@@ -20,10 +20,10 @@
     private final ReplicatedLog log;
     private final Clock clock;
     private final Consumer<ControlEvent> events;
-    private List<Renewal> waiting = new ArrayList<>();
+    private List<Renewal> pending = new ArrayList<>();
 
     /** When the running check counts as lost; null while none runs. */
-    private Instant checkEndsAt;
+    private Instant checkDeadline;
 
     RenewalQueue(ReplicatedLog log, Clock clock, Consumer<ControlEvent> events) {
         this.log = log;
@@ -32,31 +32,32 @@
     }
 
     void add(Renewal renewal) {
-        waiting.add(renewal);
+        pending.add(renewal);
     }
 
     /** Starts a check if renewals wait and none runs; LeadershipChecked tells its outcome. */
-    void check(long leaderTerm) {
+    void startCheck(long leaderTerm) {
         Instant now = clock.instant();
-        boolean running = checkEndsAt != null && now.isBefore(checkEndsAt);
-        if (running || waiting.isEmpty()) {
+        boolean running = checkDeadline != null && now.isBefore(checkDeadline);
+        if (running || pending.isEmpty()) {
             return;
         }
-        checkEndsAt = now.plus(CHECK_TIMEOUT);
+        checkDeadline = now.plus(CHECK_TIMEOUT);
         List<Renewal> batch = takeAll();
         log.confirmLeadership()
-                .whenComplete((done, error) -> events.accept(new LeadershipChecked(leaderTerm, error == null, batch)));
+                .whenComplete(
+                        (done, error) -> events.accept(new LeadershipCheckCompleted(leaderTerm, error == null, batch)));
     }
 
     /** The running check told its outcome. */
-    void checkEnded() {
-        checkEndsAt = null;
+    void completeCheck() {
+        checkDeadline = null;
     }
 
     /** Empties the queue. */
     List<Renewal> takeAll() {
-        List<Renewal> all = waiting;
-        waiting = new ArrayList<>();
+        List<Renewal> all = pending;
+        pending = new ArrayList<>();
         return all;
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/failover/VersionPusher.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/VersionPusher.java
@@ -17,23 +17,23 @@
     private final Map<String, PeerConnection> connections = new HashMap<>();
 
     /** No push to all before this time. */
-    private Instant nextPushAt = Instant.EPOCH;
+    private Instant earliestNextPush = Instant.EPOCH;
 
     /** The version that all were last told of. */
-    private long toldVersion;
+    private long lastPushedVersion;
 
     VersionPusher(Clock clock) {
         this.clock = clock;
     }
 
     /** Tells a proxy from now on, over the connection that it last renewed on. */
-    void add(String proxyId, PeerConnection connection) {
+    void register(String proxyId, PeerConnection connection) {
         connections.put(proxyId, connection);
     }
 
     /** Another leader's versions begin anew: all are to be told. */
-    void restart() {
-        toldVersion = 0;
+    void reset() {
+        lastPushedVersion = 0;
     }
 
     /** Forgets the proxies. */
@@ -44,11 +44,11 @@
     /** Tells all of a version, unless they know it or were told of another one just now. */
     void push(long version) {
         Instant now = clock.instant();
-        if (version == toldVersion || now.isBefore(nextPushAt)) {
+        if (version == lastPushedVersion || now.isBefore(earliestNextPush)) {
             return;
         }
-        toldVersion = version;
-        nextPushAt = now.plus(PUSH_INTERVAL);
+        lastPushedVersion = version;
+        earliestNextPush = now.plus(PUSH_INTERVAL);
         connections.values().removeIf(connection -> !connection.isOpen());
         connections.values().forEach(connection -> push(connection, version));
     }
--- a/control/src/main/java/org/hornbeamspread/control/operations/Operations.java
+++ b/control/src/main/java/org/hornbeamspread/control/operations/Operations.java
@@ -179,7 +179,7 @@
         Optional<String> databaseId =
                 request.getDatabaseId().isEmpty() ? Optional.empty() : Optional.of(request.getDatabaseId());
         return log.confirmLeadership()
-                .thenCompose(done -> coordinator.handOver(request.getGroup(), databaseId))
+                .thenCompose(done -> coordinator.requestHandover(request.getGroup(), databaseId))
                 .thenApply(done -> OperationResponse.getDefaultInstance());
     }
 
@@ -225,7 +225,7 @@
     }
 
     private FailureException counted(FailureException failure) {
-        metrics.refused(failure.type());
+        metrics.countFailure(failure.type());
         return failure;
     }
 
--- a/control/src/main/java/org/hornbeamspread/control/view/ClusterGuard.java
+++ b/control/src/main/java/org/hornbeamspread/control/view/ClusterGuard.java
@@ -50,7 +50,7 @@
     private boolean isForeign(String sender) {
         boolean foreign = !clusterId.equals(sender);
         if (foreign) {
-            metrics.refused(FailureType.WRONG_CLUSTER);
+            metrics.countFailure(FailureType.WRONG_CLUSTER);
         }
         return foreign;
     }
--- a/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
@@ -40,15 +40,15 @@
 final class ControlFixture {
     static final String GROUP = "g1";
     static final Duration LEASE = Duration.ofSeconds(1);
-    private static final Duration STEP = Duration.ofMillis(20);
-    private static final int ANNOUNCE_STEPS = 15;
-    private static final List<String> DOMAINS = List.of("bole", "piassa", "sabian");
+    private static final Duration STEP_INTERVAL = Duration.ofMillis(20);
+    private static final int ANNOUNCE_INTERVAL_STEPS = 15;
+    private static final List<String> FAILURE_DOMAINS = List.of("bole", "piassa", "sabian");
 
     final PausedClock clock = new PausedClock();
     final List<FakeDatabase> databases = new ArrayList<>();
     final List<FakeProxy> proxies = new ArrayList<>();
-    final ControlStateMachine log = new ControlStateMachine();
-    final List<GroupRecord> appended = new ArrayList<>();
+    final ControlStateMachine stateMachine = new ControlStateMachine();
+    final List<GroupRecord> appendedRecords = new ArrayList<>();
     private final DatabaseRegistry registry =
             new DatabaseRegistry(clock, Duration.ofSeconds(1), Duration.ofSeconds(30));
     private final FailureDetector detector = new FailureDetector(clock, FailoverTimings.DEFAULT);
@@ -56,11 +56,11 @@
     private LeaderSession session;
     private long leaderTerm;
     private long steps;
-    private long records;
+    private long lastIndex;
 
     ControlFixture() {
-        DOMAINS.forEach(domain -> databases.add(new FakeDatabase("d-" + domain, domain)));
-        DOMAINS.forEach(domain -> proxies.add(new FakeProxy("p-" + domain, domain, clock)));
+        FAILURE_DOMAINS.forEach(domain -> databases.add(new FakeDatabase("d-" + domain, domain)));
+        FAILURE_DOMAINS.forEach(domain -> proxies.add(new FakeProxy("p-" + domain, domain, clock)));
         apply(ControlCommand.newBuilder()
                 .setReplaceConfiguration(ReplaceConfiguration.newBuilder().setConfiguration(configuration())));
         changeLeader();
@@ -70,7 +70,7 @@
     void changeLeader() {
         leaderTerm++;
         session = new LeaderSession(leaderTerm, LEASE, clock, FailoverTimings.DEFAULT, registry, detector, metrics);
-        session.update(log.state());
+        session.update(stateMachine.state());
     }
 
     LeaderSession session() {
@@ -85,7 +85,7 @@
     }
 
     /** Runs until a term is open; returns how long that took. */
-    Duration runUntilOpen(long term, Duration limit) {
+    Duration runUntilWritable(long term, Duration limit) {
         Instant start = clock.instant();
         while (record().term() < term || !record().writable()) {
             step();
@@ -97,20 +97,20 @@
     }
 
     void step() {
-        clock.advance(STEP);
+        clock.advance(STEP_INTERVAL);
         steps++;
         detector.detectLocalPause();
         announce();
         renew();
         session.markChanged(registry.expire());
-        session.update(log.state());
-        session.silentPrimaries().forEach(database -> probe(database(database.databaseId())));
+        session.update(stateMachine.state());
+        session.silentPrimariesToProbe().forEach(database -> probe(database(database.databaseId())));
         session.step().forEach((group, effects) -> effects.forEach(this::run));
         checkInvariants();
     }
 
     GroupRecord record() {
-        return log.state().getGroupsList().stream()
+        return stateMachine.state().getGroupsList().stream()
                 .findFirst()
                 .map(ViewMessages::record)
                 .orElseGet(() -> GroupRecord.initial(GROUP));
@@ -153,7 +153,7 @@
     private void announce() {
         for (int i = 0; i < databases.size(); i++) {
             FakeDatabase database = databases.get(i);
-            if (database.answers() && steps % ANNOUNCE_STEPS == i) {
+            if (database.isResponsive() && steps % ANNOUNCE_INTERVAL_STEPS == i) {
                 session.markChanged(registry.announce(database.announcement(GROUP)));
                 detector.recordContact(database.id);
             }
@@ -163,81 +163,82 @@
     private void renew() {
         for (int i = 0; i < proxies.size(); i++) {
             FakeProxy proxy = proxies.get(i);
-            if (!proxy.cut && steps % ANNOUNCE_STEPS == i) {
-                RenewView request = proxy.request();
-                session.observe(request, ViewMessages.proxy(request.getProxy()));
+            if (!proxy.partitioned && steps % ANNOUNCE_INTERVAL_STEPS == i) {
+                RenewView request = proxy.renewalRequest();
+                session.recordRenewal(request, ViewMessages.proxy(request.getProxy()));
                 ViewLease answer = session.grant(request, ViewMessages.proxy(request.getProxy()), clock.instant());
-                if (!proxy.deaf) {
-                    proxy.receive(answer, clock.instant());
+                if (!proxy.responsesLost) {
+                    proxy.receiveLease(answer, clock.instant());
                 }
             }
         }
     }
 
     private void probe(FakeDatabase database) {
-        if (!database.running && !database.cut) {
+        if (!database.running && !database.partitioned) {
             detector.recordConnectionFailure(database.id);
-        } else if (database.answers()) {
-            reported(database);
+        } else if (database.isResponsive()) {
+            recordStatus(database);
         }
     }
 
     private void run(FailoverEffect effect) {
         if (effect instanceof FailoverEffect.AppendRecord append) {
-            appended.add(append.nextRecord());
+            appendedRecords.add(append.nextRecord());
             apply(ControlCommand.newBuilder()
                     .setSetGroupTerms(SetGroupTerms.newBuilder()
                             .addGroups(ViewMessages.wire(append.nextRecord(), append.expectedTerm()))));
-            proposalDone();
+            completeProposal();
         } else if (effect instanceof FailoverEffect.AppendRegistrations append) {
             RegisterDatabases.Builder register = RegisterDatabases.newBuilder();
             append.registrations().forEach(item -> register.addDatabases(ViewMessages.wire(item, GROUP)));
             apply(ControlCommand.newBuilder().setRegisterDatabases(register));
-            proposalDone();
+            completeProposal();
         } else {
-            command(effect);
+            sendCommand(effect);
         }
     }
 
-    private void command(FailoverEffect effect) {
+    private void sendCommand(FailoverEffect effect) {
         if (effect instanceof FailoverEffect.Fence fence
-                && database(fence.databaseId()).answers()) {
+                && database(fence.databaseId()).isResponsive()) {
             database(fence.databaseId()).fence(fence.term());
-            reported(database(fence.databaseId()));
+            recordStatus(database(fence.databaseId()));
         } else if (effect instanceof FailoverEffect.Promote promote
-                && database(promote.databaseId()).answers()) {
+                && database(promote.databaseId()).isResponsive()) {
             if (database(promote.databaseId()).promote(promote.term())) {
-                reported(database(promote.databaseId()));
+                recordStatus(database(promote.databaseId()));
             } else {
                 session.group(GROUP).orElseThrow().failover().onPromoteRefused(promote.term());
             }
         } else if (effect instanceof FailoverEffect.Follow follow
-                && database(follow.databaseId()).answers()) {
+                && database(follow.databaseId()).isResponsive()) {
             FakeDatabase database = database(follow.databaseId());
             if (database.follow(follow.term(), database(follow.primaryId()))) {
-                reported(database);
+                recordStatus(database);
                 session.group(GROUP)
                         .orElseThrow()
                         .failover()
                         .onFollowing(database.id, database.incarnation, follow.term());
             }
         } else if (effect instanceof FailoverEffect.Readmit readmit
-                && database(readmit.databaseId()).answers()) {
+                && database(readmit.databaseId()).isResponsive()) {
             database(readmit.databaseId()).readmit(readmit.term(), readmit.incarnation());
-            reported(database(readmit.databaseId()));
+            recordStatus(database(readmit.databaseId()));
         }
     }
 
-    private void reported(FakeDatabase database) {
+    private void recordStatus(FakeDatabase database) {
         registry.report(database.status());
         detector.recordContact(database.id);
         session.markChanged(List.of(GROUP));
     }
 
     private void apply(ControlCommand.Builder command) {
-        records++;
-        Optional<FailureException> refusal = log.apply(ControlRecord.newBuilder()
-                        .setIndex(records)
+        lastIndex++;
+        Optional<FailureException> refusal = stateMachine
+                .apply(ControlRecord.newBuilder()
+                        .setIndex(lastIndex)
                         .setTerm(leaderTerm)
                         .setCommand(command.setProposedAtMs(clock.millis()))
                         .build())
@@ -245,8 +246,8 @@
         assertThat(refusal).isEqualTo(Optional.empty());
     }
 
-    private void proposalDone() {
-        session.update(log.state());
+    private void completeProposal() {
+        session.update(stateMachine.state());
         session.group(GROUP).orElseThrow().failover().onProposalCompleted();
     }
 
--- a/control/src/test/java/org/hornbeamspread/control/failover/CoordinatorTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/CoordinatorTest.java
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aMalformedRenewalIsRefusedAlone() {
+    void aMalformedRenewalDoesNotAffectOtherRenewals() {
         log.leadership = new Leadership(3, Optional.of("c1"), true);
         log.confirmed = true;
         coordinator.start();
--- a/control/src/test/java/org/hornbeamspread/control/failover/FailoverScenarioTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/FailoverScenarioTest.java
@@ -19,19 +19,19 @@
 /** The fixture checks after each step that no proxy writes at an old term and that a database has one holder. */
 final class FailoverScenarioTest {
     private static final Duration START_LIMIT = Duration.ofSeconds(3);
-    private static final Duration GAP_LIMIT = Duration.ofSeconds(4);
-    private static final Duration LONG = Duration.ofSeconds(10);
+    private static final Duration OUTAGE_LIMIT = Duration.ofSeconds(4);
+    private static final Duration STABLE_PERIOD = Duration.ofSeconds(10);
 
     private final ControlFixture control = new ControlFixture();
 
     @BeforeEach
     void start() {
-        control.runUntilOpen(1, START_LIMIT);
+        control.runUntilWritable(1, START_LIMIT);
         control.run(Duration.ofSeconds(2));
     }
 
     @Test
-    void aFreshGroupHasOnePrimaryAndItsReplicasFollow() {
+    void aNewGroupHasOnePrimaryThatAllReplicasFollow() {
         assertThat(control.record().term()).isEqualTo(1);
         assertThat(control.primary().isPrimary(1)).isTrue();
         assertThat(control.replicas().allMatch(replica -> replica.followedTerm == 1))
@@ -40,38 +40,38 @@
                         .allMatch(proxy ->
                                 proxy.writableTerm(ControlFixture.GROUP).isPresent()))
                 .isTrue();
-        assertThat(control.appended.stream().map(GroupRecord::term)).containsExactly(1L, 1L, 1L);
+        assertThat(control.appendedRecords.stream().map(GroupRecord::term)).containsExactly(1L, 1L, 1L);
     }
 
-    static Stream<Named<Consumer<ControlFixture>>> losses() {
+    static Stream<Named<Consumer<ControlFixture>>> primaryFailures() {
         return Stream.of(
                 Named.of("stopped", control -> control.primary().running = false),
                 Named.of("frozen", control -> control.primary().frozen = true),
-                Named.of("cut off", control -> control.primary().cut = true),
+                Named.of("cut off", control -> control.primary().partitioned = true),
                 Named.of("cut off with its proxy", control -> {
                     String domain = control.primary().failureDomain;
-                    control.primary().cut = true;
+                    control.primary().partitioned = true;
                     control.proxies.stream()
                             .filter(proxy -> proxy.id.endsWith(domain))
-                            .forEach(proxy -> proxy.cut = true);
+                            .forEach(proxy -> proxy.partitioned = true);
                 }),
                 Named.of("stopped while a proxy hears no answers", control -> {
                     control.primary().running = false;
-                    control.proxies.get(0).deaf = true;
+                    control.proxies.get(0).responsesLost = true;
                 }),
                 Named.of("disk lost", control -> control.primary().loseDisk()),
                 Named.of("restarted", control -> control.primary().restart()));
     }
 
     @ParameterizedTest
-    @MethodSource("losses")
-    void aLostPrimaryIsReplacedWithinTheGapAndComesBackAsReplica(Consumer<ControlFixture> loss) {
+    @MethodSource("primaryFailures")
+    void aFailedPrimaryIsReplacedWithinTheLimitAndReturnsAsReplica(Consumer<ControlFixture> loss) {
         FakeDatabase old = control.primary();
         loss.accept(control);
-        control.runUntilOpen(2, GAP_LIMIT);
-        control.run(LONG);
+        control.runUntilWritable(2, OUTAGE_LIMIT);
+        control.run(STABLE_PERIOD);
         heal(old);
-        control.run(LONG);
+        control.run(STABLE_PERIOD);
         assertThat(control.record().term()).isEqualTo(2);
         assertThat(control.replicas().allMatch(replica -> replica.followedTerm == 2 && replica.trusted))
                 .isTrue();
@@ -83,45 +83,45 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1})
-    void theHighestFencedPositionIsPromoted(int index) {
+    void theDatabaseWithTheHighestFencedPositionIsPromoted(int index) {
         FakeDatabase ahead = control.replicas().skip(index).findFirst().orElseThrow();
         ahead.synced = new LogPosition(1, ahead.synced.indexEntries() + 7);
         control.primary().running = false;
-        control.runUntilOpen(2, GAP_LIMIT);
+        control.runUntilWritable(2, OUTAGE_LIMIT);
         assertThat(control.primary()).isEqualTo(ahead);
     }
 
     @Test
-    void aSecondLossWaitsForAMajorityAndThenGoesOn() {
+    void aSecondFailoverWaitsForAMajorityAndThenCompletes() {
         FakeDatabase first = control.primary();
         first.running = false;
-        control.runUntilOpen(2, GAP_LIMIT);
+        control.runUntilWritable(2, OUTAGE_LIMIT);
         FakeDatabase second = control.primary();
         second.running = false;
-        control.run(LONG);
+        control.run(STABLE_PERIOD);
         assertThat(control.record().term()).isEqualTo(2);
         heal(first);
-        control.runUntilOpen(3, GAP_LIMIT);
+        control.runUntilWritable(3, OUTAGE_LIMIT);
     }
 
     @Test
-    void aSecondLossRightAfterTheRepairIsReplacedToo() {
+    void aSecondPrimaryFailureSoonAfterRecoveryIsAlsoReplaced() {
         FakeDatabase first = control.primary();
         first.running = false;
-        control.runUntilOpen(2, GAP_LIMIT);
+        control.runUntilWritable(2, OUTAGE_LIMIT);
         heal(first);
         control.run(Duration.ofSeconds(1));
         control.primary().running = false;
-        control.runUntilOpen(3, GAP_LIMIT);
+        control.runUntilWritable(3, OUTAGE_LIMIT);
         assertThat(control.primary().synced.term()).isEqualTo(3);
     }
 
     @Test
-    void aDatabaseThatLostItsDiskCountsForNothingUntilItHasCaughtUp() {
+    void aDatabaseThatLostItsDiskIsNotCountedUntilItHasCaughtUp() {
         FakeDatabase lost = control.replicas().findFirst().orElseThrow();
         control.primary().synced = new LogPosition(1, 50);
         lost.loseDisk();
-        control.run(LONG);
+        control.run(STABLE_PERIOD);
         assertThat(lost.trusted).isTrue();
         assertThat(lost.synced).isEqualTo(new LogPosition(1, 50));
         FakeDatabase other = control.replicas()
@@ -131,23 +131,23 @@
         lost.loseDisk();
         other.running = false;
         control.primary().running = false;
-        control.run(LONG);
+        control.run(STABLE_PERIOD);
         assertThat(control.record().term()).isEqualTo(1);
     }
 
     @Test
     void aFlappingLinkCausesFewPromotions() {
         for (int i = 0; i < 20; i++) {
-            control.primary().cut = true;
+            control.primary().partitioned = true;
             control.run(Duration.ofMillis(1400));
-            control.databases.forEach(database -> database.cut = false);
+            control.databases.forEach(database -> database.partitioned = false);
             control.run(Duration.ofMillis(600));
         }
         assertThat(control.record().term()).isAtMost(3);
     }
 
     @Test
-    void aPauseOfControlItselfPromotesNothing() {
+    void aPauseOfTheControlProcessCausesNoPromotion() {
         for (int i = 0; i < 5; i++) {
             control.primary().frozen = true;
             control.clock.advance(Duration.ofSeconds(3));
@@ -159,62 +159,62 @@
     }
 
     @Test
-    void aShortSilencePromotesNothing() {
+    void aShortSilenceCausesNoPromotion() {
         control.primary().frozen = true;
         control.run(Duration.ofMillis(800));
         control.primary().frozen = false;
-        control.run(LONG);
+        control.run(STABLE_PERIOD);
         assertThat(control.record().term()).isEqualTo(1);
     }
 
-    static Stream<Integer> stepsAfterTheLoss() {
+    static Stream<Integer> stepsBeforeLeaderChange() {
         return Stream.iterate(1, step -> step <= 160, step -> step + 6);
     }
 
     @ParameterizedTest
-    @MethodSource("stepsAfterTheLoss")
-    void aNewLeaderFinishesAPromotionFromAnyStep(int steps) {
+    @MethodSource("stepsBeforeLeaderChange")
+    void aNewLeaderCompletesAPromotionFromAnyStep(int steps) {
         control.primary().running = false;
         for (int i = 0; i < steps; i++) {
             control.step();
         }
         control.changeLeader();
-        control.runUntilOpen(2, GAP_LIMIT.plus(ControlFixture.LEASE));
-        control.run(LONG);
+        control.runUntilWritable(2, OUTAGE_LIMIT.plus(ControlFixture.LEASE));
+        control.run(STABLE_PERIOD);
         assertThat(control.record().term()).isEqualTo(2);
     }
 
     @Test
-    void aNewLeaderLeavesHoldersWhereTheyAre() {
+    void aNewLeaderKeepsTheHolders() {
         List<String> before = holders();
         control.changeLeader();
-        control.run(LONG);
+        control.run(STABLE_PERIOD);
         assertThat(holders()).isEqualTo(before);
         assertThat(control.record().term()).isEqualTo(1);
     }
 
     @Test
-    void aDepartingPrimaryHandsOver() {
+    void aDepartingPrimaryIsReplaced() {
         FakeDatabase old = control.primary();
         old.departing = true;
-        control.runUntilOpen(2, Duration.ofSeconds(2));
-        control.run(LONG);
+        control.runUntilWritable(2, Duration.ofSeconds(2));
+        control.run(STABLE_PERIOD);
         assertThat(control.primary()).isNotEqualTo(old);
         assertThat(control.record().term()).isEqualTo(2);
     }
 
     @Test
-    void anOperatorChoosesThePrimary() {
+    void anOperatorCanSelectThePrimary() {
         String wished = control.replicas().skip(1).findFirst().orElseThrow().id;
         control.session().group(ControlFixture.GROUP).orElseThrow().failover().requestHandover(Optional.of(wished));
-        control.runUntilOpen(2, Duration.ofSeconds(2));
-        control.run(LONG);
+        control.runUntilWritable(2, Duration.ofSeconds(2));
+        control.run(STABLE_PERIOD);
         assertThat(control.primary().id).isEqualTo(wished);
         assertThat(control.record().term()).isEqualTo(2);
     }
 
     @Test
-    void aDrainingProxyHandsItsDatabaseOver() {
+    void theDatabaseOfADrainingProxyIsAssignedToAnotherHolder() {
         FakeProxy draining = control.proxies.get(0);
         String held = control.databases.get(0).id;
         assertThat(draining.holds(ControlFixture.GROUP, held)).isTrue();
@@ -242,8 +242,8 @@
             database.restart();
         }
         database.frozen = false;
-        database.cut = false;
-        control.proxies.forEach(proxy -> proxy.cut = false);
-        control.proxies.forEach(proxy -> proxy.deaf = false);
+        database.partitioned = false;
+        control.proxies.forEach(proxy -> proxy.partitioned = false);
+        control.proxies.forEach(proxy -> proxy.responsesLost = false);
     }
 }
--- a/control/src/test/java/org/hornbeamspread/control/failover/FakeDatabase.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/FakeDatabase.java
@@ -27,15 +27,15 @@
     boolean frozen;
 
     /** Nothing passes between it and control. */
-    boolean cut;
+    boolean partitioned;
 
     FakeDatabase(String id, String failureDomain) {
         this.id = id;
         this.failureDomain = failureDomain;
     }
 
-    boolean answers() {
-        return running && !frozen && !cut;
+    boolean isResponsive() {
+        return running && !frozen && !partitioned;
     }
 
     boolean fence(long newTerm) {
--- a/control/src/test/java/org/hornbeamspread/control/failover/FakeProxy.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/FakeProxy.java
@@ -20,14 +20,14 @@
     private final Clock clock;
     private final String failureDomain;
     private long leaderTerm;
-    private long version;
-    private Instant freshUntil = Instant.EPOCH;
+    private long viewVersion;
+    private Instant leaseExpiresAt = Instant.EPOCH;
 
     /** Requests get lost. */
-    boolean cut;
+    boolean partitioned;
 
     /** Requests arrive, answers get lost. */
-    boolean deaf;
+    boolean responsesLost;
 
     boolean draining;
 
@@ -37,7 +37,7 @@
         this.clock = clock;
     }
 
-    RenewView request() {
+    RenewView renewalRequest() {
         RenewView.Builder request = RenewView.newBuilder()
                 .setProxy(ProxyEntry.newBuilder()
                         .setProxyId(id)
@@ -45,7 +45,7 @@
                         .setRegion("addis")
                         .setDraining(draining))
                 .setLeaderTerm(leaderTerm)
-                .setViewVersion(version);
+                .setViewVersion(viewVersion);
         groups.values()
                 .forEach(group -> group.getDatabasesList().stream()
                         .filter(database -> database.getHolderProxyId().equals(id))
@@ -55,31 +55,31 @@
         return request.build();
     }
 
-    void receive(ViewLease answer, Instant sentAt) {
+    void receiveLease(ViewLease answer, Instant sentAt) {
         if (answer.getFull()) {
             groups.clear();
         }
         answer.getRemovedGroupsList().forEach(groups::remove);
         answer.getGroupsList().forEach(group -> groups.put(group.getGroup(), group));
         leaderTerm = answer.getLeaderTerm();
-        version = answer.getViewVersion();
-        freshUntil = sentAt.plusMillis(answer.getLeaseMs());
+        viewVersion = answer.getViewVersion();
+        leaseExpiresAt = sentAt.plusMillis(answer.getLeaseMs());
     }
 
-    boolean isFresh() {
-        return clock.instant().isBefore(freshUntil);
+    boolean hasValidLease() {
+        return clock.instant().isBefore(leaseExpiresAt);
     }
 
     /** The term at which this proxy would send and acknowledge writes now. */
     Optional<Long> writableTerm(String group) {
         GroupView view = groups.getOrDefault(group, GroupView.getDefaultInstance());
-        return isFresh() && view.getWritable() ? Optional.of(view.getTerm()) : Optional.empty();
+        return hasValidLease() && view.getWritable() ? Optional.of(view.getTerm()) : Optional.empty();
     }
 
     /** Whether this proxy would use the database's connections now. */
     boolean holds(String group, String databaseId) {
         GroupView view = groups.getOrDefault(group, GroupView.getDefaultInstance());
-        return isFresh()
+        return hasValidLease()
                 && view.getDatabasesList().stream()
                         .filter(database -> database.getDatabaseId().equals(databaseId))
                         .map(DatabaseEntry::getHolderProxyId)
--- a/control/src/test/java/org/hornbeamspread/control/failover/ControlSlopes.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/LeaderSessionBenchmark.java
@@ -33,12 +33,12 @@
  * Measures what one control leader does for a fleet, with the real registry, failover, view and codec, in memory and on
  * one thread. Run as a program; prints one line for each size. Not a test: it asserts nothing.
  */
-final class ControlSlopes {
+final class LeaderSessionBenchmark {
     private static final int[][] SIZES = {{10, 30}, {100, 300}, {1000, 3000}, {5000, 19_000}, {7500, 19_000}};
     private static final int DOMAINS = 15;
     private static final int GROUP_SIZE = 3;
-    private static final int RENEWALS = 20_000;
-    private static final int ROUNDS = 20;
+    private static final int MESSAGES = 20_000;
+    private static final int STEPS = 20;
     private static final int NANOS_PER_MICRO = 1000;
     private static final int BYTES_PER_KIB = 1024;
 
@@ -54,7 +54,7 @@
     /** Keeps the compiler from leaving the encoding out. */
     private long encodedBytes;
 
-    private ControlSlopes(int proxies, int databases) {
+    private LeaderSessionBenchmark(int proxies, int databases) {
         this.proxies = proxies;
         this.databases = databases;
     }
@@ -64,17 +64,17 @@
         System.out.println("| proxies | databases | renewal us | announcement us | idle step us | log change us"
                 + " | proxy change ms | full view KiB | group delta B | proxies delta KiB | heap MiB |");
         System.out.println("|---|---|---|---|---|---|---|---|---|---|---|");
-        new ControlSlopes(SIZES[1][0], SIZES[1][1]).line();
+        new LeaderSessionBenchmark(SIZES[1][0], SIZES[1][1]).measure();
         for (int[] size : SIZES) {
             boolean wanted = arguments.length == 0 || Integer.parseInt(arguments[0]) == size[0];
             if (wanted) {
-                System.out.println(new ControlSlopes(size[0], size[1]).line());
+                System.out.println(new LeaderSessionBenchmark(size[0], size[1]).measure());
             }
         }
     }
 
-    private String line() throws InterruptedException, InvalidProtocolBufferException {
-        long heapBefore = usedBytes();
+    private String measure() throws InterruptedException, InvalidProtocolBufferException {
+        long heapBefore = usedHeapBytes();
         ControlState state = state(1);
         session = new LeaderSession(
                 1,
@@ -87,19 +87,19 @@
         announceAll();
         session.update(state);
         Thread.sleep(150);
-        int fullBytes = joinAll();
-        long heapBytes = usedBytes() - heapBefore;
-        double renewalUs = renewals();
+        int fullBytes = renewAllProxies();
+        long heapBytes = usedHeapBytes() - heapBefore;
+        double renewalUs = timeRenewals();
         double announceUs = timeAnnouncements();
         double stepUs = timeSteps();
         long updateStartNs = System.nanoTime();
         session.update(state(2));
         session.publish();
         double updateUs = micros(System.nanoTime() - updateStartNs);
-        int deltaBytes = renew(0, version).getSerializedSize();
-        settle();
+        int deltaBytes = grant(0, version).getSerializedSize();
+        stepUntilStable();
         long joinStartNs = System.nanoTime();
-        int proxiesBytes = renewNewProxy();
+        int proxiesBytes = addProxy();
         double joinMs = micros(System.nanoTime() - joinStartNs) / NANOS_PER_MICRO;
         return String.format(
                 Locale.ROOT,
@@ -118,78 +118,80 @@
     }
 
     /** Every proxy's first renewal, and a second one of the last proxy, which gets all groups and proxies. */
-    private int joinAll() {
+    private int renewAllProxies() {
         for (int i = 0; i < proxies; i++) {
-            RenewView request = request(i, 0);
+            RenewView request = renewalRequest(i, 0);
             session.grant(
                     request,
                     ViewMessages.proxy(request.getProxy()),
                     clock.instant().plusSeconds(600));
         }
-        settle();
-        return renew(proxies - 1, 0).getSerializedSize();
+        stepUntilStable();
+        return grant(proxies - 1, 0).getSerializedSize();
     }
 
-    private void settle() {
-        for (int i = 0; i < ROUNDS; i++) {
+    private void stepUntilStable() {
+        for (int i = 0; i < STEPS; i++) {
             session.step();
         }
         version = session.view().version();
     }
 
-    private double renewals() throws InvalidProtocolBufferException {
-        byte[] request =
-                Envelope.newBuilder().setRenewView(request(0, version)).build().toByteArray();
-        for (int i = 0; i < RENEWALS; i++) {
-            renewal(request);
+    private double timeRenewals() throws InvalidProtocolBufferException {
+        byte[] request = Envelope.newBuilder()
+                .setRenewView(renewalRequest(0, version))
+                .build()
+                .toByteArray();
+        for (int i = 0; i < MESSAGES; i++) {
+            processRenewal(request);
         }
         long startNs = System.nanoTime();
-        for (int i = 0; i < RENEWALS; i++) {
-            renewal(request);
+        for (int i = 0; i < MESSAGES; i++) {
+            processRenewal(request);
         }
         if (encodedBytes == 0) {
             throw new FailureException(FailureType.INTERNAL, "nothing was encoded");
         }
-        return micros(System.nanoTime() - startNs) / RENEWALS;
+        return micros(System.nanoTime() - startNs) / MESSAGES;
     }
 
-    private void renewal(byte[] request) throws InvalidProtocolBufferException {
+    private void processRenewal(byte[] request) throws InvalidProtocolBufferException {
         RenewView renewal = Envelope.parseFrom(request).getRenewView();
         LiveProxy proxy = ViewMessages.proxy(renewal.getProxy());
-        session.observe(renewal, proxy);
+        session.recordRenewal(renewal, proxy);
         ViewLease answer = session.grant(renewal, proxy, clock.instant().plusSeconds(600));
         encodedBytes += Envelope.newBuilder().setViewLease(answer).build().toByteArray().length;
     }
 
     private double timeAnnouncements() throws InvalidProtocolBufferException {
-        byte[] push = Envelope.newBuilder().setAnnounce(announce(0)).build().toByteArray();
+        byte[] push = Envelope.newBuilder().setAnnounce(announcement(0)).build().toByteArray();
         long startNs = System.nanoTime();
-        for (int i = 0; i < RENEWALS; i++) {
+        for (int i = 0; i < MESSAGES; i++) {
             registry.announce(ViewMessages.announced(Envelope.parseFrom(push).getAnnounce()));
             detector.recordContact("d0");
         }
-        return micros(System.nanoTime() - startNs) / RENEWALS;
+        return micros(System.nanoTime() - startNs) / MESSAGES;
     }
 
     private double timeSteps() {
         long startNs = System.nanoTime();
-        for (int i = 0; i < ROUNDS; i++) {
+        for (int i = 0; i < STEPS; i++) {
             session.step();
         }
-        return micros(System.nanoTime() - startNs) / ROUNDS;
+        return micros(System.nanoTime() - startNs) / STEPS;
     }
 
     /** One more proxy joins: holders are assigned again, and everyone learns of it. */
-    private int renewNewProxy() {
-        RenewView request = request(proxies, 0);
+    private int addProxy() {
+        RenewView request = renewalRequest(proxies, 0);
         session.grant(
                 request, ViewMessages.proxy(request.getProxy()), clock.instant().plusSeconds(600));
         session.step();
-        return renew(0, version).getSerializedSize();
+        return grant(0, version).getSerializedSize();
     }
 
-    private ViewLease renew(int index, long held) {
-        RenewView request = request(index, held);
+    private ViewLease grant(int index, long held) {
+        RenewView request = renewalRequest(index, held);
         return session.view()
                 .grant(
                         ViewMessages.proxy(request.getProxy()),
@@ -197,9 +199,11 @@
                         clock.instant().plusSeconds(600));
     }
 
-    private RenewView request(int index, long held) {
-        RenewView.Builder request =
-                RenewView.newBuilder().setProxy(entry(index)).setLeaderTerm(1).setViewVersion(held);
+    private RenewView renewalRequest(int index, long held) {
+        RenewView.Builder request = RenewView.newBuilder()
+                .setProxy(proxyEntry(index))
+                .setLeaderTerm(1)
+                .setViewVersion(held);
         for (int i = 0; i < GROUP_SIZE; i++) {
             request.addObservations(DatabaseObservation.newBuilder()
                     .setDatabaseId("d" + (index * GROUP_SIZE + i) % databases)
@@ -212,12 +216,12 @@
 
     private void announceAll() {
         for (int i = 0; i < databases; i++) {
-            registry.announce(ViewMessages.announced(announce(i)));
+            registry.announce(ViewMessages.announced(announcement(i)));
             detector.recordContact("d" + i);
         }
     }
 
-    private Announce announce(int index) {
+    private Announce announcement(int index) {
         Position position = Position.newBuilder().setTerm(1).setIndex(1_000_000).build();
         boolean primary = index % GROUP_SIZE == 0;
         PositionReport.Builder report = PositionReport.newBuilder()
@@ -268,7 +272,7 @@
         return state.setConfiguration(configuration).build();
     }
 
-    private static ProxyEntry entry(int index) {
+    private static ProxyEntry proxyEntry(int index) {
         return ProxyEntry.newBuilder()
                 .setProxyId("p" + index)
                 .setFailureDomain("domain-" + index % DOMAINS)
@@ -291,7 +295,7 @@
         return (double) nanos / NANOS_PER_MICRO;
     }
 
-    private static long usedBytes() throws InterruptedException {
+    private static long usedHeapBytes() throws InterruptedException {
         System.gc();
         Thread.sleep(100);
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
