--- a/control/src/main/java/org/hornbeamspread/control/failover/DatabaseClients.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/DatabaseClients.java
@@ -83,7 +83,7 @@
                 .setFollow(Follow.newBuilder()
                         .setTerm(term)
                         .setPrimaryId(primary.databaseId())
-                        .setPrimary(ViewMessages.wire(primary.address())))
+                        .setPrimary(ViewMessages.toWire(primary.address())))
                 .build();
         send("follow", database, request).whenComplete((answer, error) -> {
             if (error == null) {
@@ -120,7 +120,7 @@
         metrics.countCommand("probe");
         long startedNs = System.nanoTime();
         transport
-                .connect(ViewMessages.wire(database.address()), CONNECT_TIMEOUT, handler)
+                .connect(ViewMessages.toWire(database.address()), CONNECT_TIMEOUT, handler)
                 .thenCompose(connection -> connection
                         .request(request, COMMAND_TIMEOUT)
                         .whenComplete((answer, error) -> connection.close()))
@@ -139,7 +139,7 @@
 
     private CompletableFuture<Envelope> send(String kind, AnnouncedDatabase database, Envelope request) {
         metrics.countCommand(kind);
-        return openConnection(ViewMessages.wire(database.address()))
+        return openConnection(ViewMessages.toWire(database.address()))
                 .thenCompose(connection -> connection.request(request, COMMAND_TIMEOUT));
     }
 
@@ -161,7 +161,7 @@
         FailureType type = FailureException.of(error).type();
         metrics.countFailure(type);
         if (type == FailureType.CONNECTION_REFUSED) {
-            connections.remove(ViewMessages.wire(database.address()));
+            connections.remove(ViewMessages.toWire(database.address()));
         }
         return type;
     }
--- a/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
@@ -327,7 +327,7 @@
         return DatabaseEntry.newBuilder()
                 .setDatabaseId(databaseId)
                 .setIncarnation(database.status().incarnation())
-                .setEndpoint(ViewMessages.wire(database.address()))
+                .setEndpoint(ViewMessages.toWire(database.address()))
                 .setFailureDomain(database.failureDomain())
                 .setRegion(database.region())
                 .setTrusted(rules.isTrusted(database.status(), group.registration(databaseId), group.record()))
--- a/control/src/main/java/org/hornbeamspread/control/failover/ProposalBatcher.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/ProposalBatcher.java
@@ -36,13 +36,13 @@
     }
 
     void add(AppendRecord append) {
-        groupTerms.addGroups(ViewMessages.wire(append.nextRecord(), append.expectedTerm()));
+        groupTerms.addGroups(ViewMessages.toWire(append.nextRecord(), append.expectedTerm()));
         groupTermGroups.add(append.nextRecord().group());
     }
 
     void add(String group, AppendRegistrations append) {
         append.registrations()
-                .forEach(registration -> registrations.addDatabases(ViewMessages.wire(registration, group)));
+                .forEach(registration -> registrations.addDatabases(ViewMessages.toWire(registration, group)));
         registrationGroups.add(group);
     }
 
--- a/control/src/main/java/org/hornbeamspread/control/operations/ConfigurationChanges.java
+++ b/control/src/main/java/org/hornbeamspread/control/operations/ConfigurationChanges.java
@@ -17,13 +17,13 @@
     /** The lines, for example {@code group orders-1: added}. */
     static List<String> between(Configuration before, Configuration after) {
         List<String> changes = new ArrayList<>();
-        compare("rank", before.getRanksList(), after.getRanksList(), RankDefinition::getName, changes);
-        compare("group", before.getGroupsList(), after.getGroupsList(), GroupDefinition::getName, changes);
-        compare("service", before.getServicesList(), after.getServicesList(), ServiceDefinition::getName, changes);
+        addChanges("rank", before.getRanksList(), after.getRanksList(), RankDefinition::getName, changes);
+        addChanges("group", before.getGroupsList(), after.getGroupsList(), GroupDefinition::getName, changes);
+        addChanges("service", before.getServicesList(), after.getServicesList(), ServiceDefinition::getName, changes);
         return changes;
     }
 
-    private static <T> void compare(
+    private static <T> void addChanges(
             String kind, List<T> before, List<T> after, Function<T, String> name, List<String> changes) {
         Map<String, T> old = new LinkedHashMap<>();
         before.forEach(item -> old.put(name.apply(item), item));
--- a/control/src/main/java/org/hornbeamspread/control/operations/Operations.java
+++ b/control/src/main/java/org/hornbeamspread/control/operations/Operations.java
@@ -79,34 +79,34 @@
                 new RpcMethod<>(
                         SERVICE + "ApplyConfiguration",
                         ApplyConfigurationRequest.getDefaultInstance(),
-                        request -> led(() -> apply(request)),
+                        request -> callOnLeader(() -> applyConfiguration(request)),
                         ApplyConfigurationResponse::getFailure),
                 RpcMethod.of(
                         SERVICE + "GetConfiguration",
                         GetConfigurationRequest.getDefaultInstance(),
-                        request -> led(this::configuration)),
+                        request -> callOnLeader(this::getConfiguration)),
                 RpcMethod.of(
                         SERVICE + "GetTopology",
                         GetTopologyRequest.getDefaultInstance(),
-                        request -> led(this::topology)),
+                        request -> callOnLeader(this::getTopology)),
                 new RpcMethod<>(
                         SERVICE + "SetDeparture",
                         SetDepartureRequest.getDefaultInstance(),
-                        request -> led(() -> setDeparture(request)),
+                        request -> callOnLeader(() -> setDeparture(request)),
                         OperationResponse::getFailure),
                 new RpcMethod<>(
                         SERVICE + "PromoteDatabase",
                         PromoteDatabaseRequest.getDefaultInstance(),
-                        request -> led(() -> promote(request)),
+                        request -> callOnLeader(() -> promoteDatabase(request)),
                         OperationResponse::getFailure),
                 new RpcMethod<>(
                         SERVICE + "ReplaceControlMember",
                         ReplaceControlMemberRequest.getDefaultInstance(),
-                        request -> led(() -> replaceMember(request)),
+                        request -> callOnLeader(() -> replaceControlMember(request)),
                         OperationResponse::getFailure));
     }
 
-    private CompletableFuture<ApplyConfigurationResponse> apply(ApplyConfigurationRequest request) {
+    private CompletableFuture<ApplyConfigurationResponse> applyConfiguration(ApplyConfigurationRequest request) {
         Configuration current = state.get().getConfiguration();
         List<String> changes = ConfigurationChanges.between(current, request.getConfiguration());
         if (request.getDryRun()) {
@@ -147,11 +147,11 @@
         return answer.build();
     }
 
-    private CompletableFuture<Configuration> configuration() {
+    private CompletableFuture<Configuration> getConfiguration() {
         return log.confirmLeadership().thenApply(done -> state.get().getConfiguration());
     }
 
-    private CompletableFuture<Topology> topology() {
+    private CompletableFuture<Topology> getTopology() {
         return log.confirmLeadership()
                 .thenCompose(done -> coordinator.topology())
                 .thenApply(topology -> topology.toBuilder()
@@ -172,10 +172,10 @@
                         .addDatabaseIds(request.getDatabaseId())
                         .setDeparting(request.getDeparting()))
                 .build();
-        return log.propose(command).thenApply(Operations::response);
+        return log.propose(command).thenApply(Operations::toResponse);
     }
 
-    private CompletableFuture<OperationResponse> promote(PromoteDatabaseRequest request) {
+    private CompletableFuture<OperationResponse> promoteDatabase(PromoteDatabaseRequest request) {
         Optional<String> databaseId =
                 request.getDatabaseId().isEmpty() ? Optional.empty() : Optional.of(request.getDatabaseId());
         return log.confirmLeadership()
@@ -184,7 +184,7 @@
     }
 
     /** The old member leaves and the new one joins without a vote; the log gives it one once it has caught up. */
-    private CompletableFuture<OperationResponse> replaceMember(ReplaceControlMemberRequest request) {
+    private CompletableFuture<OperationResponse> replaceControlMember(ReplaceControlMemberRequest request) {
         List<ControlMember> present = members.get();
         ChangeMembers.Builder next = ChangeMembers.newBuilder();
         present.stream()
@@ -200,10 +200,10 @@
         next.addMembers(request.getReplacement());
         return log.propose(
                         command(request.getRequestId()).setChangeMembers(next).build())
-                .thenApply(Operations::response);
+                .thenApply(Operations::toResponse);
     }
 
-    private static OperationResponse response(CommandResult result) {
+    private static OperationResponse toResponse(CommandResult result) {
         OperationResponse.Builder answer = OperationResponse.newBuilder().setReplayed(result.replayed());
         result.failure().ifPresent(failure -> answer.setFailure(Envelopes.failure(failure)));
         return answer.build();
@@ -214,17 +214,17 @@
     }
 
     /** Runs a call on the leader, and gives refusals by the log the leader's HTTP endpoint. */
-    private <T> CompletableFuture<T> led(Supplier<CompletableFuture<T>> call) {
+    private <T> CompletableFuture<T> callOnLeader(Supplier<CompletableFuture<T>> call) {
         if (!log.leadership().isLeader()) {
-            return CompletableFuture.failedFuture(counted(notLeader()));
+            return CompletableFuture.failedFuture(countFailure(notLeader()));
         }
         return call.get().exceptionally(error -> {
             FailureException failure = FailureException.of(error);
-            throw counted(failure.type() == FailureType.NOT_LEADER ? notLeader() : failure);
+            throw countFailure(failure.type() == FailureType.NOT_LEADER ? notLeader() : failure);
         });
     }
 
-    private FailureException counted(FailureException failure) {
+    private FailureException countFailure(FailureException failure) {
         metrics.countFailure(failure.type());
         return failure;
     }
--- a/control/src/main/java/org/hornbeamspread/control/operations/PublishedState.java
+++ b/control/src/main/java/org/hornbeamspread/control/operations/PublishedState.java
@@ -9,7 +9,7 @@
 
 /** Lets every thread read the latest state that a state machine has applied. */
 public final class PublishedState implements StateMachine, Supplier<ControlState> {
-    private final StateMachine machine;
+    private final StateMachine stateMachine;
     private final Supplier<ControlState> snapshot;
     private volatile ControlState latest;
 
@@ -19,7 +19,7 @@
      * @param snapshot its state as an immutable message; called on the consensus thread only
      */
     public PublishedState(StateMachine machine, Supplier<ControlState> snapshot) {
-        this.machine = machine;
+        this.stateMachine = machine;
         this.snapshot = snapshot;
         this.latest = snapshot.get();
     }
@@ -31,19 +31,19 @@
 
     @Override
     public CommandResult apply(ControlRecord record) {
-        CommandResult result = machine.apply(record);
+        CommandResult result = stateMachine.apply(record);
         latest = snapshot.get();
         return result;
     }
 
     @Override
     public ByteString snapshot() {
-        return machine.snapshot();
+        return stateMachine.snapshot();
     }
 
     @Override
     public void restore(ByteString state) {
-        machine.restore(state);
+        stateMachine.restore(state);
         latest = snapshot.get();
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/view/ClusterGuard.java
+++ b/control/src/main/java/org/hornbeamspread/control/view/ClusterGuard.java
@@ -15,39 +15,39 @@
  */
 public final class ClusterGuard implements PeerHandler {
     private final String clusterId;
-    private final PeerHandler inner;
+    private final PeerHandler delegate;
     private final ControlMetrics metrics;
 
     /** Passes on what belongs to the cluster. */
     public ClusterGuard(String clusterId, PeerHandler inner, ControlMetrics metrics) {
         this.clusterId = clusterId;
-        this.inner = inner;
+        this.delegate = inner;
         this.metrics = metrics;
     }
 
     @Override
     public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
-        if (request.hasRenewView() && isForeign(request.getRenewView().getClusterId())) {
+        if (request.hasRenewView() && isOtherCluster(request.getRenewView().getClusterId())) {
             answer.accept(Envelopes.failureEnvelope(new FailureException(
                     FailureType.WRONG_CLUSTER, request.getRenewView().getClusterId() + ", here " + clusterId)));
             return;
         }
-        inner.onRequest(connection, request, answer);
+        delegate.onRequest(connection, request, answer);
     }
 
     @Override
     public void onPush(PeerConnection connection, Envelope push) {
-        if (!push.hasAnnounce() || !isForeign(push.getAnnounce().getClusterId())) {
-            inner.onPush(connection, push);
+        if (!push.hasAnnounce() || !isOtherCluster(push.getAnnounce().getClusterId())) {
+            delegate.onPush(connection, push);
         }
     }
 
     @Override
     public void onClose(PeerConnection connection) {
-        inner.onClose(connection);
+        delegate.onClose(connection);
     }
 
-    private boolean isForeign(String sender) {
+    private boolean isOtherCluster(String sender) {
         boolean foreign = !clusterId.equals(sender);
         if (foreign) {
             metrics.countFailure(FailureType.WRONG_CLUSTER);
--- a/control/src/main/java/org/hornbeamspread/control/view/ViewMessages.java
+++ b/control/src/main/java/org/hornbeamspread/control/view/ViewMessages.java
@@ -64,13 +64,13 @@
     }
 
     /** The wire form of a proxy. */
-    public static ProxyEntry wire(LiveProxy proxy) {
+    public static ProxyEntry toWire(LiveProxy proxy) {
         return ProxyEntry.newBuilder()
                 .setProxyId(proxy.proxyId())
                 .setFailureDomain(proxy.failureDomain())
                 .setRegion(proxy.region())
-                .setPeer(wire(proxy.peer()))
-                .setHttp(wire(proxy.http()))
+                .setPeer(toWire(proxy.peer()))
+                .setHttp(toWire(proxy.http()))
                 .setConfigurationVersion(proxy.configurationVersion())
                 .setDraining(proxy.draining())
                 .setIncarnation(proxy.incarnation())
@@ -78,7 +78,7 @@
     }
 
     /** The wire form of an address. */
-    public static Endpoint wire(Address address) {
+    public static Endpoint toWire(Address address) {
         return Endpoint.newBuilder()
                 .setHost(address.host())
                 .setPort(address.port())
@@ -93,7 +93,7 @@
     }
 
     /** The wire form of a group's next record. */
-    public static GroupTerm wire(GroupRecord record, long expectedTerm) {
+    public static GroupTerm toWire(GroupRecord record, long expectedTerm) {
         return GroupTerm.newBuilder()
                 .setGroup(record.group())
                 .setTerm(record.term())
@@ -109,7 +109,7 @@
     }
 
     /** The wire form of a registration. */
-    public static RegisteredDatabase wire(Registration registration, String group) {
+    public static RegisteredDatabase toWire(Registration registration, String group) {
         return RegisteredDatabase.newBuilder()
                 .setDatabaseId(registration.databaseId())
                 .setGroup(group)
--- a/control/src/main/java/org/hornbeamspread/control/view/ViewPublisher.java
+++ b/control/src/main/java/org/hornbeamspread/control/view/ViewPublisher.java
@@ -105,7 +105,7 @@
 
     /** All living proxies. */
     public List<ProxyEntry> proxies() {
-        return wire(leases.living());
+        return toWire(leases.living());
     }
 
     /** The version that a proxy holds of this view; 0 for a view of another leader. */
@@ -136,9 +136,9 @@
         return answer.build();
     }
 
-    private static List<ProxyEntry> wire(Collection<LiveProxy> proxies) {
+    private static List<ProxyEntry> toWire(Collection<LiveProxy> proxies) {
         List<ProxyEntry> entries = new ArrayList<>();
-        proxies.forEach(proxy -> entries.add(ViewMessages.wire(proxy)));
+        proxies.forEach(proxy -> entries.add(ViewMessages.toWire(proxy)));
         return entries;
     }
 
--- a/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
@@ -187,11 +187,11 @@
             appendedRecords.add(append.nextRecord());
             apply(ControlCommand.newBuilder()
                     .setSetGroupTerms(SetGroupTerms.newBuilder()
-                            .addGroups(ViewMessages.wire(append.nextRecord(), append.expectedTerm()))));
+                            .addGroups(ViewMessages.toWire(append.nextRecord(), append.expectedTerm()))));
             completeProposal();
         } else if (effect instanceof FailoverEffect.AppendRegistrations append) {
             RegisterDatabases.Builder register = RegisterDatabases.newBuilder();
-            append.registrations().forEach(item -> register.addDatabases(ViewMessages.wire(item, GROUP)));
+            append.registrations().forEach(item -> register.addDatabases(ViewMessages.toWire(item, GROUP)));
             apply(ControlCommand.newBuilder().setRegisterDatabases(register));
             completeProposal();
         } else {
--- a/control/src/test/java/org/hornbeamspread/control/view/ClusterGuardTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/view/ClusterGuardTest.java
@@ -30,9 +30,9 @@
 
     @ParameterizedTest
     @CsvSource({"entoto, true", "ujaas, false", "'', false"})
-    void onlyRenewalsOfTheOwnClusterPass(String clusterId, boolean passes) {
+    void onlyRenewalsOfThisClusterAreAccepted(String clusterId, boolean passes) {
         try (PeerTransport transport = new PeerTransport(1)) {
-            PeerConnection connection = connect(transport, new Recorder());
+            PeerConnection connection = connect(transport, new RecordingHandler());
             CompletableFuture<Envelope> answer = connection.request(renewal(clusterId), TIMEOUT);
             FailureType failure = answer.handle((lease, error) ->
                             error == null ? null : FailureException.of(error).type())
@@ -42,8 +42,8 @@
     }
 
     @Test
-    void foreignAnnouncementsAreDropped() throws InterruptedException {
-        Recorder recorder = new Recorder();
+    void announcementsOfOtherClustersAreDropped() throws InterruptedException {
+        RecordingHandler recorder = new RecordingHandler();
         try (PeerTransport transport = new PeerTransport(1)) {
             PeerConnection connection = connect(transport, recorder);
             connection.push(announcement("ujaas"));
@@ -57,7 +57,7 @@
         ClusterGuard guard = new ClusterGuard("entoto", inner, new ControlMetrics(new PrometheusRegistry()));
         PeerServer server = transport.listen(LOOPBACK, guard).join();
         Endpoint target = LOOPBACK.toBuilder().setPort(server.port()).build();
-        return transport.connect(target, TIMEOUT, new Recorder()).join();
+        return transport.connect(target, TIMEOUT, new RecordingHandler()).join();
     }
 
     private static Envelope renewal(String clusterId) {
@@ -73,7 +73,7 @@
     }
 
     /** Answers renewals and keeps announcements. */
-    private static final class Recorder implements PeerHandler {
+    private static final class RecordingHandler implements PeerHandler {
         private final LinkedBlockingQueue<String> announced = new LinkedBlockingQueue<>();
 
         @Override
