--- a/control/src/main/java/org/hornbeamspread/control/failover/ControlEvent.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/ControlEvent.java
@@ -15,17 +15,17 @@
 import org.hornbeamspread.protocol.schema.Topology;
 import org.hornbeamspread.transport.PeerConnection;
 
-/** What the coordinator's thread is told. */
+/** An event for the coordinator's thread. */
 sealed interface ControlEvent {
     /** A database announced itself. */
     record DatabaseAnnounced(AnnouncedDatabase database) implements ControlEvent {}
 
-    /** A proxy asks for a lease. */
+    /** A proxy requests a lease. */
     record Renewal(
             RenewView request, LiveProxy proxy, Instant arrivedAt, PeerConnection connection, Consumer<Envelope> answer)
             implements ControlEvent {}
 
-    /** A majority confirmed, or not, that the leader of this term led after these renewals had arrived. */
+    /** A majority confirmed, or did not confirm, the leadership of this term after these renewals had arrived. */
     record LeadershipCheckCompleted(long leaderTerm, boolean confirmed, List<Renewal> renewals)
             implements ControlEvent {
         /** Keeps a copy. */
@@ -34,10 +34,10 @@
         }
     }
 
-    /** The control log has another leader. */
+    /** The leadership of the control log changed. */
     record LeadershipChanged(Leadership leadership) implements ControlEvent {}
 
-    /** An append of the leader's of this term ended, for these groups. */
+    /** An append by the leader of this term, for these groups, has completed or failed. */
     record ProposalCompleted(long leaderTerm, List<String> groups) implements ControlEvent {
         /** Keeps a copy. */
         public ProposalCompleted {
@@ -45,7 +45,7 @@
         }
     }
 
-    /** A database reported its status in answer to a command. */
+    /** A database reported its status in response to a command. */
     record StatusReported(DatabaseStatus status) implements ControlEvent {}
 
     /** A database became primary. */
@@ -57,16 +57,16 @@
     /** A database follows the primary of a term. */
     record FollowConfirmed(String group, DatabaseStatus status, long term) implements ControlEvent {}
 
-    /** A database's address refuses connections, or the connection that it announced itself on broke. */
+    /** A database's address refused a connection. */
     record ConnectionRefused(String databaseId) implements ControlEvent {}
 
     /** The connection that a database announced itself on was closed. */
     record AnnouncingConnectionClosed(String databaseId) implements ControlEvent {}
 
-    /** An operator asks for the topology. */
+    /** An operator requests the topology. */
     record TopologyRequested(CompletableFuture<Topology> answer) implements ControlEvent {}
 
-    /** An operator asks for another primary. */
+    /** An operator requests a handover to another primary. */
     record HandoverRequested(String group, Optional<String> databaseId, CompletableFuture<Void> answer)
             implements ControlEvent {}
 }
--- a/control/src/main/java/org/hornbeamspread/control/failover/ControlMetrics.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/ControlMetrics.java
@@ -10,7 +10,7 @@
 import org.hornbeamspread.core.failover.PromotionReason;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** Counters of the coordinator, and lines for changes of a group's primary. Safe for any thread. */
+/** Metrics of the coordinator, and log messages for changes of a group's primary. Thread-safe. */
 public final class ControlMetrics implements FailoverListener {
     private static final Logger LOG = System.getLogger(ControlMetrics.class.getName());
     private static final double[] STEP_BOUNDS_SECONDS = {0.01, 0.03, 0.1, 0.3, 0.6, 1, 1.5, 2, 3, 6, 12};
@@ -26,7 +26,7 @@
     private final Gauge livingProxies;
     private final Gauge viewVersion;
 
-    /** Registers everything. */
+    /** Registers all metrics. */
     public ControlMetrics(PrometheusRegistry registry) {
         promotions = Counter.builder()
                 .name("hornbeamspread_control_promotions_total")
@@ -40,17 +40,17 @@
                 .register(registry);
         commands = Counter.builder()
                 .name("hornbeamspread_control_database_commands_total")
-                .help("Commands sent to databases, by kind")
+                .help("Commands sent to databases, by type of command")
                 .labelNames("type")
                 .register(registry);
         leasesGranted = Counter.builder()
                 .name("hornbeamspread_control_leases_granted_total")
-                .help("View leases granted, by full view or delta")
+                .help("View leases granted, by whether the response contained the full view or a delta")
                 .labelNames("type")
                 .register(registry);
         entriesSetAside = Counter.builder()
                 .name("hornbeamspread_control_entries_set_aside_total")
-                .help("Unacknowledged log entries that followers set aside")
+                .help("Unacknowledged log entries that databases set aside when they started to follow a primary")
                 .register(registry);
         stepSeconds = Histogram.builder()
                 .name("hornbeamspread_control_failover_seconds")
@@ -59,12 +59,16 @@
                 .classicOnly()
                 .classicUpperBounds(STEP_BOUNDS_SECONDS)
                 .register(registry);
-        leading = gauge(registry, "hornbeamspread_control_leading", "1 while this member leads");
-        livingProxies = gauge(registry, "hornbeamspread_control_living_proxies", "Proxies with a running lease");
+        leading = gauge(
+                registry,
+                "hornbeamspread_control_leading",
+                "1 while this member is the leader of the control log, else 0");
+        livingProxies =
+                gauge(registry, "hornbeamspread_control_living_proxies", "Proxies with an unexpired view lease");
         viewVersion = gauge(registry, "hornbeamspread_control_view_version", "Version of the published view");
     }
 
-    /** A request was refused or a command failed. */
+    /** Counts a refused request or a failed command. */
     public void countFailure(FailureType type) {
         failures.labelValues(type.name()).inc();
     }
@@ -73,19 +77,31 @@
     public void onPromotionStarted(String group, long term, PromotionReason reason, long silenceMs) {
         promotions.labelValues(reason.name()).inc();
         stepSeconds.labelValues("detect").observe(silenceMs / MILLIS_PER_SECOND);
-        LOG.log(Level.INFO, "group {0}: promotion to term {1}, {2}, silence {3} ms", group, term, reason, silenceMs);
+        LOG.log(
+                Level.INFO,
+                "group {0}: promotion to term {1} started, reason {2}, primary silent for {3} ms",
+                group,
+                term,
+                reason,
+                silenceMs);
     }
 
     @Override
     public void onPrimaryChosen(String group, long term, String databaseId, long sinceStartMs) {
         observeStep("fence", sinceStartMs);
-        LOG.log(Level.INFO, "group {0}: {1} chosen at term {2} after {3} ms", group, databaseId, term, sinceStartMs);
+        LOG.log(
+                Level.INFO,
+                "group {0}: database {1} chosen as primary of term {2} after {3} ms",
+                group,
+                databaseId,
+                term,
+                sinceStartMs);
     }
 
     @Override
     public void onPrimaryPromoted(String group, long term, long sinceStartMs) {
         observeStep("promote", sinceStartMs);
-        LOG.log(Level.INFO, "group {0}: promoted at term {1} after {2} ms", group, term, sinceStartMs);
+        LOG.log(Level.INFO, "group {0}: primary promoted at term {1} after {2} ms", group, term, sinceStartMs);
     }
 
     @Override
--- a/control/src/main/java/org/hornbeamspread/control/failover/Coordinator.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/Coordinator.java
@@ -38,18 +38,26 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * The thread that decides for this control member. Every member listens to the databases' announcements, so that a new
- * leader knows them at once; only the leader grants leases and promotes.
+ * The event loop of a control member. Every member receives the databases' announcements, so that a new leader has them
+ * immediately; only the leader grants leases and orders promotions.
  *
- * <p>A lease is granted only after a majority confirmed the leadership since the renewal arrived. So at that moment no
- * other leader existed, and a later one, which waits a whole lease before it counts on anything, outlasts this lease.
- * Renewals that arrive while a confirmation runs wait for the next one together.
+ * <p>A lease is granted only after a majority has confirmed the leadership since the renewal arrived. No other leader
+ * therefore existed when the renewal arrived, and the lease is counted from then. A later leader waits for one full
+ * lease before it relies on the end of earlier leases, so this lease has expired by then. Renewals that arrive during a
+ * confirmation wait for the next one, which covers all of them.
  */
 public final class Coordinator implements PeerHandler, AutoCloseable {
     private static final Logger LOG = System.getLogger(Coordinator.class.getName());
+
+    /** Capacity of the event queue, in events. */
     private static final int RING_CAPACITY = 1 << 16;
+
     private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
+
+    /** A database counts as reachable for this time after its last message. */
     private static final Duration REACHABLE_TIMEOUT = Duration.ofSeconds(1);
+
+    /** A database is removed from the registry this time after its last message. */
     private static final Duration REGISTRY_EXPIRY = Duration.ofSeconds(30);
 
     private final ReplicatedLog log;
@@ -67,17 +75,17 @@
     private final DutyThread<ControlEvent> eventLoop;
     private final VersionPusher versionPusher;
 
-    /** This member's leadership; null while another leads. */
+    /** The session of this member's leadership; null while this member is not the leader. */
     private LeaderSession session;
 
     private Leadership leadership = new Leadership(0, Optional.empty(), false);
 
     /**
-     * Makes the coordinator; {@link #start} runs it.
+     * Creates the coordinator; {@link #start} runs it.
      *
      * @param log the control log
-     * @param state the log's latest applied state, safe for any thread
-     * @param peerEndpointOf the peer endpoint of a member by its name, empty when unknown
+     * @param state supplies the latest applied state of the log; thread-safe
+     * @param peerEndpointOf the peer endpoint of a member by its id; empty when unknown
      * @param lease how long a proxy may act on a view
      */
     public Coordinator(
@@ -105,7 +113,7 @@
                 new EffectRunner(registry, databaseClients, new ProposalBatcher(log, clock, eventLoop::offer, metrics));
     }
 
-    /** Starts the thread and follows the log's leadership. */
+    /** Starts the thread and registers for changes of the log's leadership. */
     public Coordinator start() {
         log.onLeadershipChange(next -> eventLoop.offer(new ControlEvent.LeadershipChanged(next)));
         eventLoop.offer(new ControlEvent.LeadershipChanged(log.leadership()));
@@ -113,14 +121,17 @@
         return this;
     }
 
-    /** The topology as this leader publishes it, without control's own members. Fails with NOT_LEADER. */
+    /** Returns the topology that this leader publishes, without the control members. Fails with NOT_LEADER. */
     public CompletableFuture<Topology> topology() {
         CompletableFuture<Topology> answer = new CompletableFuture<>();
         offer(new ControlEvent.TopologyRequested(answer), answer);
         return answer;
     }
 
-    /** Asks for another primary. Completes when the promotion is under way. Fails with NOT_LEADER, UNKNOWN_GROUP. */
+    /**
+     * Requests a handover of a group to the given database, or to the best candidate if none is given. Completes when
+     * the request is accepted, before the promotion has ended. Fails with NOT_LEADER or UNKNOWN_GROUP.
+     */
     public CompletableFuture<Void> requestHandover(String group, Optional<String> databaseId) {
         CompletableFuture<Void> answer = new CompletableFuture<>();
         offer(new ControlEvent.HandoverRequested(group, databaseId, answer), answer);
@@ -133,9 +144,9 @@
             refuse(answer, FailureType.INVALID_REQUEST, request.getBodyCase().name());
             return;
         }
-        RenewView renew = request.getRenewView();
-        LiveProxy proxy = ViewMessages.proxy(renew.getProxy());
-        Renewal renewal = new Renewal(renew, proxy, clock.instant(), connection, answer);
+        RenewView renewView = request.getRenewView();
+        LiveProxy proxy = ViewMessages.proxy(renewView.getProxy());
+        Renewal renewal = new Renewal(renewView, proxy, clock.instant(), connection, answer);
         if (!eventLoop.offer(renewal)) {
             refuse(answer, FailureType.RING_FULL, "coordinator");
         }
@@ -184,18 +195,18 @@
             handleLeadershipCheck(check);
         } else if (event instanceof ControlEvent.LeadershipChanged changed) {
             handleLeadershipChange(changed.leadership());
-        } else if (event instanceof ControlEvent.TopologyRequested asked) {
-            answerTopology(asked.answer());
-        } else if (event instanceof ControlEvent.HandoverRequested asked) {
-            requestHandover(asked);
+        } else if (event instanceof ControlEvent.TopologyRequested requested) {
+            answerTopology(requested.answer());
+        } else if (event instanceof ControlEvent.HandoverRequested requested) {
+            requestHandover(requested);
         } else {
             handleDatabaseEvent(event);
         }
     }
 
     private void handleDatabaseEvent(ControlEvent event) {
-        if (event instanceof ControlEvent.StatusReported reported) {
-            recordStatus(reported.status());
+        if (event instanceof ControlEvent.StatusReported report) {
+            recordStatus(report.status());
         } else if (event instanceof ControlEvent.BecamePrimary promoted) {
             handleBecamePrimary(promoted);
         } else if (event instanceof ControlEvent.ConnectionRefused refused) {
@@ -209,17 +220,19 @@
     }
 
     private void handleSessionEvent(ControlEvent event) {
-        if (event instanceof ControlEvent.FollowConfirmed followed) {
-            recordStatus(followed.status());
-            DatabaseStatus status = followed.status();
-            session.group(followed.group())
+        if (event instanceof ControlEvent.FollowConfirmed confirmed) {
+            recordStatus(confirmed.status());
+            DatabaseStatus status = confirmed.status();
+            session.group(confirmed.group())
                     .ifPresent(group ->
-                            group.failover().onFollowing(status.databaseId(), status.incarnation(), followed.term()));
+                            group.failover().onFollowing(status.databaseId(), status.incarnation(), confirmed.term()));
         } else if (event instanceof ControlEvent.PromoteRefused refused) {
             session.group(refused.group()).ifPresent(group -> group.failover().onPromoteRefused(refused.term()));
-        } else if (event instanceof ControlEvent.ProposalCompleted ended && ended.leaderTerm() == leadership.term()) {
+        } else if (event instanceof ControlEvent.ProposalCompleted completed
+                && completed.leaderTerm() == leadership.term()) {
             session.update(state.get());
-            ended.groups()
+            completed
+                    .groups()
                     .forEach(name -> session.group(name)
                             .ifPresent(group -> group.failover().onProposalCompleted()));
         }
@@ -289,7 +302,11 @@
         step();
     }
 
-    /** A proxy that just learned of a promotion is called again at once, so that it confirms without waiting. */
+    /**
+     * Grants a lease and responds to the renewal. While a promotion is in progress, the version is also pushed to a
+     * proxy that has just received a newer view, so that the proxy confirms the view without waiting for its next
+     * regular renewal.
+     */
     private void grant(Renewal renewal) {
         LiveProxy proxy = renewal.proxy();
         session.recordRenewal(renewal.request(), proxy);
@@ -302,17 +319,18 @@
         }
     }
 
-    private void handleLeadershipChange(Leadership next) {
-        boolean gained = next.isLeader() && (session == null || next.term() != leadership.term());
-        leadership = next;
-        if (gained) {
-            LOG.log(Level.INFO, "leading the control log at term {0}", next.term());
-            session = new LeaderSession(next.term(), lease, clock, timings, registry, detector, metrics);
+    private void handleLeadershipChange(Leadership newLeadership) {
+        boolean becameLeader =
+                newLeadership.isLeader() && (session == null || newLeadership.term() != leadership.term());
+        leadership = newLeadership;
+        if (becameLeader) {
+            LOG.log(Level.INFO, "became leader of the control log at term {0}", newLeadership.term());
+            session = new LeaderSession(newLeadership.term(), lease, clock, timings, registry, detector, metrics);
             session.update(state.get());
             versionPusher.reset();
             step();
-        } else if (!next.isLeader() && session != null) {
-            LOG.log(Level.INFO, "no longer leading the control log, term {0}", next.term());
+        } else if (!newLeadership.isLeader() && session != null) {
+            LOG.log(Level.INFO, "no longer leader of the control log, current term {0}", newLeadership.term());
             session = null;
             versionPusher.clear();
             renewals.takeAll().forEach(renewal -> refuseNotLeader(renewal.answer()));
@@ -357,15 +375,17 @@
                 .build());
     }
 
-    private void requestHandover(ControlEvent.HandoverRequested asked) {
-        Optional<GroupState> group = session == null ? Optional.empty() : session.group(asked.group());
+    private void requestHandover(ControlEvent.HandoverRequested requested) {
+        Optional<GroupState> group = session == null ? Optional.empty() : session.group(requested.group());
         if (session == null) {
-            asked.answer().completeExceptionally(notLeader());
+            requested.answer().completeExceptionally(notLeader());
         } else if (group.isEmpty()) {
-            asked.answer().completeExceptionally(new FailureException(FailureType.UNKNOWN_GROUP, asked.group()));
+            requested
+                    .answer()
+                    .completeExceptionally(new FailureException(FailureType.UNKNOWN_GROUP, requested.group()));
         } else {
-            group.get().failover().requestHandover(asked.databaseId());
-            asked.answer().complete(null);
+            group.get().failover().requestHandover(requested.databaseId());
+            requested.answer().complete(null);
             step();
         }
     }
--- a/control/src/main/java/org/hornbeamspread/control/failover/DatabaseClients.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/DatabaseClients.java
@@ -24,14 +24,14 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * Administrative connections to databases, one for each address, and the commands that go over them. What comes back is
- * handed to the coordinator as events. Safe for any thread.
+ * Administrative connections to databases, one for each address, and the commands sent over them. The responses are
+ * passed to the coordinator as events. Thread-safe.
  */
 final class DatabaseClients {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
     private static final Duration COMMAND_TIMEOUT = Duration.ofSeconds(1);
 
-    /** So long that no report is pushed between changes. */
+    /** A heartbeat interval of one hour: the database pushes no reports except for changes. */
     private static final int NO_HEARTBEAT_MS = 3_600_000;
 
     private final PeerTransport transport;
@@ -45,7 +45,7 @@
         this.metrics = metrics;
     }
 
-    /** Raises a database's term. */
+    /** Fences a database: raises its term. */
     void fence(AnnouncedDatabase database, long term) {
         Envelope request =
                 Envelope.newBuilder().setFence(Fence.newBuilder().setTerm(term)).build();
@@ -77,7 +77,7 @@
         });
     }
 
-    /** Makes a database a replica. */
+    /** Makes a database a replica of a primary. */
     void follow(AnnouncedDatabase database, long term, AnnouncedDatabase primary) {
         Envelope request = Envelope.newBuilder()
                 .setFollow(Follow.newBuilder()
@@ -97,7 +97,7 @@
         });
     }
 
-    /** Tells a database that it counts again. */
+    /** Notifies a database that lost its disk that it is trusted again and counts in quorums. */
     void readmit(AnnouncedDatabase database, FailoverEffect.Readmit readmit) {
         Envelope request = Envelope.newBuilder()
                 .setReadmit(Readmit.newBuilder().setTerm(readmit.term()).setIncarnation(readmit.incarnation()))
@@ -111,14 +111,17 @@
         });
     }
 
-    /** Asks a database for its status over a connection of its own; one that is refused at once tells that it is gone. */
+    /**
+     * Requests a database's status over a separate connection. A connection that is refused before the connect timeout
+     * is reported as {@link ControlEvent.ConnectionRefused}, since no process listens at the address any more.
+     */
     void probe(AnnouncedDatabase database) {
         Envelope request = Envelope.newBuilder()
                 .setSubscribe(Subscribe.newBuilder().setHeartbeatMs(NO_HEARTBEAT_MS))
                 .build();
         PeerHandler handler = (connection, frame, answer) -> refuseRequest(answer);
         metrics.countCommand("probe");
-        long startedNs = System.nanoTime();
+        long connectStartNs = System.nanoTime();
         transport
                 .connect(ViewMessages.toWire(database.address()), CONNECT_TIMEOUT, handler)
                 .thenCompose(connection -> connection
@@ -129,8 +132,8 @@
                         events.accept(new ControlEvent.StatusReported(
                                 ViewMessages.status(answer.getSubscribed().getReport())));
                     } else {
-                        boolean atOnce = System.nanoTime() - startedNs < CONNECT_TIMEOUT.toNanos();
-                        if (recordFailure(database, error) == FailureType.CONNECTION_REFUSED && atOnce) {
+                        boolean beforeTimeout = System.nanoTime() - connectStartNs < CONNECT_TIMEOUT.toNanos();
+                        if (recordFailure(database, error) == FailureType.CONNECTION_REFUSED && beforeTimeout) {
                             events.accept(new ControlEvent.ConnectionRefused(database.databaseId()));
                         }
                     }
@@ -144,17 +147,17 @@
     }
 
     private CompletableFuture<PeerConnection> openConnection(Endpoint endpoint) {
-        CompletableFuture<PeerConnection> known = connections.get(endpoint);
-        boolean usable = known != null
-                && !known.isCompletedExceptionally()
-                && (!known.isDone() || known.join().isOpen());
+        CompletableFuture<PeerConnection> existing = connections.get(endpoint);
+        boolean usable = existing != null
+                && !existing.isCompletedExceptionally()
+                && (!existing.isDone() || existing.join().isOpen());
         if (usable) {
-            return known;
+            return existing;
         }
         PeerHandler handler = (connection, request, answer) -> refuseRequest(answer);
-        CompletableFuture<PeerConnection> opened = transport.connect(endpoint, CONNECT_TIMEOUT, handler);
-        connections.put(endpoint, opened);
-        return opened;
+        CompletableFuture<PeerConnection> opening = transport.connect(endpoint, CONNECT_TIMEOUT, handler);
+        connections.put(endpoint, opening);
+        return opening;
     }
 
     private FailureType recordFailure(AnnouncedDatabase database, Throwable error) {
@@ -168,6 +171,6 @@
 
     private static void refuseRequest(Consumer<Envelope> answer) {
         answer.accept(Envelopes.failureEnvelope(
-                new FailureException(FailureType.INVALID_REQUEST, "control answers no requests here")));
+                new FailureException(FailureType.INVALID_REQUEST, "control accepts no requests on this connection")));
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/failover/EffectRunner.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/EffectRunner.java
@@ -6,7 +6,7 @@
 import org.hornbeamspread.core.membership.AnnouncedDatabase;
 import org.hornbeamspread.core.membership.DatabaseRegistry;
 
-/** Carries out what the groups' failovers ask for. Confined to the coordinator's thread. */
+/** Executes the effects of the groups' failovers. Confined to the coordinator's thread. */
 final class EffectRunner {
     private final DatabaseRegistry registry;
     private final DatabaseClients databases;
@@ -18,9 +18,9 @@
         this.proposals = proposals;
     }
 
-    /** Carries out the effects of one step; the appends of all groups go out together. */
+    /** Executes the effects of one step. The appends of all groups are proposed together. */
     void run(Map<String, List<FailoverEffect>> effects, long leaderTerm) {
-        effects.forEach((group, list) -> list.forEach(effect -> run(group, effect)));
+        effects.forEach((group, groupEffects) -> groupEffects.forEach(effect -> run(group, effect)));
         proposals.flush(leaderTerm);
     }
 
--- a/control/src/main/java/org/hornbeamspread/control/failover/GroupState.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/GroupState.java
@@ -14,16 +14,16 @@
 import org.hornbeamspread.core.membership.DatabaseRegistry;
 import org.hornbeamspread.protocol.schema.GroupDefinition;
 
-/** One declared group as the leader works on it. Confined to the coordinator's thread. */
+/** The leader's state of one declared group. Confined to the coordinator's thread. */
 final class GroupState {
     private final GroupFailover failover;
     private GroupDefinition definition;
     private GroupRecord record;
 
-    /** The members as the log holds them, in the order of their names. */
+    /** The members in the control log by database id, ordered by id. */
     private Map<String, Registration> registrations = Map.of();
 
-    /** Whether the published view may be out of date. */
+    /** Whether the published view of this group may be out of date. */
     private boolean changed = true;
 
     GroupState(GroupDefinition definition, GroupFailover failover) {
@@ -36,7 +36,7 @@
         return definition.getName();
     }
 
-    /** The size that quorums are taken of; never below the number of members, whatever is declared later. */
+    /** The size that quorums are computed from: at least the number of members, even if fewer are declared later. */
     int declaredDatabases() {
         return Math.max(definition.getDatabases(), registrations.size());
     }
@@ -57,17 +57,17 @@
         return Optional.ofNullable(registrations.get(databaseId));
     }
 
-    /** Takes over what the log holds. */
+    /** Sets the group's state to that of the control log. */
     void update(GroupDefinition newDefinition, GroupRecord newRecord, List<Registration> newRegistrations) {
-        Map<String, Registration> byName = new LinkedHashMap<>();
-        newRegistrations.forEach(registration -> byName.put(registration.databaseId(), registration));
-        changed |= !newDefinition.equals(definition) || !newRecord.equals(record) || !byName.equals(registrations);
+        Map<String, Registration> byId = new LinkedHashMap<>();
+        newRegistrations.forEach(registration -> byId.put(registration.databaseId(), registration));
+        changed |= !newDefinition.equals(definition) || !newRecord.equals(record) || !byId.equals(registrations);
         definition = newDefinition;
         record = newRecord;
-        registrations = byName;
+        registrations = byId;
     }
 
-    /** The announced members; before the group has members, the first announced databases. */
+    /** The announced members. While the group has no members, the first announced databases up to the declared size. */
     List<AnnouncedDatabase> databases(DatabaseRegistry registry) {
         List<AnnouncedDatabase> announced = registry.ofGroup(name());
         if (registrations.isEmpty()) {
@@ -78,18 +78,18 @@
         return members;
     }
 
-    /** The names of the members that depart, by their own word or an operator's. */
-    Set<String> departing(List<AnnouncedDatabase> databases, Set<String> departingByOrder) {
+    /** The ids of the databases that are departing by their own announcement or by an operator's request. */
+    Set<String> departing(List<AnnouncedDatabase> databases, Set<String> departingByOperator) {
         Set<String> departing = new HashSet<>();
         for (AnnouncedDatabase database : databases) {
-            if (database.departing() || departingByOrder.contains(database.databaseId())) {
+            if (database.departing() || departingByOperator.contains(database.databaseId())) {
                 departing.add(database.databaseId());
             }
         }
         return departing;
     }
 
-    /** Whether a promotion is under way or due. */
+    /** Whether a promotion is in progress or required. */
     boolean isPromotionPending() {
         return !record.writable();
     }
@@ -98,10 +98,10 @@
         changed = true;
     }
 
-    /** Whether the view may be out of date; false from then on. */
+    /** Returns whether the published view may be out of date, and clears the mark. */
     boolean getAndClearChanged() {
-        boolean was = changed;
+        boolean wasChanged = changed;
         changed = false;
-        return was;
+        return wasChanged;
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
@@ -40,14 +40,19 @@
 import org.hornbeamspread.protocol.schema.ViewLease;
 
 /**
- * One member's leadership of one consensus term: the groups' failovers, the holders, and the view. It is made anew with
- * each leadership, from the log's state and the databases that announced themselves to this member meanwhile, so that
- * nothing of an earlier leadership can linger. No threads and no sockets: effects are collected and taken by the
- * coordinator. Confined to the coordinator's thread.
+ * The leadership of one member during one consensus term: the failover of each group, the assignment of holders, and
+ * the published view. A new session is created for each leadership, from the log's state and the databases that have
+ * announced themselves to this member, so that no state of an earlier leadership is carried over. The session uses no
+ * threads and no sockets: {@link #step} returns effects, and the coordinator executes them. Confined to the
+ * coordinator's thread.
  */
 final class LeaderSession {
+    /** Groups without a pending promotion are stepped at this interval, other groups at each step. */
     private static final Duration IDLE_GROUP_STEP_INTERVAL = Duration.ofMillis(100);
+
+    /** A primary is probed after a silence of two thirds of the heartbeat timeout. */
     private static final int PROBE_SILENCE_DENOMINATOR = 3;
+
     private static final int PROBE_SILENCE_NUMERATOR = 2;
 
     private final Clock clock;
@@ -61,16 +66,16 @@
     private final Map<String, GroupState> groups = new LinkedHashMap<>();
     private final Map<String, Instant> lastProbeTimes = new HashMap<>();
 
-    /** The log's state that the groups were last brought up to; null before the first. */
+    /** The state of the log that was last applied to the groups; null before the first. */
     private ControlState appliedState;
 
     private Set<String> departingByOperator = Set.of();
     private HolderCandidates candidates = new HolderCandidates(List.of());
 
-    /** Whether some database waits for a holder or for the release by its old one. */
+    /** Whether a database has no holder yet or waits for the release by its previous holder. */
     private boolean holderAssignmentPending = true;
 
-    /** Whether proxies came, went or changed since the last step; many that come together cost one assignment. */
+    /** Whether proxies joined, expired or changed since the last step. One assignment covers all changes of a step. */
     private boolean proxiesChanged;
 
     private Instant idleGroupsSteppedAt = Instant.EPOCH;
@@ -100,35 +105,35 @@
         return Optional.ofNullable(groups.get(name));
     }
 
-    /** Whether a promotion waits until the proxies have confirmed its term. */
+    /** Whether a promotion is in progress. Its completion waits for the proxies to confirm its term. */
     boolean hasPromotionInProgress() {
         return groups.values().stream()
                 .anyMatch(group -> group.isPromotionPending() && group.record().term() > 0);
     }
 
-    /** Brings the groups up to the log's state. */
-    void update(ControlState next) {
-        if (next.equals(appliedState)) {
+    /** Applies the log's state to the groups and the view. */
+    void update(ControlState newState) {
+        if (newState.equals(appliedState)) {
             return;
         }
-        appliedState = next;
+        appliedState = newState;
         Map<String, GroupRecord> records = new HashMap<>();
-        for (GroupTerm term : next.getGroupsList()) {
+        for (GroupTerm term : newState.getGroupsList()) {
             records.put(term.getGroup(), ViewMessages.record(term));
         }
         Map<String, List<Registration>> registrations = new HashMap<>();
-        next.getDatabasesList()
+        newState.getDatabasesList()
                 .forEach(database -> registrations
                         .computeIfAbsent(database.getGroup(), name -> new ArrayList<>())
                         .add(ViewMessages.registration(database)));
-        Set<String> departing = Set.copyOf(next.getDepartingDatabaseIdsList());
+        Set<String> departing = Set.copyOf(newState.getDepartingDatabaseIdsList());
         if (!departing.equals(departingByOperator)) {
             departingByOperator = departing;
             groups.values().forEach(GroupState::markChanged);
         }
-        view.publish(next.getConfiguration());
+        view.publish(newState.getConfiguration());
         Set<String> declared = new HashSet<>();
-        for (GroupDefinition definition : next.getConfiguration().getGroupsList()) {
+        for (GroupDefinition definition : newState.getConfiguration().getGroupsList()) {
             declared.add(definition.getName());
             groups.computeIfAbsent(definition.getName(), name -> newGroup(definition))
                     .update(
@@ -136,20 +141,24 @@
                             records.getOrDefault(definition.getName(), GroupRecord.initial(definition.getName())),
                             registrations.getOrDefault(definition.getName(), List.of()));
         }
-        List<String> dropped = groups.keySet().stream()
+        List<String> removed = groups.keySet().stream()
                 .filter(name -> !declared.contains(name))
                 .toList();
-        dropped.forEach(groups::remove);
-        dropped.forEach(view::remove);
+        removed.forEach(groups::remove);
+        removed.forEach(view::remove);
     }
 
-    /** The groups' descriptions changed in the registry. */
+    /** Marks groups whose databases have changed in the registry. */
     void markChanged(Collection<String> names) {
         names.forEach(name -> group(name).ifPresent(GroupState::markChanged));
         holderAssignmentPending |= !names.isEmpty();
     }
 
-    /** Takes in what a proxy says with its renewal. */
+    /**
+     * Records the contents of a renewal: the view version that the proxy holds, its observations of databases and,
+     * while leases of earlier leaders may still run, the databases that the proxy holds. Observations of another
+     * incarnation than the announced one are ignored.
+     */
     void recordRenewal(RenewView request, LiveProxy proxy) {
         view.leases().confirm(proxy.proxyId(), view.heldVersion(request));
         for (DatabaseObservation observation : request.getObservationsList()) {
@@ -169,31 +178,31 @@
         }
     }
 
-    /** Grants a lease on the view as it stands. */
+    /** Grants a lease on the current view. */
     ViewLease grant(RenewView request, LiveProxy proxy, Instant arrivedAt) {
-        Optional<LiveProxy> known = view.leases().find(proxy.proxyId());
+        Optional<LiveProxy> previous = view.leases().find(proxy.proxyId());
         ViewLease answer = view.grant(proxy, request, arrivedAt);
         metrics.countLease(answer.getFull());
-        proxiesChanged |= known.filter(proxy::describesSame).isEmpty();
+        proxiesChanged |= previous.filter(proxy::describesSame).isEmpty();
         return answer;
     }
 
-    /** One step of everything: returns what is to be done, by group. */
+    /** Expires leases, publishes changes and steps the groups. Returns the effects to execute, by group. */
     Map<String, List<FailoverEffect>> step() {
         proxiesChanged |= !view.leases().expire().isEmpty();
         Instant now = clock.instant();
-        boolean quietStep = !now.isBefore(idleGroupsSteppedAt.plus(IDLE_GROUP_STEP_INTERVAL));
-        if (quietStep) {
+        boolean idleGroupsDue = !now.isBefore(idleGroupsSteppedAt.plus(IDLE_GROUP_STEP_INTERVAL));
+        if (idleGroupsDue) {
             idleGroupsSteppedAt = now;
         }
         publish();
         long oldestVersion = view.leases().oldestVersion();
         Map<String, List<FailoverEffect>> effects = new LinkedHashMap<>();
         for (GroupState group : groups.values()) {
-            if (quietStep || group.isPromotionPending()) {
-                List<FailoverEffect> next = group.failover().step(failoverInput(group, oldestVersion));
-                if (!next.isEmpty()) {
-                    effects.put(group.name(), next);
+            if (idleGroupsDue || group.isPromotionPending()) {
+                List<FailoverEffect> groupEffects = group.failover().step(failoverInput(group, oldestVersion));
+                if (!groupEffects.isEmpty()) {
+                    effects.put(group.name(), groupEffects);
                 }
             }
         }
@@ -201,7 +210,7 @@
         return effects;
     }
 
-    /** Publishes whatever changed. */
+    /** Publishes changes of the proxies, the holders and the groups. */
     void publish() {
         publishChangedProxies();
         assignHolders();
@@ -212,24 +221,24 @@
         }
     }
 
-    /** Primaries that have been silent for a while and were not asked lately. */
+    /** Returns the silent primaries that were not probed within the retry interval, and marks them as probed now. */
     List<AnnouncedDatabase> silentPrimariesToProbe() {
-        long limitMs = timings.heartbeatTimeoutMs() * PROBE_SILENCE_NUMERATOR / PROBE_SILENCE_DENOMINATOR;
+        long probeThresholdMs = timings.heartbeatTimeoutMs() * PROBE_SILENCE_NUMERATOR / PROBE_SILENCE_DENOMINATOR;
         List<AnnouncedDatabase> silent = new ArrayList<>();
         for (GroupState group : groups.values()) {
             Optional<String> primaryId = group.record().primaryId();
-            if (primaryId.isPresent() && detector.silence(primaryId.get()).toMillis() > limitMs) {
+            if (primaryId.isPresent() && detector.silence(primaryId.get()).toMillis() > probeThresholdMs) {
                 registry.find(primaryId.get()).filter(this::markProbedIfDue).ifPresent(silent::add);
             }
         }
         return silent;
     }
 
-    /** Whether a primary may be asked for its status now. */
+    /** Returns whether a database was not probed within the retry interval, and if so marks it as probed now. */
     boolean markProbedIfDue(AnnouncedDatabase database) {
         Instant now = clock.instant();
-        Instant last = lastProbeTimes.get(database.databaseId());
-        if (last != null && now.isBefore(last.plusMillis(timings.retryMs()))) {
+        Instant lastProbe = lastProbeTimes.get(database.databaseId());
+        if (lastProbe != null && now.isBefore(lastProbe.plusMillis(timings.retryMs()))) {
             return false;
         }
         lastProbeTimes.put(database.databaseId(), now);
@@ -283,14 +292,14 @@
 
     private FailoverInput failoverInput(GroupState group, long oldestVersion) {
         List<AnnouncedDatabase> databases = group.databases(registry);
-        int recent = group.failover().recentPromotions();
+        int recentPromotions = group.failover().recentPromotions();
         Map<String, Long> suspected = new HashMap<>();
         List<DatabaseStatus> statuses = new ArrayList<>();
         Map<String, String> regions = new HashMap<>();
         for (AnnouncedDatabase database : databases) {
             statuses.add(database.status());
             regions.put(database.databaseId(), database.region());
-            if (detector.isSuspected(database.databaseId(), recent)) {
+            if (detector.isSuspected(database.databaseId(), recentPromotions)) {
                 suspected.put(
                         database.databaseId(),
                         detector.silence(database.databaseId()).toMillis());
@@ -311,15 +320,15 @@
     private GroupView groupView(GroupState group) {
         List<AnnouncedDatabase> databases = group.databases(registry);
         Set<String> departing = group.departing(databases, departingByOperator);
-        GroupView.Builder wire = GroupView.newBuilder()
+        GroupView.Builder builder = GroupView.newBuilder()
                 .setGroup(group.name())
                 .setTerm(group.record().term())
                 .setPrimaryId(group.record().primaryId().orElse(""))
                 .setWritable(group.record().writable());
         for (AnnouncedDatabase database : databases) {
-            wire.addDatabases(databaseEntry(group, database, departing.contains(database.databaseId())));
+            builder.addDatabases(databaseEntry(group, database, departing.contains(database.databaseId())));
         }
-        return wire.build();
+        return builder.build();
     }
 
     private DatabaseEntry databaseEntry(GroupState group, AnnouncedDatabase database, boolean departing) {
--- a/control/src/main/java/org/hornbeamspread/control/failover/ProposalBatcher.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/ProposalBatcher.java
@@ -15,8 +15,8 @@
 import org.hornbeamspread.protocol.schema.SetGroupTerms;
 
 /**
- * Gathers the appends of one step of all groups into one log record of each kind, so that the loss of a failure domain
- * costs few records. Confined to the coordinator's thread.
+ * Batches the appends of all groups in one step into one log record of each kind, so that the loss of a failure domain,
+ * which affects many groups at once, needs few records. Confined to the coordinator's thread.
  */
 final class ProposalBatcher {
     private final ReplicatedLog log;
@@ -46,7 +46,7 @@
         registrationGroups.add(group);
     }
 
-    /** Sends what was gathered; ProposalEnded tells when it is done, in whatever way. */
+    /** Proposes the batched appends. ProposalCompleted follows for each proposal, whether it succeeded or failed. */
     void flush(long leaderTerm) {
         if (!registrationGroups.isEmpty()) {
             propose(command().setRegisterDatabases(registrations), leaderTerm, registrationGroups);
--- a/control/src/main/java/org/hornbeamspread/control/failover/RenewalQueue.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/RenewalQueue.java
@@ -11,10 +11,12 @@
 import org.hornbeamspread.control.failover.ControlEvent.Renewal;
 
 /**
- * Renewals that wait until a majority has confirmed the leadership. One check runs at a time, for all that had arrived
- * before it; what arrives meanwhile waits for the next. Confined to the coordinator's thread.
+ * Renewals that wait until a majority has confirmed the leadership. One check runs at a time and covers all renewals
+ * that arrived before its start; renewals that arrive during a check wait for the next one. Confined to the
+ * coordinator's thread.
  */
 final class RenewalQueue {
+    /** Time after which a check without a result is given up. */
     private static final Duration CHECK_TIMEOUT = Duration.ofSeconds(2);
 
     private final ReplicatedLog log;
@@ -22,7 +24,7 @@
     private final Consumer<ControlEvent> events;
     private List<Renewal> pending = new ArrayList<>();
 
-    /** When the running check counts as lost; null while none runs. */
+    /** When the running check is given up, so that the next one may start; null while none runs. */
     private Instant checkDeadline;
 
     RenewalQueue(ReplicatedLog log, Clock clock, Consumer<ControlEvent> events) {
@@ -35,7 +37,7 @@
         pending.add(renewal);
     }
 
-    /** Starts a check if renewals wait and none runs; LeadershipChecked tells its outcome. */
+    /** Starts a check if renewals are pending and no check runs. LeadershipCheckCompleted carries the result. */
     void startCheck(long leaderTerm) {
         Instant now = clock.instant();
         boolean running = checkDeadline != null && now.isBefore(checkDeadline);
@@ -49,12 +51,12 @@
                         (done, error) -> events.accept(new LeadershipCheckCompleted(leaderTerm, error == null, batch)));
     }
 
-    /** The running check told its outcome. */
+    /** Called when the result of the running check has arrived. */
     void completeCheck() {
         checkDeadline = null;
     }
 
-    /** Empties the queue. */
+    /** Removes and returns all pending renewals. */
     List<Renewal> takeAll() {
         List<Renewal> all = pending;
         pending = new ArrayList<>();
--- a/control/src/main/java/org/hornbeamspread/control/failover/VersionPusher.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/VersionPusher.java
@@ -9,39 +9,42 @@
 import org.hornbeamspread.protocol.schema.ViewChanged;
 import org.hornbeamspread.transport.PeerConnection;
 
-/** Tells the proxies that renew here of each new version of the view, at most once an interval. Confined to one thread. */
+/**
+ * Pushes new versions of the view to the proxies that renew their leases at this leader, at most once per interval.
+ * Confined to one thread.
+ */
 final class VersionPusher {
     private static final Duration PUSH_INTERVAL = Duration.ofMillis(10);
 
     private final Clock clock;
     private final Map<String, PeerConnection> connections = new HashMap<>();
 
-    /** No push to all before this time. */
+    /** No version is pushed to all proxies before this time. */
     private Instant earliestNextPush = Instant.EPOCH;
 
-    /** The version that all were last told of. */
+    /** The version that was last pushed to all proxies. */
     private long lastPushedVersion;
 
     VersionPusher(Clock clock) {
         this.clock = clock;
     }
 
-    /** Tells a proxy from now on, over the connection that it last renewed on. */
+    /** Adds a proxy, or replaces its connection. Pushes use the connection of the proxy's last renewal. */
     void register(String proxyId, PeerConnection connection) {
         connections.put(proxyId, connection);
     }
 
-    /** Another leader's versions begin anew: all are to be told. */
+    /** Must be called for a new leadership, which restarts the version numbers: the next version is pushed to all. */
     void reset() {
         lastPushedVersion = 0;
     }
 
-    /** Forgets the proxies. */
+    /** Removes all proxies. */
     void clear() {
         connections.clear();
     }
 
-    /** Tells all of a version, unless they know it or were told of another one just now. */
+    /** Pushes a version to all proxies, unless it was pushed last or less than an interval has passed since a push. */
     void push(long version) {
         Instant now = clock.instant();
         if (version == lastPushedVersion || now.isBefore(earliestNextPush)) {
@@ -53,7 +56,7 @@
         connections.values().forEach(connection -> push(connection, version));
     }
 
-    /** Tells one proxy of a version. */
+    /** Pushes a version to one proxy. */
     static void push(PeerConnection connection, long version) {
         connection.push(Envelope.newBuilder()
                 .setViewChanged(ViewChanged.newBuilder().setViewVersion(version))
--- a/control/src/main/java/org/hornbeamspread/control/failover/package-info.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/package-info.java
@@ -1,2 +1,2 @@
-/** Runs the decisions of a control leader: detection, promotions and assignments, and the commands to databases. */
+/** The control leader: failure detection, promotions, holder assignment, and the commands sent to databases. */
 package org.hornbeamspread.control.failover;
