--- a/control/src/main/java/org/hornbeamspread/control/operations/ConfigurationChanges.java
+++ b/control/src/main/java/org/hornbeamspread/control/operations/ConfigurationChanges.java
@@ -10,11 +10,11 @@
 import org.hornbeamspread.protocol.schema.RankDefinition;
 import org.hornbeamspread.protocol.schema.ServiceDefinition;
 
-/** Lists what differs between two configurations, a line for each rank, group and service. */
+/** Lists the differences between two configurations, one line for each rank, group and service. */
 final class ConfigurationChanges {
     private ConfigurationChanges() {}
 
-    /** The lines, for example {@code group orders-1: added}. */
+    /** Returns the lines, for example {@code group orders-1: added}. */
     static List<String> between(Configuration before, Configuration after) {
         List<String> changes = new ArrayList<>();
         addChanges("rank", before.getRanksList(), after.getRanksList(), RankDefinition::getName, changes);
@@ -24,17 +24,17 @@
     }
 
     private static <T> void addChanges(
-            String kind, List<T> before, List<T> after, Function<T, String> name, List<String> changes) {
-        Map<String, T> old = new LinkedHashMap<>();
-        before.forEach(item -> old.put(name.apply(item), item));
+            String kind, List<T> before, List<T> after, Function<T, String> nameOf, List<String> changes) {
+        Map<String, T> remaining = new LinkedHashMap<>();
+        before.forEach(item -> remaining.put(nameOf.apply(item), item));
         for (T item : after) {
-            T known = old.remove(name.apply(item));
-            if (known == null) {
-                changes.add(kind + " " + name.apply(item) + ": added");
-            } else if (!known.equals(item)) {
-                changes.add(kind + " " + name.apply(item) + ": changed");
+            T previous = remaining.remove(nameOf.apply(item));
+            if (previous == null) {
+                changes.add(kind + " " + nameOf.apply(item) + ": added");
+            } else if (!previous.equals(item)) {
+                changes.add(kind + " " + nameOf.apply(item) + ": changed");
             }
         }
-        old.keySet().forEach(removed -> changes.add(kind + " " + removed + ": removed"));
+        remaining.keySet().forEach(removed -> changes.add(kind + " " + removed + ": removed"));
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/operations/Operations.java
+++ b/control/src/main/java/org/hornbeamspread/control/operations/Operations.java
@@ -35,8 +35,9 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * Serves the schema's Operations. Reads are answered only after a majority has confirmed the leadership; another member
- * refuses with NOT_LEADER and the leader's HTTP endpoint. Safe for any thread.
+ * Implements the Operations service of the schema. Reads are answered only after a majority has confirmed the
+ * leadership. A member that is not the leader refuses requests with NOT_LEADER and the leader's HTTP endpoint.
+ * Thread-safe.
  */
 public final class Operations {
     private static final String SERVICE = "hornbeamspread.Operations/";
@@ -50,11 +51,11 @@
     private final ControlMetrics metrics;
 
     /**
-     * The operations of one member.
+     * Creates the service of one member.
      *
-     * @param state the log's latest applied state
-     * @param members the control members with their progress
-     * @param httpEndpointOf the HTTP endpoint of a member by its name, empty when unknown
+     * @param state supplies the latest applied state of the log
+     * @param members supplies the control members with their replication progress
+     * @param httpEndpointOf the HTTP endpoint of a member by its id; empty when unknown
      */
     public Operations(
             ReplicatedLog log,
@@ -73,7 +74,7 @@
         this.metrics = metrics;
     }
 
-    /** The methods to serve. */
+    /** The RPC methods of the service. */
     public List<RpcMethod<?, ?>> methods() {
         return List.of(
                 new RpcMethod<>(
@@ -161,9 +162,9 @@
     }
 
     private CompletableFuture<OperationResponse> setDeparture(SetDepartureRequest request) {
-        boolean known = state.get().getDatabasesList().stream()
+        boolean registered = state.get().getDatabasesList().stream()
                 .anyMatch(database -> database.getDatabaseId().equals(request.getDatabaseId()));
-        if (!known) {
+        if (!registered) {
             return CompletableFuture.failedFuture(
                     new FailureException(FailureType.UNKNOWN_DATABASE, request.getDatabaseId()));
         }
@@ -183,23 +184,25 @@
                 .thenApply(done -> OperationResponse.getDefaultInstance());
     }
 
-    /** The old member leaves and the new one joins without a vote; the log gives it one once it has caught up. */
+    /** Replaces a member by one that does not vote yet; the log makes the new member a voter once it has caught up. */
     private CompletableFuture<OperationResponse> replaceControlMember(ReplaceControlMemberRequest request) {
-        List<ControlMember> present = members.get();
-        ChangeMembers.Builder next = ChangeMembers.newBuilder();
-        present.stream()
+        List<ControlMember> current = members.get();
+        ChangeMembers.Builder changedMembers = ChangeMembers.newBuilder();
+        current.stream()
                 .filter(member -> !member.getMemberId().equals(request.getMemberId()))
-                .forEach(member -> next.addMembers(member.toBuilder().clearMatchedIndex()));
-        boolean complete = request.getReplacement().hasPeer()
+                .forEach(member -> changedMembers.addMembers(member.toBuilder().clearMatchedIndex()));
+        boolean replacementComplete = request.getReplacement().hasPeer()
                 && request.getReplacement().hasHttp()
                 && !request.getReplacement().getMemberId().isEmpty();
-        if (next.getMembersCount() == present.size() || !complete) {
+        if (changedMembers.getMembersCount() == current.size() || !replacementComplete) {
             return CompletableFuture.failedFuture(new FailureException(
-                    FailureType.INVALID_REQUEST, "member_id must be a member, and replacement complete"));
+                    FailureType.INVALID_REQUEST,
+                    "member_id must name a control member, and replacement must have member_id, peer and http"));
         }
-        next.addMembers(request.getReplacement());
-        return log.propose(
-                        command(request.getRequestId()).setChangeMembers(next).build())
+        changedMembers.addMembers(request.getReplacement());
+        return log.propose(command(request.getRequestId())
+                        .setChangeMembers(changedMembers)
+                        .build())
                 .thenApply(Operations::toResponse);
     }
 
@@ -213,7 +216,7 @@
         return ControlCommand.newBuilder().setRequestId(requestId).setProposedAtMs(clock.millis());
     }
 
-    /** Runs a call on the leader, and gives refusals by the log the leader's HTTP endpoint. */
+    /** Runs a call if this member leads. A NOT_LEADER failure of the call gets the leader's HTTP endpoint as detail. */
     private <T> CompletableFuture<T> callOnLeader(Supplier<CompletableFuture<T>> call) {
         if (!log.leadership().isLeader()) {
             return CompletableFuture.failedFuture(countFailure(notLeader()));
--- a/control/src/main/java/org/hornbeamspread/control/operations/PublishedState.java
+++ b/control/src/main/java/org/hornbeamspread/control/operations/PublishedState.java
@@ -7,7 +7,7 @@
 import org.hornbeamspread.protocol.schema.ControlRecord;
 import org.hornbeamspread.protocol.schema.ControlState;
 
-/** Lets every thread read the latest state that a state machine has applied. */
+/** Publishes the latest applied state of a state machine to all threads. */
 public final class PublishedState implements StateMachine, Supplier<ControlState> {
     private final StateMachine stateMachine;
     private final Supplier<ControlState> snapshot;
@@ -16,10 +16,10 @@
     /**
      * Wraps a state machine.
      *
-     * @param snapshot its state as an immutable message; called on the consensus thread only
+     * @param snapshot returns the state as an immutable message; called on the consensus thread only
      */
-    public PublishedState(StateMachine machine, Supplier<ControlState> snapshot) {
-        this.stateMachine = machine;
+    public PublishedState(StateMachine stateMachine, Supplier<ControlState> snapshot) {
+        this.stateMachine = stateMachine;
         this.snapshot = snapshot;
         this.latest = snapshot.get();
     }
--- a/control/src/main/java/org/hornbeamspread/control/operations/package-info.java
+++ b/control/src/main/java/org/hornbeamspread/control/operations/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' calls. */
+/** The administrative RPCs for operators. */
 package org.hornbeamspread.control.operations;
--- a/control/src/main/java/org/hornbeamspread/control/view/ClusterGuard.java
+++ b/control/src/main/java/org/hornbeamspread/control/view/ClusterGuard.java
@@ -10,18 +10,19 @@
 import org.hornbeamspread.transport.PeerHandler;
 
 /**
- * Keeps proxies and databases of another system out: one that was pointed at a wrong address would else be given
- * leases, or be promoted. A renewal is refused with WRONG_CLUSTER, an announcement dropped; both are counted.
+ * Rejects proxies and databases of other clusters. Otherwise a proxy that is configured with a wrong address would be
+ * granted leases, and such a database could be promoted. A renewal is refused with WRONG_CLUSTER and an announcement is
+ * dropped; both are counted.
  */
 public final class ClusterGuard implements PeerHandler {
     private final String clusterId;
     private final PeerHandler delegate;
     private final ControlMetrics metrics;
 
-    /** Passes on what belongs to the cluster. */
-    public ClusterGuard(String clusterId, PeerHandler inner, ControlMetrics metrics) {
+    /** Forwards all requests and pushes to the delegate, except renewals and announcements of other clusters. */
+    public ClusterGuard(String clusterId, PeerHandler delegate, ControlMetrics metrics) {
         this.clusterId = clusterId;
-        this.delegate = inner;
+        this.delegate = delegate;
         this.metrics = metrics;
     }
 
@@ -29,7 +30,8 @@
     public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
         if (request.hasRenewView() && isOtherCluster(request.getRenewView().getClusterId())) {
             answer.accept(Envelopes.failureEnvelope(new FailureException(
-                    FailureType.WRONG_CLUSTER, request.getRenewView().getClusterId() + ", here " + clusterId)));
+                    FailureType.WRONG_CLUSTER,
+                    request.getRenewView().getClusterId() + " is not the id of this cluster, " + clusterId)));
             return;
         }
         delegate.onRequest(connection, request, answer);
@@ -47,11 +49,11 @@
         delegate.onClose(connection);
     }
 
-    private boolean isOtherCluster(String sender) {
-        boolean foreign = !clusterId.equals(sender);
-        if (foreign) {
+    private boolean isOtherCluster(String senderClusterId) {
+        boolean otherCluster = !clusterId.equals(senderClusterId);
+        if (otherCluster) {
             metrics.countFailure(FailureType.WRONG_CLUSTER);
         }
-        return foreign;
+        return otherCluster;
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/view/ViewMessages.java
+++ b/control/src/main/java/org/hornbeamspread/control/view/ViewMessages.java
@@ -20,7 +20,7 @@
 public final class ViewMessages {
     private ViewMessages() {}
 
-    /** An announcement. Fails with INVALID_REQUEST. */
+    /** Converts an announcement. Fails with INVALID_REQUEST. */
     public static AnnouncedDatabase announced(Announce wire) {
         PositionReport report = wire.getReport().toBuilder()
                 .setDatabaseId(wire.getDatabaseId())
@@ -37,7 +37,7 @@
                 status(report));
     }
 
-    /** A database's report. Fails with INVALID_REQUEST. */
+    /** Converts a database's report. Fails with INVALID_REQUEST. */
     public static DatabaseStatus status(PositionReport wire) {
         return new DatabaseStatus(
                 wire.getDatabaseId(),
@@ -50,7 +50,7 @@
                 wire.getTrusted());
     }
 
-    /** A proxy's description of itself. Fails with INVALID_REQUEST. */
+    /** Converts a proxy's description of itself. Fails with INVALID_REQUEST. */
     public static LiveProxy proxy(ProxyEntry wire) {
         return new LiveProxy(
                 wire.getProxyId(),
@@ -85,7 +85,7 @@
                 .build();
     }
 
-    /** A group's record in the control log. */
+    /** Converts a group's record in the control log. */
     public static GroupRecord record(GroupTerm wire) {
         Optional<String> primaryId =
                 wire.getPrimaryId().isEmpty() ? Optional.empty() : Optional.of(wire.getPrimaryId());
@@ -103,7 +103,7 @@
                 .build();
     }
 
-    /** A member's registration in the control log. */
+    /** Converts a member's registration in the control log. */
     public static Registration registration(RegisteredDatabase wire) {
         return new Registration(wire.getDatabaseId(), wire.getIncarnation(), wire.getTrusted());
     }
--- a/control/src/main/java/org/hornbeamspread/control/view/ViewPublisher.java
+++ b/control/src/main/java/org/hornbeamspread/control/view/ViewPublisher.java
@@ -18,9 +18,9 @@
 import org.hornbeamspread.protocol.schema.ViewLease;
 
 /**
- * The view that one control leader publishes in its term, and the leases on it. A renewal is answered with what changed
- * since the version that the proxy holds; a proxy that holds a view of another leader gets all of it. Confined to one
- * thread.
+ * The view that one control leader publishes during its term, and the leases on it. The response to a renewal contains
+ * the changes since the version that the proxy holds; a proxy that holds a view of another leader receives the full
+ * view. Confined to one thread.
  */
 public final class ViewPublisher {
     private final long leaderTerm;
@@ -28,14 +28,14 @@
     private final VersionedView<GroupView> groups = new VersionedView<>();
     private final ViewLeases<LiveProxy> leases;
 
-    /** For each group, the version that first showed its present term. */
+    /** For each group, the first version that contained its current term. */
     private final Map<String, TermVersion> termVersions = new HashMap<>();
 
     private Configuration configuration = Configuration.getDefaultInstance();
     private long configurationVersion;
     private long proxiesVersion;
 
-    /** An empty view of a leader that was elected just now. */
+    /** Creates the empty view of a leader that has just been elected. */
     public ViewPublisher(long leaderTerm, Duration lease, Clock clock) {
         this.leaderTerm = leaderTerm;
         this.lease = lease;
@@ -57,7 +57,7 @@
         return groups.nextVersion();
     }
 
-    /** Publishes a group if it differs from what is published. Its own version is filled in here. */
+    /** Publishes a group if it differs from the published one. This method sets the group's view version. */
     public void publish(GroupView view) {
         GroupView published = groups.get(view.getGroup());
         if (published != null
@@ -67,35 +67,35 @@
         groups.put(
                 view.getGroup(),
                 version -> view.toBuilder().setViewVersion(version).build());
-        TermVersion known = termVersions.get(view.getGroup());
-        if (known == null || known.term != view.getTerm()) {
+        TermVersion termVersion = termVersions.get(view.getGroup());
+        if (termVersion == null || termVersion.term != view.getTerm()) {
             termVersions.put(view.getGroup(), new TermVersion(view.getTerm(), groups.version()));
         }
     }
 
-    /** Takes back a group that the configuration no longer declares. */
+    /** Removes a group that the configuration no longer declares. */
     public void remove(String group) {
         groups.remove(group);
         termVersions.remove(group);
     }
 
-    /** Publishes a configuration if it is newer. */
-    public void publish(Configuration next) {
-        if (next.getVersion() != configuration.getVersion()) {
-            configuration = next;
+    /** Publishes a configuration if its version differs from the published one. */
+    public void publish(Configuration newConfiguration) {
+        if (newConfiguration.getVersion() != configuration.getVersion()) {
+            configuration = newConfiguration;
             configurationVersion = groups.raise();
         }
     }
 
-    /** Publishes that the living proxies changed. */
+    /** Publishes the proxies that have a lease, after a change. */
     public void publishProxies() {
         proxiesVersion = groups.raise();
     }
 
-    /** The version that first showed a group's term; {@link Long#MAX_VALUE} when that term is not published. */
+    /** The first version that contained a group's term; {@link Long#MAX_VALUE} when that term is not published. */
     public long versionOfTerm(String group, long term) {
-        TermVersion known = termVersions.get(group);
-        return known != null && known.term == term ? known.version : Long.MAX_VALUE;
+        TermVersion termVersion = termVersions.get(group);
+        return termVersion != null && termVersion.term == term ? termVersion.version : Long.MAX_VALUE;
     }
 
     /** All published groups. */
@@ -103,34 +103,34 @@
         return groups.changesSince(0);
     }
 
-    /** All living proxies. */
+    /** All proxies that have a lease. */
     public List<ProxyEntry> proxies() {
         return toWire(leases.living());
     }
 
-    /** The version that a proxy holds of this view; 0 for a view of another leader. */
+    /** The version of this view that a proxy holds; 0 when the proxy holds a view of another leader. */
     public long heldVersion(RenewView request) {
-        boolean mine = request.getLeaderTerm() == leaderTerm && request.getViewVersion() <= version();
-        return mine ? request.getViewVersion() : 0;
+        boolean publishedHere = request.getLeaderTerm() == leaderTerm && request.getViewVersion() <= version();
+        return publishedHere ? request.getViewVersion() : 0;
     }
 
-    /** Grants a lease with what changed since the version that the proxy holds. */
+    /** Grants a lease, with the changes since the version that the proxy holds. */
     public ViewLease grant(LiveProxy proxy, RenewView request, Instant arrivedAt) {
-        long held = heldVersion(request);
+        long heldVersion = heldVersion(request);
         leases.grant(proxy.proxyId(), proxy, version(), arrivedAt);
         ViewLease.Builder answer = ViewLease.newBuilder()
                 .setLeaderTerm(leaderTerm)
                 .setViewVersion(version())
                 .setLeaseMs((int) lease.toMillis())
-                .setFull(held == 0)
-                .addAllGroups(groups.changesSince(held));
-        if (held != 0) {
-            answer.addAllRemovedGroups(groups.removedSince(held));
+                .setFull(heldVersion == 0)
+                .addAllGroups(groups.changesSince(heldVersion));
+        if (heldVersion != 0) {
+            answer.addAllRemovedGroups(groups.removedSince(heldVersion));
         }
-        if (configurationVersion > held || held == 0) {
+        if (configurationVersion > heldVersion || heldVersion == 0) {
             answer.setConfiguration(configuration);
         }
-        if (proxiesVersion > held || held == 0) {
+        if (proxiesVersion > heldVersion || heldVersion == 0) {
             answer.setProxiesChanged(true).addAllProxies(proxies());
         }
         return answer.build();
@@ -142,6 +142,6 @@
         return entries;
     }
 
-    /** A term and the version that first showed it. */
+    /** A term and the first version that contained it. */
     private record TermVersion(long term, long version) {}
 }
--- a/control/src/main/java/org/hornbeamspread/control/view/package-info.java
+++ b/control/src/main/java/org/hornbeamspread/control/view/package-info.java
@@ -1,2 +1,2 @@
-/** What proxies learn of the system: the published view, its deltas, and leases on it. */
+/** The view of the cluster that control publishes to proxies, its deltas, and the leases on it. */
 package org.hornbeamspread.control.view;
