--- a/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
@@ -33,9 +33,9 @@
 import org.hornbeamspread.protocol.schema.ViewLease;
 
 /**
- * One control leader with a log of one member, three databases and three proxies on a paused clock. After each step it
- * checks what must hold always: no proxy writes at a term older than one that is open, and a database has one holder at
- * most.
+ * One control leader with a log of one member, three databases and three proxies on a manually advanced clock. After
+ * each step the fixture checks the invariants: no proxy may write at a term older than the writable one, each database
+ * has at most one holder, and the current term has at most one primary.
  */
 final class ControlFixture {
     static final String GROUP = "g1";
@@ -66,7 +66,7 @@
         changeLeader();
     }
 
-    /** Another member takes over: nothing but the log and the announcements is known to it. */
+    /** Another member becomes leader, with no other state than the log and the announcements. */
     void changeLeader() {
         leaderTerm++;
         session = new LeaderSession(leaderTerm, LEASE, clock, FailoverTimings.DEFAULT, registry, detector, metrics);
@@ -84,12 +84,12 @@
         }
     }
 
-    /** Runs until a term is open; returns how long that took. */
+    /** Runs until a term is writable. Returns the elapsed time. */
     Duration runUntilWritable(long term, Duration limit) {
         Instant start = clock.instant();
         while (record().term() < term || !record().writable()) {
             step();
-            assertWithMessage("open at term " + term)
+            assertWithMessage("time until writable at term " + term)
                     .that(Duration.between(start, clock.instant()))
                     .isLessThan(limit);
         }
@@ -191,7 +191,8 @@
             completeProposal();
         } else if (effect instanceof FailoverEffect.AppendRegistrations append) {
             RegisterDatabases.Builder register = RegisterDatabases.newBuilder();
-            append.registrations().forEach(item -> register.addDatabases(ViewMessages.toWire(item, GROUP)));
+            append.registrations()
+                    .forEach(registration -> register.addDatabases(ViewMessages.toWire(registration, GROUP)));
             apply(ControlCommand.newBuilder().setRegisterDatabases(register));
             completeProposal();
         } else {
@@ -236,14 +237,14 @@
 
     private void apply(ControlCommand.Builder command) {
         lastIndex++;
-        Optional<FailureException> refusal = stateMachine
+        Optional<FailureException> failure = stateMachine
                 .apply(ControlRecord.newBuilder()
                         .setIndex(lastIndex)
                         .setTerm(leaderTerm)
                         .setCommand(command.setProposedAtMs(clock.millis()))
                         .build())
                 .failure();
-        assertThat(refusal).isEqualTo(Optional.empty());
+        assertThat(failure).isEqualTo(Optional.empty());
     }
 
     private void completeProposal() {
@@ -252,12 +253,12 @@
     }
 
     private void checkInvariants() {
-        long openTerm = record().writable() ? record().term() : 0;
+        long writableTerm = record().writable() ? record().term() : 0;
         for (FakeProxy proxy : proxies) {
             Optional<Long> term = proxy.writableTerm(GROUP);
-            assertWithMessage("term of " + proxy.id + " while " + openTerm + " is open")
-                    .that(term.orElse(openTerm))
-                    .isAtLeast(openTerm);
+            assertWithMessage("term of " + proxy.id + " while term " + writableTerm + " is writable")
+                    .that(term.orElse(writableTerm))
+                    .isAtLeast(writableTerm);
         }
         for (FakeDatabase database : databases) {
             assertWithMessage("holders of " + database.id)
@@ -266,9 +267,9 @@
                             .count())
                     .isAtMost(1);
         }
-        long primariesOfOpenTerm = databases.stream()
+        long primariesOfCurrentTerm = databases.stream()
                 .filter(database -> database.role == DatabaseRole.PRIMARY && database.term == record().term())
                 .count();
-        assertThat(primariesOfOpenTerm).isAtMost(1);
+        assertThat(primariesOfCurrentTerm).isAtMost(1);
     }
 }
--- a/control/src/test/java/org/hornbeamspread/control/failover/CoordinatorTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/CoordinatorTest.java
@@ -27,7 +27,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Renewals over real connections; the log is a fake that says who leads. */
+/**
+ * Renewals over real connections, with a fake log. Guards against leases that a member grants without being the leader
+ * or without a confirmation of the leadership by a majority.
+ */
 final class CoordinatorTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final Endpoint LOOPBACK =
@@ -95,7 +98,7 @@
                 .build();
     }
 
-    /** Says who leads, and whether a majority confirms it. */
+    /** Reports the configured leadership, and confirms it if {@code confirmed} is set. */
     private static final class FakeLog implements ReplicatedLog {
         private Leadership leadership = new Leadership(0, Optional.empty(), false);
         private boolean confirmed;
--- a/control/src/test/java/org/hornbeamspread/control/failover/FailoverScenarioTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/FailoverScenarioTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The fixture checks after each step that no proxy writes at an old term and that a database has one holder. */
+/**
+ * Failures of databases, proxies and the control leader, and the resulting promotions of one group. After each step the
+ * fixture checks that no proxy may write at an old term and that a database has at most one holder.
+ */
 final class FailoverScenarioTest {
     private static final Duration START_LIMIT = Duration.ofSeconds(3);
     private static final Duration OUTAGE_LIMIT = Duration.ofSeconds(4);
@@ -47,15 +50,15 @@
         return Stream.of(
                 Named.of("stopped", control -> control.primary().running = false),
                 Named.of("frozen", control -> control.primary().frozen = true),
-                Named.of("cut off", control -> control.primary().partitioned = true),
-                Named.of("cut off with its proxy", control -> {
+                Named.of("partitioned", control -> control.primary().partitioned = true),
+                Named.of("partitioned with its proxy", control -> {
                     String domain = control.primary().failureDomain;
                     control.primary().partitioned = true;
                     control.proxies.stream()
                             .filter(proxy -> proxy.id.endsWith(domain))
                             .forEach(proxy -> proxy.partitioned = true);
                 }),
-                Named.of("stopped while a proxy hears no answers", control -> {
+                Named.of("stopped while a proxy receives no responses", control -> {
                     control.primary().running = false;
                     control.proxies.get(0).responsesLost = true;
                 }),
@@ -65,12 +68,12 @@
 
     @ParameterizedTest
     @MethodSource("primaryFailures")
-    void aFailedPrimaryIsReplacedWithinTheLimitAndReturnsAsReplica(Consumer<ControlFixture> loss) {
-        FakeDatabase old = control.primary();
-        loss.accept(control);
+    void aFailedPrimaryIsReplacedWithinTheLimitAndReturnsAsReplica(Consumer<ControlFixture> failure) {
+        FakeDatabase oldPrimary = control.primary();
+        failure.accept(control);
         control.runUntilWritable(2, OUTAGE_LIMIT);
         control.run(STABLE_PERIOD);
-        heal(old);
+        heal(oldPrimary);
         control.run(STABLE_PERIOD);
         assertThat(control.record().term()).isEqualTo(2);
         assertThat(control.replicas().allMatch(replica -> replica.followedTerm == 2 && replica.trusted))
@@ -84,11 +87,11 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1})
     void theDatabaseWithTheHighestFencedPositionIsPromoted(int index) {
-        FakeDatabase ahead = control.replicas().skip(index).findFirst().orElseThrow();
-        ahead.synced = new LogPosition(1, ahead.synced.indexEntries() + 7);
+        FakeDatabase mostAdvanced = control.replicas().skip(index).findFirst().orElseThrow();
+        mostAdvanced.synced = new LogPosition(1, mostAdvanced.synced.indexEntries() + 7);
         control.primary().running = false;
         control.runUntilWritable(2, OUTAGE_LIMIT);
-        assertThat(control.primary()).isEqualTo(ahead);
+        assertThat(control.primary()).isEqualTo(mostAdvanced);
     }
 
     @Test
@@ -195,34 +198,34 @@
 
     @Test
     void aDepartingPrimaryIsReplaced() {
-        FakeDatabase old = control.primary();
-        old.departing = true;
+        FakeDatabase oldPrimary = control.primary();
+        oldPrimary.departing = true;
         control.runUntilWritable(2, Duration.ofSeconds(2));
         control.run(STABLE_PERIOD);
-        assertThat(control.primary()).isNotEqualTo(old);
+        assertThat(control.primary()).isNotEqualTo(oldPrimary);
         assertThat(control.record().term()).isEqualTo(2);
     }
 
     @Test
     void anOperatorCanSelectThePrimary() {
-        String wished = control.replicas().skip(1).findFirst().orElseThrow().id;
-        control.session().group(ControlFixture.GROUP).orElseThrow().failover().requestHandover(Optional.of(wished));
+        String requested = control.replicas().skip(1).findFirst().orElseThrow().id;
+        control.session().group(ControlFixture.GROUP).orElseThrow().failover().requestHandover(Optional.of(requested));
         control.runUntilWritable(2, Duration.ofSeconds(2));
         control.run(STABLE_PERIOD);
-        assertThat(control.primary().id).isEqualTo(wished);
+        assertThat(control.primary().id).isEqualTo(requested);
         assertThat(control.record().term()).isEqualTo(2);
     }
 
     @Test
     void theDatabaseOfADrainingProxyIsAssignedToAnotherHolder() {
         FakeProxy draining = control.proxies.get(0);
-        String held = control.databases.get(0).id;
-        assertThat(draining.holds(ControlFixture.GROUP, held)).isTrue();
+        String databaseId = control.databases.get(0).id;
+        assertThat(draining.holds(ControlFixture.GROUP, databaseId)).isTrue();
         draining.draining = true;
         control.run(Duration.ofSeconds(2));
-        assertThat(draining.holds(ControlFixture.GROUP, held)).isFalse();
+        assertThat(draining.holds(ControlFixture.GROUP, databaseId)).isFalse();
         assertThat(control.proxies.stream()
-                        .filter(proxy -> proxy.holds(ControlFixture.GROUP, held))
+                        .filter(proxy -> proxy.holds(ControlFixture.GROUP, databaseId))
                         .count())
                 .isEqualTo(1);
     }
--- a/control/src/test/java/org/hornbeamspread/control/failover/FakeDatabase.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/FakeDatabase.java
@@ -7,7 +7,7 @@
 import org.hornbeamspread.core.membership.DatabaseStatus;
 import org.hornbeamspread.core.misc.LogPosition;
 
-/** A database as far as control sees it: terms, role and position. Replication copies the primary's position at once. */
+/** A simulated database with terms, role and log position. Replication copies the primary's position immediately. */
 final class FakeDatabase {
     final String id;
     final String failureDomain;
@@ -20,13 +20,13 @@
     boolean trusted = true;
     boolean departing;
 
-    /** The process runs; a stopped one refuses connections. */
+    /** The process is running; the address of a stopped process refuses connections. */
     boolean running = true;
 
-    /** The process stands still: connections open, nothing is answered. */
+    /** The process is paused: connections can be opened, but requests get no response. */
     boolean frozen;
 
-    /** Nothing passes between it and control. */
+    /** All messages between the database and control are lost. */
     boolean partitioned;
 
     FakeDatabase(String id, String failureDomain) {
@@ -73,8 +73,8 @@
         return true;
     }
 
-    void readmit(long atTerm, long atIncarnation) {
-        trusted |= atTerm == term && atTerm == followedTerm && atIncarnation == incarnation;
+    void readmit(long readmittedTerm, long readmittedIncarnation) {
+        trusted |= readmittedTerm == term && readmittedTerm == followedTerm && readmittedIncarnation == incarnation;
     }
 
     void restart() {
--- a/control/src/test/java/org/hornbeamspread/control/failover/FakeProxy.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/FakeProxy.java
@@ -13,7 +13,7 @@
 import org.hornbeamspread.protocol.schema.RenewView;
 import org.hornbeamspread.protocol.schema.ViewLease;
 
-/** A proxy as far as control sees it: the view it holds and how long it may act on it. */
+/** A simulated proxy: the view that the proxy holds, and the lease under which the proxy may act on it. */
 final class FakeProxy {
     final String id;
     final Map<String, GroupView> groups = new HashMap<>();
@@ -23,10 +23,10 @@
     private long viewVersion;
     private Instant leaseExpiresAt = Instant.EPOCH;
 
-    /** Requests get lost. */
+    /** Requests are lost. */
     boolean partitioned;
 
-    /** Requests arrive, answers get lost. */
+    /** Requests arrive, but responses are lost. */
     boolean responsesLost;
 
     boolean draining;
@@ -70,13 +70,13 @@
         return clock.instant().isBefore(leaseExpiresAt);
     }
 
-    /** The term at which this proxy would send and acknowledge writes now. */
+    /** The term at which this proxy may currently send and acknowledge writes; empty when it may not. */
     Optional<Long> writableTerm(String group) {
         GroupView view = groups.getOrDefault(group, GroupView.getDefaultInstance());
         return hasValidLease() && view.getWritable() ? Optional.of(view.getTerm()) : Optional.empty();
     }
 
-    /** Whether this proxy would use the database's connections now. */
+    /** Whether this proxy may currently use the database's connections. */
     boolean holds(String group, String databaseId) {
         GroupView view = groups.getOrDefault(group, GroupView.getDefaultInstance());
         return hasValidLease()
--- a/control/src/test/java/org/hornbeamspread/control/failover/LeaderSessionBenchmark.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/LeaderSessionBenchmark.java
@@ -30,8 +30,8 @@
 import org.hornbeamspread.runtime.MonotonicClock;
 
 /**
- * Measures what one control leader does for a fleet, with the real registry, failover, view and codec, in memory and on
- * one thread. Run as a program; prints one line for each size. Not a test: it asserts nothing.
+ * Benchmark of the work of one control leader by fleet size, with the real registry, failover, view and codec, in
+ * memory and on one thread. Run as a program; prints one line for each size. Not a test: the benchmark asserts nothing.
  */
 final class LeaderSessionBenchmark {
     private static final int[][] SIZES = {{10, 30}, {100, 300}, {1000, 3000}, {5000, 19_000}, {7500, 19_000}};
@@ -51,7 +51,7 @@
     private LeaderSession session;
     private long version;
 
-    /** Keeps the compiler from leaving the encoding out. */
+    /** Prevents the compiler from eliminating the encoding. */
     private long encodedBytes;
 
     private LeaderSessionBenchmark(int proxies, int databases) {
@@ -59,15 +59,15 @@
         this.databases = databases;
     }
 
-    /** Prints the table; an argument names the only number of proxies to measure. */
+    /** Prints the table. The optional argument selects the only number of proxies to measure. */
     public static void main(String[] arguments) throws Exception {
         System.out.println("| proxies | databases | renewal us | announcement us | idle step us | log change us"
                 + " | proxy change ms | full view KiB | group delta B | proxies delta KiB | heap MiB |");
         System.out.println("|---|---|---|---|---|---|---|---|---|---|---|");
         new LeaderSessionBenchmark(SIZES[1][0], SIZES[1][1]).measure();
         for (int[] size : SIZES) {
-            boolean wanted = arguments.length == 0 || Integer.parseInt(arguments[0]) == size[0];
-            if (wanted) {
+            boolean selected = arguments.length == 0 || Integer.parseInt(arguments[0]) == size[0];
+            if (selected) {
                 System.out.println(new LeaderSessionBenchmark(size[0], size[1]).measure());
             }
         }
@@ -87,37 +87,37 @@
         announceAll();
         session.update(state);
         Thread.sleep(150);
-        int fullBytes = renewAllProxies();
+        int fullViewBytes = renewAllProxies();
         long heapBytes = usedHeapBytes() - heapBefore;
         double renewalUs = timeRenewals();
-        double announceUs = timeAnnouncements();
+        double announcementUs = timeAnnouncements();
         double stepUs = timeSteps();
         long updateStartNs = System.nanoTime();
         session.update(state(2));
         session.publish();
         double updateUs = micros(System.nanoTime() - updateStartNs);
-        int deltaBytes = grant(0, version).getSerializedSize();
+        int groupDeltaBytes = grant(0, version).getSerializedSize();
         stepUntilStable();
-        long joinStartNs = System.nanoTime();
-        int proxiesBytes = addProxy();
-        double joinMs = micros(System.nanoTime() - joinStartNs) / NANOS_PER_MICRO;
+        long addProxyStartNs = System.nanoTime();
+        int proxiesDeltaBytes = addProxy();
+        double addProxyMs = micros(System.nanoTime() - addProxyStartNs) / NANOS_PER_MICRO;
         return String.format(
                 Locale.ROOT,
                 "| %d | %d | %.1f | %.1f | %.0f | %.0f | %.1f | %d | %d | %d | %d |",
                 proxies,
                 databases,
                 renewalUs,
-                announceUs,
+                announcementUs,
                 stepUs,
                 updateUs,
-                joinMs,
-                fullBytes / BYTES_PER_KIB,
-                deltaBytes,
-                proxiesBytes / BYTES_PER_KIB,
+                addProxyMs,
+                fullViewBytes / BYTES_PER_KIB,
+                groupDeltaBytes,
+                proxiesDeltaBytes / BYTES_PER_KIB,
                 heapBytes / BYTES_PER_KIB / BYTES_PER_KIB);
     }
 
-    /** Every proxy's first renewal, and a second one of the last proxy, which gets all groups and proxies. */
+    /** Grants each proxy a lease, and the last one a second lease, whose size with all groups and proxies is returned. */
     private int renewAllProxies() {
         for (int i = 0; i < proxies; i++) {
             RenewView request = renewalRequest(i, 0);
@@ -150,7 +150,7 @@
             processRenewal(request);
         }
         if (encodedBytes == 0) {
-            throw new FailureException(FailureType.INTERNAL, "nothing was encoded");
+            throw new FailureException(FailureType.INTERNAL, "no lease response was encoded");
         }
         return micros(System.nanoTime() - startNs) / MESSAGES;
     }
@@ -181,7 +181,7 @@
         return micros(System.nanoTime() - startNs) / STEPS;
     }
 
-    /** One more proxy joins: holders are assigned again, and everyone learns of it. */
+    /** Adds a proxy, which causes a new holder assignment. Returns the size of the delta for another proxy in bytes. */
     private int addProxy() {
         RenewView request = renewalRequest(proxies, 0);
         session.grant(
@@ -190,8 +190,8 @@
         return grant(0, version).getSerializedSize();
     }
 
-    private ViewLease grant(int index, long held) {
-        RenewView request = renewalRequest(index, held);
+    private ViewLease grant(int index, long heldVersion) {
+        RenewView request = renewalRequest(index, heldVersion);
         return session.view()
                 .grant(
                         ViewMessages.proxy(request.getProxy()),
@@ -199,11 +199,11 @@
                         clock.instant().plusSeconds(600));
     }
 
-    private RenewView renewalRequest(int index, long held) {
+    private RenewView renewalRequest(int index, long heldVersion) {
         RenewView.Builder request = RenewView.newBuilder()
                 .setProxy(proxyEntry(index))
                 .setLeaderTerm(1)
-                .setViewVersion(held);
+                .setViewVersion(heldVersion);
         for (int i = 0; i < GROUP_SIZE; i++) {
             request.addObservations(DatabaseObservation.newBuilder()
                     .setDatabaseId("d" + (index * GROUP_SIZE + i) % databases)
@@ -247,7 +247,7 @@
                 .build();
     }
 
-    private ControlState state(long termOfFirst) {
+    private ControlState state(long firstGroupTerm) {
         ControlState.Builder state = ControlState.newBuilder();
         Configuration.Builder configuration = Configuration.newBuilder().setVersion(1);
         for (int i = 0; i < databases; i++) {
@@ -265,7 +265,7 @@
                     .setConnectionsPerDatabase(35));
             state.addGroups(GroupTerm.newBuilder()
                     .setGroup("g" + i)
-                    .setTerm(i == 0 ? termOfFirst : 1)
+                    .setTerm(i == 0 ? firstGroupTerm : 1)
                     .setPrimaryId("d" + i * GROUP_SIZE)
                     .setWritable(true));
         }
--- a/control/src/test/java/org/hornbeamspread/control/view/ClusterGuardTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/view/ClusterGuardTest.java
@@ -23,6 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Guards against leases and promotions for proxies and databases of another cluster that reach a wrong address. */
 final class ClusterGuardTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final Endpoint LOOPBACK =
@@ -30,31 +31,31 @@
 
     @ParameterizedTest
     @CsvSource({"entoto, true", "ujaas, false", "'', false"})
-    void onlyRenewalsOfThisClusterAreAccepted(String clusterId, boolean passes) {
+    void onlyRenewalsOfThisClusterAreAccepted(String clusterId, boolean accepted) {
         try (PeerTransport transport = new PeerTransport(1)) {
             PeerConnection connection = connect(transport, new RecordingHandler());
             CompletableFuture<Envelope> answer = connection.request(renewal(clusterId), TIMEOUT);
             FailureType failure = answer.handle((lease, error) ->
                             error == null ? null : FailureException.of(error).type())
                     .join();
-            assertThat(failure).isEqualTo(passes ? null : FailureType.WRONG_CLUSTER);
+            assertThat(failure).isEqualTo(accepted ? null : FailureType.WRONG_CLUSTER);
         }
     }
 
     @Test
     void announcementsOfOtherClustersAreDropped() throws InterruptedException {
-        RecordingHandler recorder = new RecordingHandler();
+        RecordingHandler handler = new RecordingHandler();
         try (PeerTransport transport = new PeerTransport(1)) {
-            PeerConnection connection = connect(transport, recorder);
+            PeerConnection connection = connect(transport, handler);
             connection.push(announcement("ujaas"));
             connection.push(announcement("entoto"));
-            assertThat(recorder.announced.take()).isEqualTo("entoto");
-            assertThat(recorder.announced).isEmpty();
+            assertThat(handler.announced.take()).isEqualTo("entoto");
+            assertThat(handler.announced).isEmpty();
         }
     }
 
-    private static PeerConnection connect(PeerTransport transport, PeerHandler inner) {
-        ClusterGuard guard = new ClusterGuard("entoto", inner, new ControlMetrics(new PrometheusRegistry()));
+    private static PeerConnection connect(PeerTransport transport, PeerHandler delegate) {
+        ClusterGuard guard = new ClusterGuard("entoto", delegate, new ControlMetrics(new PrometheusRegistry()));
         PeerServer server = transport.listen(LOOPBACK, guard).join();
         Endpoint target = LOOPBACK.toBuilder().setPort(server.port()).build();
         return transport.connect(target, TIMEOUT, new RecordingHandler()).join();
@@ -72,7 +73,7 @@
                 .build();
     }
 
-    /** Answers renewals and keeps announcements. */
+    /** Answers renewals and records announcements. */
     private static final class RecordingHandler implements PeerHandler {
         private final LinkedBlockingQueue<String> announced = new LinkedBlockingQueue<>();
 
