--- a/control/src/main/java/org/hornbeamspread/control/failover/ControlMetrics.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/ControlMetrics.java
@@ -40,7 +40,7 @@
                 .register(registry);
         commands = Counter.builder()
                 .name("hornbeamspread_control_database_commands_total")
-                .help("Commands sent to databases, by type of command")
+                .help("Commands sent to databases, by kind")
                 .labelNames("type")
                 .register(registry);
         leasesGranted = Counter.builder()
--- a/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
@@ -89,7 +89,7 @@
         Instant start = clock.instant();
         while (record().term() < term || !record().writable()) {
             step();
-            assertWithMessage("time until writable at term " + term)
+            assertWithMessage("time until open for writes at term " + term)
                     .that(Duration.between(start, clock.instant()))
                     .isLessThan(limit);
         }
@@ -256,7 +256,7 @@
         long writableTerm = record().writable() ? record().term() : 0;
         for (FakeProxy proxy : proxies) {
             Optional<Long> term = proxy.writableTerm(GROUP);
-            assertWithMessage("term of " + proxy.id + " while term " + writableTerm + " is writable")
+            assertWithMessage("term of " + proxy.id + " while term " + writableTerm + " is open for writes")
                     .that(term.orElse(writableTerm))
                     .isAtLeast(writableTerm);
         }
--- a/control/src/test/java/org/hornbeamspread/control/failover/FailoverScenarioTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/FailoverScenarioTest.java
@@ -50,15 +50,15 @@
         return Stream.of(
                 Named.of("stopped", control -> control.primary().running = false),
                 Named.of("frozen", control -> control.primary().frozen = true),
-                Named.of("partitioned", control -> control.primary().partitioned = true),
-                Named.of("partitioned with its proxy", control -> {
+                Named.of("cut off", control -> control.primary().partitioned = true),
+                Named.of("cut off with its proxy", control -> {
                     String domain = control.primary().failureDomain;
                     control.primary().partitioned = true;
                     control.proxies.stream()
                             .filter(proxy -> proxy.id.endsWith(domain))
                             .forEach(proxy -> proxy.partitioned = true);
                 }),
-                Named.of("stopped while a proxy receives no responses", control -> {
+                Named.of("stopped while a proxy receives no answers", control -> {
                     control.primary().running = false;
                     control.proxies.get(0).responsesLost = true;
                 }),
--- a/control/src/test/java/org/hornbeamspread/control/failover/LeaderSessionBenchmark.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/LeaderSessionBenchmark.java
@@ -117,7 +117,7 @@
                 heapBytes / BYTES_PER_KIB / BYTES_PER_KIB);
     }
 
-    /** Grants each proxy a lease, and the last one a second lease, whose size with all groups and proxies is returned. */
+    /** Grants each proxy a lease, and the last one again. Returns the size of that full view in bytes. */
     private int renewAllProxies() {
         for (int i = 0; i < proxies; i++) {
             RenewView request = renewalRequest(i, 0);
