--- a/control/src/main/java/org/hornbeamspread/control/failover/ControlMetrics.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/ControlMetrics.java
@@ -79,7 +79,7 @@
         stepSeconds.labelValues("detect").observe(silenceMs / MILLIS_PER_SECOND);
         LOG.log(
                 Level.INFO,
-                "group {0}: promotion to term {1} started, reason {2}, primary silent for {3} ms",
+                "group {0}: promotion to term {1} started, reason {2}, silence {3} ms",
                 group,
                 term,
                 reason,
