--- a/control/src/main/java/org/hornbeamspread/control/failover/EffectRunner.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/EffectRunner.java
@@ -6,21 +6,21 @@
 import org.hornbeamspread.core.membership.AnnouncedDatabase;
 import org.hornbeamspread.core.membership.DatabaseRegistry;
 
-/** Carries out what the groups' failovers ask for. Confined to the coordinator's thread. */
+/** Executes the effects of the groups' failovers. Confined to the coordinator's thread. */
 final class EffectRunner {
     private final DatabaseRegistry registry;
     private final DatabaseClients databases;
-    private final ProposalSender proposals;
+    private final ProposalBatcher proposals;
 
-    EffectRunner(DatabaseRegistry registry, DatabaseClients databases, ProposalSender proposals) {
+    EffectRunner(DatabaseRegistry registry, DatabaseClients databases, ProposalBatcher proposals) {
         this.registry = registry;
         this.databases = databases;
         this.proposals = proposals;
     }
 
-    /** Carries out the effects of one step; the appends of all groups go out together. */
+    /** Executes the effects of one step. The appends of all groups are proposed together. */
     void run(Map<String, List<FailoverEffect>> effects, long leaderTerm) {
-        effects.forEach((group, list) -> list.forEach(effect -> run(group, effect)));
+        effects.forEach((group, groupEffects) -> groupEffects.forEach(effect -> run(group, effect)));
         proposals.flush(leaderTerm);
     }
 
--- a/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
@@ -40,15 +40,20 @@
 import org.hornbeamspread.protocol.schema.ViewLease;
 
 /**
- * One member's leadership of one consensus term: the groups' failovers, the holders, and the view. It is made anew with
- * each leadership, from the log's state and the databases that announced themselves to this member meanwhile, so that
- * nothing of an earlier leadership can linger. No threads and no sockets: effects are collected and taken by the
- * coordinator. Confined to the coordinator's thread.
+ * The leadership of one member during one consensus term: the failover of each group, the assignment of holders, and
+ * the published view. A new session is created for each leadership, from the log's state and the databases that have
+ * announced themselves to this member, so that no state of an earlier leadership is carried over. The session uses no
+ * threads and no sockets: {@link #step} returns effects, and the coordinator executes them. Confined to the
+ * coordinator's thread.
  */
 final class LeaderSession {
-    private static final Duration QUIET_STEP_INTERVAL = Duration.ofMillis(100);
-    private static final int PROBE_DIVISOR = 3;
-    private static final int PROBE_NUMERATOR = 2;
+    /** Groups without a pending promotion are stepped at this interval, other groups at each step. */
+    private static final Duration IDLE_GROUP_STEP_INTERVAL = Duration.ofMillis(100);
+
+    /** A primary is probed after a silence of two thirds of the heartbeat timeout. */
+    private static final int PROBE_SILENCE_DENOMINATOR = 3;
+
+    private static final int PROBE_SILENCE_NUMERATOR = 2;
 
     private final Clock clock;
     private final FailoverTimings timings;
@@ -59,21 +64,21 @@
     private final ViewPublisher view;
     private final HolderAssignment holders;
     private final Map<String, GroupState> groups = new LinkedHashMap<>();
-    private final Map<String, Instant> probedAt = new HashMap<>();
+    private final Map<String, Instant> lastProbeTimes = new HashMap<>();
 
-    /** The log's state that the groups were last brought up to; null before the first. */
-    private ControlState state;
+    /** The state of the log that was last applied to the groups; null before the first. */
+    private ControlState appliedState;
 
-    private Set<String> departingByOrder = Set.of();
+    private Set<String> departingByOperator = Set.of();
     private HolderCandidates candidates = new HolderCandidates(List.of());
 
-    /** Whether some database waits for a holder or for the release by its old one. */
-    private boolean holdersUnsettled = true;
+    /** Whether a database has no holder yet or waits for the release by its previous holder. */
+    private boolean holderAssignmentPending = true;
 
-    /** Whether proxies came, went or changed since the last step; many that come together cost one assignment. */
+    /** Whether proxies joined, expired or changed since the last step. One assignment covers all changes of a step. */
     private boolean proxiesChanged;
 
-    private Instant quietStepAt = Instant.EPOCH;
+    private Instant idleGroupsSteppedAt = Instant.EPOCH;
 
     LeaderSession(
             long leaderTerm,
@@ -100,35 +105,35 @@
         return Optional.ofNullable(groups.get(name));
     }
 
-    /** Whether a promotion waits until the proxies have confirmed its term. */
-    boolean awaitsConfirmation() {
+    /** Whether a promotion is in progress. Its completion waits for the proxies to confirm its term. */
+    boolean hasPromotionInProgress() {
         return groups.values().stream()
-                .anyMatch(group -> group.isActive() && group.record().term() > 0);
+                .anyMatch(group -> group.isPromotionPending() && group.record().term() > 0);
     }
 
-    /** Brings the groups up to the log's state. */
-    void update(ControlState next) {
-        if (next.equals(state)) {
+    /** Applies the log's state to the groups and the view. */
+    void update(ControlState newState) {
+        if (newState.equals(appliedState)) {
             return;
         }
-        state = next;
+        appliedState = newState;
         Map<String, GroupRecord> records = new HashMap<>();
-        for (GroupTerm term : next.getGroupsList()) {
+        for (GroupTerm term : newState.getGroupsList()) {
             records.put(term.getGroup(), ViewMessages.record(term));
         }
         Map<String, List<Registration>> registrations = new HashMap<>();
-        next.getDatabasesList()
+        newState.getDatabasesList()
                 .forEach(database -> registrations
                         .computeIfAbsent(database.getGroup(), name -> new ArrayList<>())
                         .add(ViewMessages.registration(database)));
-        Set<String> departing = Set.copyOf(next.getDepartingDatabaseIdsList());
-        if (!departing.equals(departingByOrder)) {
-            departingByOrder = departing;
+        Set<String> departing = Set.copyOf(newState.getDepartingDatabaseIdsList());
+        if (!departing.equals(departingByOperator)) {
+            departingByOperator = departing;
             groups.values().forEach(GroupState::markChanged);
         }
-        view.publish(next.getConfiguration());
+        view.publish(newState.getConfiguration());
         Set<String> declared = new HashSet<>();
-        for (GroupDefinition definition : next.getConfiguration().getGroupsList()) {
+        for (GroupDefinition definition : newState.getConfiguration().getGroupsList()) {
             declared.add(definition.getName());
             groups.computeIfAbsent(definition.getName(), name -> newGroup(definition))
                     .update(
@@ -136,21 +141,25 @@
                             records.getOrDefault(definition.getName(), GroupRecord.initial(definition.getName())),
                             registrations.getOrDefault(definition.getName(), List.of()));
         }
-        List<String> dropped = groups.keySet().stream()
+        List<String> removed = groups.keySet().stream()
                 .filter(name -> !declared.contains(name))
                 .toList();
-        dropped.forEach(groups::remove);
-        dropped.forEach(view::remove);
+        removed.forEach(groups::remove);
+        removed.forEach(view::remove);
     }
 
-    /** The groups' descriptions changed in the registry. */
+    /** Marks groups whose databases have changed in the registry. */
     void markChanged(Collection<String> names) {
         names.forEach(name -> group(name).ifPresent(GroupState::markChanged));
-        holdersUnsettled |= !names.isEmpty();
+        holderAssignmentPending |= !names.isEmpty();
     }
 
-    /** Takes in what a proxy says with its renewal. */
-    void observe(RenewView request, LiveProxy proxy) {
+    /**
+     * Records the contents of a renewal: the view version that the proxy holds, its observations of databases and,
+     * while leases of earlier leaders may still run, the databases that the proxy holds. Observations of another
+     * incarnation than the announced one are ignored.
+     */
+    void recordRenewal(RenewView request, LiveProxy proxy) {
         view.leases().confirm(proxy.proxyId(), view.heldVersion(request));
         for (DatabaseObservation observation : request.getObservationsList()) {
             boolean current = registry.find(observation.getDatabaseId())
@@ -165,74 +174,74 @@
             }
         }
         if (view.leases().previousLeadersLeasesMayBeValid()) {
-            adoptHoldings(request, proxy);
+            adoptHeldDatabases(request, proxy);
         }
     }
 
-    /** Grants a lease on the view as it stands. */
+    /** Grants a lease on the current view. */
     ViewLease grant(RenewView request, LiveProxy proxy, Instant arrivedAt) {
-        Optional<LiveProxy> known = view.leases().find(proxy.proxyId());
+        Optional<LiveProxy> previous = view.leases().find(proxy.proxyId());
         ViewLease answer = view.grant(proxy, request, arrivedAt);
-        metrics.leaseGranted(answer.getFull());
-        proxiesChanged |= known.filter(proxy::hasSameDescription).isEmpty();
+        metrics.countLease(answer.getFull());
+        proxiesChanged |= previous.filter(proxy::hasSameDescription).isEmpty();
         return answer;
     }
 
-    /** One step of everything: returns what is to be done, by group. */
+    /** Expires leases, publishes changes and steps the groups. Returns the effects to execute, by group. */
     Map<String, List<FailoverEffect>> step() {
         proxiesChanged |= !view.leases().expire().isEmpty();
         Instant now = clock.instant();
-        boolean quietStep = !now.isBefore(quietStepAt.plus(QUIET_STEP_INTERVAL));
-        if (quietStep) {
-            quietStepAt = now;
+        boolean idleGroupsDue = !now.isBefore(idleGroupsSteppedAt.plus(IDLE_GROUP_STEP_INTERVAL));
+        if (idleGroupsDue) {
+            idleGroupsSteppedAt = now;
         }
         publish();
         long oldestVersion = view.leases().oldestActiveVersion();
         Map<String, List<FailoverEffect>> effects = new LinkedHashMap<>();
         for (GroupState group : groups.values()) {
-            if (quietStep || group.isActive()) {
-                List<FailoverEffect> next = group.failover().step(input(group, oldestVersion));
-                if (!next.isEmpty()) {
-                    effects.put(group.name(), next);
+            if (idleGroupsDue || group.isPromotionPending()) {
+                List<FailoverEffect> groupEffects = group.failover().step(failoverInput(group, oldestVersion));
+                if (!groupEffects.isEmpty()) {
+                    effects.put(group.name(), groupEffects);
                 }
             }
         }
-        metrics.state(true, view.leases().size(), view.version());
+        metrics.setLeaderState(true, view.leases().size(), view.version());
         return effects;
     }
 
-    /** Publishes whatever changed. */
+    /** Publishes changes of the proxies, the holders and the groups. */
     void publish() {
-        updateProxies();
+        publishChangedProxies();
         assignHolders();
         for (GroupState group : groups.values()) {
-            if (group.takeChanged()) {
+            if (group.getAndClearChanged()) {
                 view.publish(groupView(group));
             }
         }
     }
 
-    /** Primaries that have been silent for a while and were not asked lately. */
-    List<AnnouncedDatabase> silentPrimaries() {
-        long limitMs = timings.heartbeatTimeoutMs() * PROBE_NUMERATOR / PROBE_DIVISOR;
+    /** Returns the silent primaries that were not probed within the retry interval, and marks them as probed now. */
+    List<AnnouncedDatabase> silentPrimariesToProbe() {
+        long probeThresholdMs = timings.heartbeatTimeoutMs() * PROBE_SILENCE_NUMERATOR / PROBE_SILENCE_DENOMINATOR;
         List<AnnouncedDatabase> silent = new ArrayList<>();
         for (GroupState group : groups.values()) {
             Optional<String> primaryId = group.record().primaryId();
-            if (primaryId.isPresent() && detector.silence(primaryId.get()).toMillis() > limitMs) {
-                registry.find(primaryId.get()).filter(this::isProbeDue).ifPresent(silent::add);
+            if (primaryId.isPresent() && detector.silence(primaryId.get()).toMillis() > probeThresholdMs) {
+                registry.find(primaryId.get()).filter(this::markProbedIfDue).ifPresent(silent::add);
             }
         }
         return silent;
     }
 
-    /** Whether a primary may be asked for its status now. */
-    boolean isProbeDue(AnnouncedDatabase database) {
+    /** Returns whether a database was not probed within the retry interval, and if so marks it as probed now. */
+    boolean markProbedIfDue(AnnouncedDatabase database) {
         Instant now = clock.instant();
-        Instant last = probedAt.get(database.databaseId());
-        if (last != null && now.isBefore(last.plusMillis(timings.retryMs()))) {
+        Instant lastProbe = lastProbeTimes.get(database.databaseId());
+        if (lastProbe != null && now.isBefore(lastProbe.plusMillis(timings.retryMs()))) {
             return false;
         }
-        probedAt.put(database.databaseId(), now);
+        lastProbeTimes.put(database.databaseId(), now);
         return true;
     }
 
@@ -240,7 +249,7 @@
         return new GroupState(definition, new GroupFailover(clock, rules, timings, metrics));
     }
 
-    private void adoptHoldings(RenewView request, LiveProxy proxy) {
+    private void adoptHeldDatabases(RenewView request, LiveProxy proxy) {
         for (HeldDatabase held : request.getHeldList()) {
             Optional<AnnouncedDatabase> database = registry.find(held.getDatabaseId());
             if (database.isPresent() && holders.adopt(held.getDatabaseId(), proxy.proxyId(), held.getHolderEpoch())) {
@@ -249,22 +258,22 @@
         }
     }
 
-    private void updateProxies() {
+    private void publishChangedProxies() {
         if (!proxiesChanged) {
             return;
         }
         proxiesChanged = false;
         candidates = new HolderCandidates(view.leases().liveProxies());
         view.publishProxies();
-        holdersUnsettled = true;
+        holderAssignmentPending = true;
     }
 
     private void assignHolders() {
         boolean mayAssign = !view.leases().previousLeadersLeasesMayBeValid();
-        if (!holdersUnsettled || !mayAssign) {
+        if (!holderAssignmentPending || !mayAssign) {
             return;
         }
-        holdersUnsettled = false;
+        holderAssignmentPending = false;
         for (GroupState group : groups.values()) {
             for (AnnouncedDatabase database : group.databases(registry)) {
                 boolean changed = holders.reconcile(
@@ -276,21 +285,21 @@
                 if (changed) {
                     group.markChanged();
                 }
-                holdersUnsettled |= !holders.hasHolder(database.databaseId());
+                holderAssignmentPending |= !holders.hasHolder(database.databaseId());
             }
         }
     }
 
-    private FailoverInput input(GroupState group, long oldestVersion) {
+    private FailoverInput failoverInput(GroupState group, long oldestVersion) {
         List<AnnouncedDatabase> databases = group.databases(registry);
-        int recent = group.failover().recentPromotions();
+        int recentPromotions = group.failover().recentPromotions();
         Map<String, Long> suspected = new HashMap<>();
         List<DatabaseStatus> statuses = new ArrayList<>();
         Map<String, String> regions = new HashMap<>();
         for (AnnouncedDatabase database : databases) {
             statuses.add(database.status());
             regions.put(database.databaseId(), database.region());
-            if (detector.isSuspected(database.databaseId(), recent)) {
+            if (detector.isSuspected(database.databaseId(), recentPromotions)) {
                 suspected.put(
                         database.databaseId(),
                         detector.silence(database.databaseId()).toMillis());
@@ -303,31 +312,31 @@
                 statuses,
                 group.registrations(),
                 suspected,
-                group.departing(databases, departingByOrder),
+                group.departing(databases, departingByOperator),
                 regions,
                 () -> oldestVersion >= neededVersion);
     }
 
     private GroupView groupView(GroupState group) {
         List<AnnouncedDatabase> databases = group.databases(registry);
-        Set<String> departing = group.departing(databases, departingByOrder);
-        GroupView.Builder wire = GroupView.newBuilder()
+        Set<String> departing = group.departing(databases, departingByOperator);
+        GroupView.Builder builder = GroupView.newBuilder()
                 .setGroup(group.name())
                 .setTerm(group.record().term())
                 .setPrimaryId(group.record().primaryId().orElse(""))
                 .setWritable(group.record().writable());
         for (AnnouncedDatabase database : databases) {
-            wire.addDatabases(entry(group, database, departing.contains(database.databaseId())));
+            builder.addDatabases(databaseEntry(group, database, departing.contains(database.databaseId())));
         }
-        return wire.build();
+        return builder.build();
     }
 
-    private DatabaseEntry entry(GroupState group, AnnouncedDatabase database, boolean departing) {
+    private DatabaseEntry databaseEntry(GroupState group, AnnouncedDatabase database, boolean departing) {
         String databaseId = database.databaseId();
         return DatabaseEntry.newBuilder()
                 .setDatabaseId(databaseId)
                 .setIncarnation(database.status().incarnation())
-                .setEndpoint(ViewMessages.wire(database.address()))
+                .setEndpoint(ViewMessages.toWire(database.address()))
                 .setFailureDomain(database.failureDomain())
                 .setRegion(database.region())
                 .setTrusted(rules.isTrusted(database.status(), group.registration(databaseId), group.record()))
--- a/control/src/main/java/org/hornbeamspread/control/operations/Operations.java
+++ b/control/src/main/java/org/hornbeamspread/control/operations/Operations.java
@@ -35,8 +35,9 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * Serves the schema's Operations. Reads are answered only after a majority has confirmed the leadership; another member
- * refuses with NOT_LEADER and the leader's HTTP endpoint. Safe for any thread.
+ * Implements the Operations service of the schema. Reads are answered only after a majority has confirmed the
+ * leadership. A member that is not the leader refuses requests with NOT_LEADER and the leader's HTTP endpoint.
+ * Thread-safe.
  */
 public final class Operations {
     private static final String SERVICE = "hornbeamspread.Operations/";
@@ -50,11 +51,11 @@
     private final ControlMetrics metrics;
 
     /**
-     * The operations of one member.
+     * Creates the service of one member.
      *
-     * @param state the log's latest applied state
-     * @param members the control members with their progress
-     * @param httpEndpointOf the HTTP endpoint of a member by its name, empty when unknown
+     * @param state supplies the latest applied state of the log
+     * @param members supplies the control members with their replication progress
+     * @param httpEndpointOf the HTTP endpoint of a member by its id; empty when unknown
      */
     public Operations(
             ReplicatedLog log,
@@ -73,40 +74,40 @@
         this.metrics = metrics;
     }
 
-    /** The methods to serve. */
+    /** The RPC methods of the service. */
     public List<RpcMethod<?, ?>> methods() {
         return List.of(
                 new RpcMethod<>(
                         SERVICE + "ApplyConfiguration",
                         ApplyConfigurationRequest.getDefaultInstance(),
-                        request -> led(() -> apply(request)),
+                        request -> callOnLeader(() -> applyConfiguration(request)),
                         ApplyConfigurationResponse::getFailure),
                 RpcMethod.of(
                         SERVICE + "GetConfiguration",
                         GetConfigurationRequest.getDefaultInstance(),
-                        request -> led(this::configuration)),
+                        request -> callOnLeader(this::getConfiguration)),
                 RpcMethod.of(
                         SERVICE + "GetTopology",
                         GetTopologyRequest.getDefaultInstance(),
-                        request -> led(this::topology)),
+                        request -> callOnLeader(this::getTopology)),
                 new RpcMethod<>(
                         SERVICE + "SetDeparture",
                         SetDepartureRequest.getDefaultInstance(),
-                        request -> led(() -> setDeparture(request)),
+                        request -> callOnLeader(() -> setDeparture(request)),
                         OperationResponse::getFailure),
                 new RpcMethod<>(
                         SERVICE + "PromoteDatabase",
                         PromoteDatabaseRequest.getDefaultInstance(),
-                        request -> led(() -> promote(request)),
+                        request -> callOnLeader(() -> promoteDatabase(request)),
                         OperationResponse::getFailure),
                 new RpcMethod<>(
                         SERVICE + "ReplaceControlMember",
                         ReplaceControlMemberRequest.getDefaultInstance(),
-                        request -> led(() -> replaceMember(request)),
+                        request -> callOnLeader(() -> replaceControlMember(request)),
                         OperationResponse::getFailure));
     }
 
-    private CompletableFuture<ApplyConfigurationResponse> apply(ApplyConfigurationRequest request) {
+    private CompletableFuture<ApplyConfigurationResponse> applyConfiguration(ApplyConfigurationRequest request) {
         Configuration current = state.get().getConfiguration();
         List<String> changes = ConfigurationChanges.between(current, request.getConfiguration());
         if (request.getDryRun()) {
@@ -147,11 +148,11 @@
         return answer.build();
     }
 
-    private CompletableFuture<Configuration> configuration() {
+    private CompletableFuture<Configuration> getConfiguration() {
         return log.confirmLeadership().thenApply(done -> state.get().getConfiguration());
     }
 
-    private CompletableFuture<Topology> topology() {
+    private CompletableFuture<Topology> getTopology() {
         return log.confirmLeadership()
                 .thenCompose(done -> coordinator.topology())
                 .thenApply(topology -> topology.toBuilder()
@@ -161,9 +162,9 @@
     }
 
     private CompletableFuture<OperationResponse> setDeparture(SetDepartureRequest request) {
-        boolean known = state.get().getDatabasesList().stream()
+        boolean registered = state.get().getDatabasesList().stream()
                 .anyMatch(database -> database.getDatabaseId().equals(request.getDatabaseId()));
-        if (!known) {
+        if (!registered) {
             return CompletableFuture.failedFuture(
                     new FailureException(FailureType.UNKNOWN_DATABASE, request.getDatabaseId()));
         }
@@ -172,38 +173,40 @@
                         .addDatabaseIds(request.getDatabaseId())
                         .setDeparting(request.getDeparting()))
                 .build();
-        return log.propose(command).thenApply(Operations::response);
+        return log.propose(command).thenApply(Operations::toResponse);
     }
 
-    private CompletableFuture<OperationResponse> promote(PromoteDatabaseRequest request) {
+    private CompletableFuture<OperationResponse> promoteDatabase(PromoteDatabaseRequest request) {
         Optional<String> databaseId =
                 request.getDatabaseId().isEmpty() ? Optional.empty() : Optional.of(request.getDatabaseId());
         return log.confirmLeadership()
-                .thenCompose(done -> coordinator.handOver(request.getGroup(), databaseId))
+                .thenCompose(done -> coordinator.requestHandover(request.getGroup(), databaseId))
                 .thenApply(done -> OperationResponse.getDefaultInstance());
     }
 
-    /** The old member leaves and the new one joins without a vote; the log gives it one once it has caught up. */
-    private CompletableFuture<OperationResponse> replaceMember(ReplaceControlMemberRequest request) {
-        List<ControlMember> present = members.get();
-        ChangeMembers.Builder next = ChangeMembers.newBuilder();
-        present.stream()
+    /** Replaces a member by one that does not vote yet; the log makes the new member a voter once it has caught up. */
+    private CompletableFuture<OperationResponse> replaceControlMember(ReplaceControlMemberRequest request) {
+        List<ControlMember> current = members.get();
+        ChangeMembers.Builder changedMembers = ChangeMembers.newBuilder();
+        current.stream()
                 .filter(member -> !member.getMemberId().equals(request.getMemberId()))
-                .forEach(member -> next.addMembers(member.toBuilder().clearMatchedIndex()));
-        boolean complete = request.getReplacement().hasPeer()
+                .forEach(member -> changedMembers.addMembers(member.toBuilder().clearMatchedIndex()));
+        boolean replacementComplete = request.getReplacement().hasPeer()
                 && request.getReplacement().hasHttp()
                 && !request.getReplacement().getMemberId().isEmpty();
-        if (next.getMembersCount() == present.size() || !complete) {
+        if (changedMembers.getMembersCount() == current.size() || !replacementComplete) {
             return CompletableFuture.failedFuture(new FailureException(
-                    FailureType.INVALID_REQUEST, "member_id must be a member, and replacement complete"));
+                    FailureType.INVALID_REQUEST,
+                    "member_id must name a control member, and replacement must have member_id, peer and http"));
         }
-        next.addMembers(request.getReplacement());
-        return log.propose(
-                        command(request.getRequestId()).setChangeMembers(next).build())
-                .thenApply(Operations::response);
+        changedMembers.addMembers(request.getReplacement());
+        return log.propose(command(request.getRequestId())
+                        .setChangeMembers(changedMembers)
+                        .build())
+                .thenApply(Operations::toResponse);
     }
 
-    private static OperationResponse response(CommandResult result) {
+    private static OperationResponse toResponse(CommandResult result) {
         OperationResponse.Builder answer = OperationResponse.newBuilder().setReplayed(result.replayed());
         result.failure().ifPresent(failure -> answer.setFailure(Envelopes.failure(failure)));
         return answer.build();
@@ -213,19 +216,19 @@
         return ControlCommand.newBuilder().setRequestId(requestId).setProposedAtMs(clock.millis());
     }
 
-    /** Runs a call on the leader, and gives refusals by the log the leader's HTTP endpoint. */
-    private <T> CompletableFuture<T> led(Supplier<CompletableFuture<T>> call) {
+    /** Runs a call if this member leads. A NOT_LEADER failure of the call gets the leader's HTTP endpoint as detail. */
+    private <T> CompletableFuture<T> callOnLeader(Supplier<CompletableFuture<T>> call) {
         if (!log.leadership().isLeader()) {
-            return CompletableFuture.failedFuture(counted(notLeader()));
+            return CompletableFuture.failedFuture(countFailure(notLeader()));
         }
         return call.get().exceptionally(error -> {
             FailureException failure = FailureException.of(error);
-            throw counted(failure.type() == FailureType.NOT_LEADER ? notLeader() : failure);
+            throw countFailure(failure.type() == FailureType.NOT_LEADER ? notLeader() : failure);
         });
     }
 
-    private FailureException counted(FailureException failure) {
-        metrics.refused(failure.type());
+    private FailureException countFailure(FailureException failure) {
+        metrics.countFailure(failure.type());
         return failure;
     }
 
--- a/control/src/main/java/org/hornbeamspread/control/view/ClusterGuard.java
+++ b/control/src/main/java/org/hornbeamspread/control/view/ClusterGuard.java
@@ -10,48 +10,50 @@
 import org.hornbeamspread.transport.PeerHandler;
 
 /**
- * Keeps proxies and databases of another system out: one that was pointed at a wrong address would else be given
- * leases, or be promoted. A renewal is refused with WRONG_CLUSTER, an announcement dropped; both are counted.
+ * Rejects proxies and databases of other clusters. Otherwise a proxy that is configured with a wrong address would be
+ * granted leases, and such a database could be promoted. A renewal is refused with WRONG_CLUSTER and an announcement is
+ * dropped; both are counted.
  */
 public final class ClusterGuard implements PeerHandler {
     private final String clusterId;
-    private final PeerHandler inner;
+    private final PeerHandler delegate;
     private final ControlMetrics metrics;
 
-    /** Passes on what belongs to the cluster. */
-    public ClusterGuard(String clusterId, PeerHandler inner, ControlMetrics metrics) {
+    /** Forwards all requests and pushes to the delegate, except renewals and announcements of other clusters. */
+    public ClusterGuard(String clusterId, PeerHandler delegate, ControlMetrics metrics) {
         this.clusterId = clusterId;
-        this.inner = inner;
+        this.delegate = delegate;
         this.metrics = metrics;
     }
 
     @Override
     public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
-        if (request.hasRenewView() && isForeign(request.getRenewView().getClusterId())) {
+        if (request.hasRenewView() && isOtherCluster(request.getRenewView().getClusterId())) {
             answer.accept(Envelopes.failureEnvelope(new FailureException(
-                    FailureType.WRONG_CLUSTER, request.getRenewView().getClusterId() + ", here " + clusterId)));
+                    FailureType.WRONG_CLUSTER,
+                    request.getRenewView().getClusterId() + " is not the id of this cluster, " + clusterId)));
             return;
         }
-        inner.onRequest(connection, request, answer);
+        delegate.onRequest(connection, request, answer);
     }
 
     @Override
     public void onPush(PeerConnection connection, Envelope push) {
-        if (!push.hasAnnounce() || !isForeign(push.getAnnounce().getClusterId())) {
-            inner.onPush(connection, push);
+        if (!push.hasAnnounce() || !isOtherCluster(push.getAnnounce().getClusterId())) {
+            delegate.onPush(connection, push);
         }
     }
 
     @Override
     public void onClose(PeerConnection connection) {
-        inner.onClose(connection);
+        delegate.onClose(connection);
     }
 
-    private boolean isForeign(String sender) {
-        boolean foreign = !clusterId.equals(sender);
-        if (foreign) {
-            metrics.refused(FailureType.WRONG_CLUSTER);
+    private boolean isOtherCluster(String senderClusterId) {
+        boolean otherCluster = !clusterId.equals(senderClusterId);
+        if (otherCluster) {
+            metrics.countFailure(FailureType.WRONG_CLUSTER);
         }
-        return foreign;
+        return otherCluster;
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/view/ViewMessages.java
+++ b/control/src/main/java/org/hornbeamspread/control/view/ViewMessages.java
@@ -20,7 +20,7 @@
 public final class ViewMessages {
     private ViewMessages() {}
 
-    /** An announcement. Fails with INVALID_REQUEST. */
+    /** Converts an announcement. Fails with INVALID_REQUEST. */
     public static AnnouncedDatabase announced(Announce wire) {
         PositionReport report = wire.getReport().toBuilder()
                 .setDatabaseId(wire.getDatabaseId())
@@ -37,7 +37,7 @@
                 status(report));
     }
 
-    /** A database's report. Fails with INVALID_REQUEST. */
+    /** Converts a database's report. Fails with INVALID_REQUEST. */
     public static DatabaseStatus status(PositionReport wire) {
         return new DatabaseStatus(
                 wire.getDatabaseId(),
@@ -50,7 +50,7 @@
                 wire.getTrusted());
     }
 
-    /** A proxy's description of itself. Fails with INVALID_REQUEST. */
+    /** Converts a proxy's description of itself. Fails with INVALID_REQUEST. */
     public static LiveProxy proxy(ProxyEntry wire) {
         return new LiveProxy(
                 wire.getProxyId(),
@@ -64,13 +64,13 @@
     }
 
     /** The wire form of a proxy. */
-    public static ProxyEntry wire(LiveProxy proxy) {
+    public static ProxyEntry toWire(LiveProxy proxy) {
         return ProxyEntry.newBuilder()
                 .setProxyId(proxy.proxyId())
                 .setFailureDomain(proxy.failureDomain())
                 .setRegion(proxy.region())
-                .setPeer(wire(proxy.peer()))
-                .setHttp(wire(proxy.http()))
+                .setPeer(toWire(proxy.peer()))
+                .setHttp(toWire(proxy.http()))
                 .setConfigurationVersion(proxy.configurationVersion())
                 .setDraining(proxy.draining())
                 .setIncarnation(proxy.incarnation())
@@ -78,14 +78,14 @@
     }
 
     /** The wire form of an address. */
-    public static Endpoint wire(Address address) {
+    public static Endpoint toWire(Address address) {
         return Endpoint.newBuilder()
                 .setHost(address.host())
                 .setPort(address.port())
                 .build();
     }
 
-    /** A group's record in the control log. */
+    /** Converts a group's record in the control log. */
     public static GroupRecord record(GroupTerm wire) {
         Optional<String> primaryId =
                 wire.getPrimaryId().isEmpty() ? Optional.empty() : Optional.of(wire.getPrimaryId());
@@ -93,7 +93,7 @@
     }
 
     /** The wire form of a group's next record. */
-    public static GroupTerm wire(GroupRecord record, long expectedTerm) {
+    public static GroupTerm toWire(GroupRecord record, long expectedTerm) {
         return GroupTerm.newBuilder()
                 .setGroup(record.group())
                 .setTerm(record.term())
@@ -103,13 +103,13 @@
                 .build();
     }
 
-    /** A member's registration in the control log. */
+    /** Converts a member's registration in the control log. */
     public static Registration registration(RegisteredDatabase wire) {
         return new Registration(wire.getDatabaseId(), wire.getIncarnation(), wire.getTrusted());
     }
 
     /** The wire form of a registration. */
-    public static RegisteredDatabase wire(Registration registration, String group) {
+    public static RegisteredDatabase toWire(Registration registration, String group) {
         return RegisteredDatabase.newBuilder()
                 .setDatabaseId(registration.databaseId())
                 .setGroup(group)
--- a/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
@@ -33,22 +33,22 @@
 import org.hornbeamspread.protocol.schema.ViewLease;
 
 /**
- * One control leader with a log of one member, three databases and three proxies on a paused clock. After each step it
- * checks what must hold always: no proxy writes at a term older than one that is open, and a database has one holder at
- * most.
+ * One control leader with a log of one member, three databases and three proxies on a manually advanced clock. After
+ * each step the fixture checks the invariants: no proxy may write at a term older than the writable one, each database
+ * has at most one holder, and the current term has at most one primary.
  */
 final class ControlFixture {
     static final String GROUP = "g1";
     static final Duration LEASE = Duration.ofSeconds(1);
-    private static final Duration STEP = Duration.ofMillis(20);
-    private static final int ANNOUNCE_STEPS = 15;
-    private static final List<String> DOMAINS = List.of("bole", "piassa", "sabian");
+    private static final Duration STEP_INTERVAL = Duration.ofMillis(20);
+    private static final int ANNOUNCE_INTERVAL_STEPS = 15;
+    private static final List<String> FAILURE_DOMAINS = List.of("bole", "piassa", "sabian");
 
     final ManualClock clock = new ManualClock();
     final List<FakeDatabase> databases = new ArrayList<>();
     final List<FakeProxy> proxies = new ArrayList<>();
-    final ControlStateMachine log = new ControlStateMachine();
-    final List<GroupRecord> appended = new ArrayList<>();
+    final ControlStateMachine stateMachine = new ControlStateMachine();
+    final List<GroupRecord> appendedRecords = new ArrayList<>();
     private final DatabaseRegistry registry =
             new DatabaseRegistry(clock, Duration.ofSeconds(1), Duration.ofSeconds(30));
     private final FailureDetector detector = new FailureDetector(clock, FailoverTimings.DEFAULT);
@@ -56,21 +56,21 @@
     private LeaderSession session;
     private long leaderTerm;
     private long steps;
-    private long records;
+    private long lastIndex;
 
     ControlFixture() {
-        DOMAINS.forEach(domain -> databases.add(new FakeDatabase("d-" + domain, domain)));
-        DOMAINS.forEach(domain -> proxies.add(new FakeProxy("p-" + domain, domain, clock)));
+        FAILURE_DOMAINS.forEach(domain -> databases.add(new FakeDatabase("d-" + domain, domain)));
+        FAILURE_DOMAINS.forEach(domain -> proxies.add(new FakeProxy("p-" + domain, domain, clock)));
         apply(ControlCommand.newBuilder()
                 .setReplaceConfiguration(ReplaceConfiguration.newBuilder().setConfiguration(configuration())));
         changeLeader();
     }
 
-    /** Another member takes over: nothing but the log and the announcements is known to it. */
+    /** Another member becomes leader, with no other state than the log and the announcements. */
     void changeLeader() {
         leaderTerm++;
         session = new LeaderSession(leaderTerm, LEASE, clock, FailoverTimings.DEFAULT, registry, detector, metrics);
-        session.update(log.state());
+        session.update(stateMachine.state());
     }
 
     LeaderSession session() {
@@ -84,12 +84,12 @@
         }
     }
 
-    /** Runs until a term is open; returns how long that took. */
-    Duration runUntilOpen(long term, Duration limit) {
+    /** Runs until a term is writable. Returns the elapsed time. */
+    Duration runUntilWritable(long term, Duration limit) {
         Instant start = clock.instant();
         while (record().term() < term || !record().writable()) {
             step();
-            assertWithMessage("open at term " + term)
+            assertWithMessage("time until open for writes at term " + term)
                     .that(Duration.between(start, clock.instant()))
                     .isLessThan(limit);
         }
@@ -97,20 +97,20 @@
     }
 
     void step() {
-        clock.advance(STEP);
+        clock.advance(STEP_INTERVAL);
         steps++;
         detector.detectLocalPause();
         announce();
         renew();
         session.markChanged(registry.expire());
-        session.update(log.state());
-        session.silentPrimaries().forEach(database -> probe(database(database.databaseId())));
+        session.update(stateMachine.state());
+        session.silentPrimariesToProbe().forEach(database -> probe(database(database.databaseId())));
         session.step().forEach((group, effects) -> effects.forEach(this::run));
         checkInvariants();
     }
 
     GroupRecord record() {
-        return log.state().getGroupsList().stream()
+        return stateMachine.state().getGroupsList().stream()
                 .findFirst()
                 .map(ViewMessages::record)
                 .orElseGet(() -> GroupRecord.initial(GROUP));
@@ -153,7 +153,7 @@
     private void announce() {
         for (int i = 0; i < databases.size(); i++) {
             FakeDatabase database = databases.get(i);
-            if (database.answers() && steps % ANNOUNCE_STEPS == i) {
+            if (database.isResponsive() && steps % ANNOUNCE_INTERVAL_STEPS == i) {
                 session.markChanged(registry.announce(database.announcement(GROUP)));
                 detector.recordContact(database.id);
             }
@@ -163,100 +163,102 @@
     private void renew() {
         for (int i = 0; i < proxies.size(); i++) {
             FakeProxy proxy = proxies.get(i);
-            if (!proxy.cut && steps % ANNOUNCE_STEPS == i) {
-                RenewView request = proxy.request();
-                session.observe(request, ViewMessages.proxy(request.getProxy()));
+            if (!proxy.partitioned && steps % ANNOUNCE_INTERVAL_STEPS == i) {
+                RenewView request = proxy.renewalRequest();
+                session.recordRenewal(request, ViewMessages.proxy(request.getProxy()));
                 ViewLease answer = session.grant(request, ViewMessages.proxy(request.getProxy()), clock.instant());
-                if (!proxy.deaf) {
-                    proxy.receive(answer, clock.instant());
+                if (!proxy.responsesLost) {
+                    proxy.receiveLease(answer, clock.instant());
                 }
             }
         }
     }
 
     private void probe(FakeDatabase database) {
-        if (!database.running && !database.cut) {
+        if (!database.running && !database.partitioned) {
             detector.recordConnectionFailure(database.id);
-        } else if (database.answers()) {
-            reported(database);
+        } else if (database.isResponsive()) {
+            recordStatus(database);
         }
     }
 
     private void run(FailoverEffect effect) {
         if (effect instanceof FailoverEffect.AppendRecord append) {
-            appended.add(append.nextRecord());
+            appendedRecords.add(append.nextRecord());
             apply(ControlCommand.newBuilder()
                     .setSetGroupTerms(SetGroupTerms.newBuilder()
-                            .addGroups(ViewMessages.wire(append.nextRecord(), append.expectedTerm()))));
-            proposalDone();
+                            .addGroups(ViewMessages.toWire(append.nextRecord(), append.expectedTerm()))));
+            completeProposal();
         } else if (effect instanceof FailoverEffect.AppendRegistrations append) {
             RegisterDatabases.Builder register = RegisterDatabases.newBuilder();
-            append.registrations().forEach(item -> register.addDatabases(ViewMessages.wire(item, GROUP)));
+            append.registrations()
+                    .forEach(registration -> register.addDatabases(ViewMessages.toWire(registration, GROUP)));
             apply(ControlCommand.newBuilder().setRegisterDatabases(register));
-            proposalDone();
+            completeProposal();
         } else {
-            command(effect);
+            sendCommand(effect);
         }
     }
 
-    private void command(FailoverEffect effect) {
+    private void sendCommand(FailoverEffect effect) {
         if (effect instanceof FailoverEffect.Fence fence
-                && database(fence.databaseId()).answers()) {
+                && database(fence.databaseId()).isResponsive()) {
             database(fence.databaseId()).fence(fence.term());
-            reported(database(fence.databaseId()));
+            recordStatus(database(fence.databaseId()));
         } else if (effect instanceof FailoverEffect.Promote promote
-                && database(promote.databaseId()).answers()) {
+                && database(promote.databaseId()).isResponsive()) {
             if (database(promote.databaseId()).promote(promote.term())) {
-                reported(database(promote.databaseId()));
+                recordStatus(database(promote.databaseId()));
             } else {
                 session.group(GROUP).orElseThrow().failover().onPromoteRefused(promote.term());
             }
         } else if (effect instanceof FailoverEffect.Follow follow
-                && database(follow.databaseId()).answers()) {
+                && database(follow.databaseId()).isResponsive()) {
             FakeDatabase database = database(follow.databaseId());
             if (database.follow(follow.term(), database(follow.primaryId()))) {
-                reported(database);
+                recordStatus(database);
                 session.group(GROUP)
                         .orElseThrow()
                         .failover()
                         .onFollowing(database.id, database.incarnation, follow.term());
             }
         } else if (effect instanceof FailoverEffect.Readmit readmit
-                && database(readmit.databaseId()).answers()) {
+                && database(readmit.databaseId()).isResponsive()) {
             database(readmit.databaseId()).readmit(readmit.term(), readmit.incarnation());
-            reported(database(readmit.databaseId()));
+            recordStatus(database(readmit.databaseId()));
         }
     }
 
-    private void reported(FakeDatabase database) {
+    private void recordStatus(FakeDatabase database) {
         registry.updateStatus(database.status());
         detector.recordContact(database.id);
         session.markChanged(List.of(GROUP));
     }
 
     private void apply(ControlCommand.Builder command) {
-        records++;
-        Optional<FailureException> refusal = log.apply(ControlRecord.newBuilder()
-                        .setIndex(records)
+        lastIndex++;
+        Optional<FailureException> failure = stateMachine
+                .apply(ControlRecord.newBuilder()
+                        .setIndex(lastIndex)
                         .setTerm(leaderTerm)
                         .setCommand(command.setProposedAtMs(clock.millis()))
                         .build())
                 .failure();
-        assertThat(refusal).isEqualTo(Optional.empty());
+        assertThat(failure).isEqualTo(Optional.empty());
     }
 
-    private void proposalDone() {
-        session.update(log.state());
+    private void completeProposal() {
+        session.update(stateMachine.state());
         session.group(GROUP).orElseThrow().failover().onProposalCompleted();
     }
 
     private void checkInvariants() {
-        long openTerm = record().writable() ? record().term() : 0;
+        long writableTerm = record().writable() ? record().term() : 0;
         for (FakeProxy proxy : proxies) {
             Optional<Long> term = proxy.writableTerm(GROUP);
-            assertWithMessage("term of " + proxy.id + " while " + openTerm + " is open")
-                    .that(term.orElse(openTerm))
-                    .isAtLeast(openTerm);
+            assertWithMessage("term of " + proxy.id + " while term " + writableTerm + " is open for writes")
+                    .that(term.orElse(writableTerm))
+                    .isAtLeast(writableTerm);
         }
         for (FakeDatabase database : databases) {
             assertWithMessage("holders of " + database.id)
@@ -265,9 +267,9 @@
                             .count())
                     .isAtMost(1);
         }
-        long primariesOfOpenTerm = databases.stream()
+        long primariesOfCurrentTerm = databases.stream()
                 .filter(database -> database.role == DatabaseRole.PRIMARY && database.term == record().term())
                 .count();
-        assertThat(primariesOfOpenTerm).isAtMost(1);
+        assertThat(primariesOfCurrentTerm).isAtMost(1);
     }
 }
