--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/ConnectionLimitTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/ConnectionLimitTest.java
@@ -65,7 +65,7 @@
      * proxies need when they restart.
      */
     @Test
-    void recentlyUnusedConnectionsAreClosed() {
+    void connectionsPastTheIdleTimeoutAreClosed() {
         harness.primary.serviceMs = 40;
         sendAtIntervals(50);
         assertThat(harness.primary.openConnections.size()).isAtLeast(6);
