--- /dev/null
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnectionPool.java
@@ -0,0 +1,316 @@
+package org.hornbeamspread.proxy.session;
+
+import java.time.Clock;
+import java.time.Instant;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.BiConsumer;
+import org.hornbeamspread.core.admission.AdaptiveConcurrencyLimit;
+import org.hornbeamspread.core.admission.RankScheduler;
+import org.hornbeamspread.core.admission.SlotRequest;
+import org.hornbeamspread.core.misc.EventLog;
+import org.hornbeamspread.core.misc.FailureException;
+import org.hornbeamspread.core.misc.FailureType;
+import org.hornbeamspread.core.route.DatabaseInstance;
+import org.hornbeamspread.core.sql.SqlConnector;
+
+/**
+ * The pool of this proxy's connections to one instance, with the queue of units that wait for a connection. A unit, which is
+ * a statement or a transaction, holds a connection from its first statement to its last. {@link RankScheduler} decides which
+ * unit gets the next connection. Confined to the engine's thread.
+ */
+final class InstanceConnectionPool {
+    /** Weight of a new measurement in the moving average of service times. */
+    private static final double SERVICE_TIME_WEIGHT = 0.1;
+
+    private static final double INITIAL_SERVICE_TIME_MS = 10;
+
+    private final DatabaseInstance instance;
+    private final Clock clock;
+    private final BiConsumer<Unit, RetryReason> reroute;
+    private final InstanceConnections connections;
+
+    /** Queued units by ticket. A unit gets a new ticket each time it joins the queue of this pool. */
+    private final Map<Long, Unit> waitingUnits = new LinkedHashMap<>();
+
+    /** Units for which a connection is being opened, by ticket. */
+    private final Map<Long, Unit> connectingUnits = new LinkedHashMap<>();
+
+    private final Map<Long, SlotRequest> runningRequests = new HashMap<>();
+    private final Map<Long, Lease> leases = new HashMap<>();
+    private final StatementLimiter limiter;
+    private final RankScheduler scheduler;
+    private long nextTicket;
+    private double serviceMs = INITIAL_SERVICE_TIME_MS;
+    private long laggingUntilMs;
+
+    /**
+     * Creates a pool without connections.
+     *
+     * @param limit maximum number of connections that this proxy may hold to the instance
+     * @param proxies number of proxies that share the database
+     * @param reroute receives each unit that must be routed again
+     */
+    InstanceConnectionPool(
+            DatabaseInstance instance,
+            int limit,
+            int proxies,
+            SqlConnector connector,
+            Clock clock,
+            EventLog events,
+            BiConsumer<Unit, RetryReason> reroute) {
+        this.instance = instance;
+        this.clock = clock;
+        this.reroute = reroute;
+        this.connections =
+                new InstanceConnections(instance, limit, connector, clock, events, this::onConnectionsAvailable);
+        this.limiter = new StatementLimiter(new AdaptiveConcurrencyLimit(instance.slots(), proxies));
+        this.scheduler = new RankScheduler(limit, PriorityRanks.rankSettings(), clock.instant());
+    }
+
+    DatabaseInstance instance() {
+        return instance;
+    }
+
+    StatementLimiter limiter() {
+        return limiter;
+    }
+
+    /** Number of statements that wait or are in flight, plus the queued units that have no connection yet. */
+    int outstanding() {
+        return waitingUnits.size() + limiter.outstanding();
+    }
+
+    double serviceMs() {
+        return serviceMs;
+    }
+
+    boolean hasConnectFailed() {
+        return connections.hasConnectFailed();
+    }
+
+    boolean isReachable() {
+        return connections.isUsable();
+    }
+
+    /** Time without a response while requests to the instance are pending. */
+    long silentMs() {
+        return connections.silentMs();
+    }
+
+    /** Whether {@link #check} must be called again. */
+    boolean needsCheck() {
+        return !waitingUnits.isEmpty() || !runningRequests.isEmpty() || connections.needsCheck();
+    }
+
+    /**
+     * Applies the silence timeout, probes an instance that may be reachable again, and removes units that can no longer start
+     * in time.
+     *
+     * @param localPause whether this proxy itself was paused since the previous check
+     */
+    void check(boolean localPause) {
+        if (localPause) {
+            connections.onLocalPause();
+        }
+        if (connections.isSilenceTimeoutExceeded()) {
+            onSilenceTimeout();
+        }
+        removeExpired();
+        connections.check(!waitingUnits.isEmpty());
+    }
+
+    /** Remaining time during which the instance is expected to lag behind the positions that reads require. */
+    long laggingForMs() {
+        return Math.max(0, laggingUntilMs - clock.millis());
+    }
+
+    void onLagging(long forMs) {
+        laggingUntilMs = Math.max(laggingUntilMs, clock.millis() + forMs);
+    }
+
+    /** Records the duration of a statement, including the wait in the database's own queue. */
+    void recordServiceTime(long elapsedMs) {
+        serviceMs += SERVICE_TIME_WEIGHT * (elapsedMs - serviceMs);
+    }
+
+    /**
+     * Handles a request on an open connection that got no response in time: idle connections are closed, waiting units are
+     * rerouted, and connections in use by repeatable statements are discarded, so that these are retried elsewhere.
+     */
+    void onSilenceTimeout() {
+        connections.onSilenceTimeout();
+        rerouteWaiting();
+        List.copyOf(leases.values()).stream().filter(Lease::isRepeatable).forEach(Lease::discard);
+    }
+
+    /** Applies new limits. Running units keep their connections. */
+    void resize(int newLimit, int proxies) {
+        limiter.resize(instance.slots(), proxies);
+        connections.resize(newLimit);
+        onConnectionsAvailable();
+    }
+
+    private void onConnectionsAvailable() {
+        scheduler.resize(connections.usableConnections());
+        startNext();
+    }
+
+    /** Queues a unit. A unit that cannot start in time is refused or rerouted at once. */
+    void acquire(Unit unit) {
+        enqueue(unit);
+        startNext();
+    }
+
+    void release(long ticket, PooledConnection connection, boolean reusable) {
+        leases.remove(ticket);
+        freeSlot(ticket, reusable);
+        if (reusable) {
+            connections.putIdle(connection);
+        } else {
+            connections.discard(connection);
+        }
+        startNext();
+    }
+
+    /** Closes idle connections and reroutes every waiting unit. Running units continue. */
+    void close() {
+        connections.close();
+        rerouteWaiting();
+    }
+
+    private void freeSlot(long ticket, boolean completed) {
+        SlotRequest request = runningRequests.remove(ticket);
+        if (request == null) {
+            return;
+        }
+        if (completed) {
+            scheduler.complete(request, clock.instant());
+        } else {
+            scheduler.abandon(request, clock.instant());
+        }
+    }
+
+    private void enqueue(Unit unit) {
+        long ticket = nextTicket++;
+        SlotRequest request = new SlotRequest(
+                ticket,
+                unit.rank(),
+                clock.instant(),
+                Instant.ofEpochMilli(Math.max(unit.startByMs, clock.millis() + 1)));
+        Optional<FailureException> refusal = scheduler.offer(request);
+        if (refusal.isPresent()) {
+            boolean full = refusal.get().type() == FailureType.QUEUE_FULL;
+            refuseOrReroute(unit, full ? RefusalReason.QUEUE_FULL : RefusalReason.WAIT_TOO_LONG);
+            return;
+        }
+        waitingUnits.put(ticket, unit);
+        unit.cancellation = cancelled -> {
+            waitingUnits.remove(ticket);
+            scheduler.cancel(request);
+        };
+    }
+
+    /** Reroutes a read, since another instance may have capacity; refuses a unit that only the primary can run. */
+    private void refuseOrReroute(Unit unit, RefusalReason reason) {
+        if (unit.needsPrimary) {
+            unit.refuse(reason);
+            return;
+        }
+        unit.tried.add(instance.instanceId());
+        unit.queueRefusal = reason;
+        reroute.accept(unit, RetryReason.WAIT_TOO_LONG);
+    }
+
+    private void removeExpired() {
+        for (SlotRequest expired : scheduler.removeExpired(clock.instant())) {
+            Unit unit = waitingUnits.remove(expired.requestId());
+            if (unit != null) {
+                unit.cancellation = null;
+                refuseOrReroute(unit, RefusalReason.WAIT_TOO_LONG);
+            }
+        }
+    }
+
+    private void startNext() {
+        while (isReachable()) {
+            Optional<SlotRequest> next = scheduler.poll(clock.instant());
+            if (next.isEmpty()) {
+                return;
+            }
+            Unit unit = waitingUnits.remove(next.get().requestId());
+            if (unit == null || unit.ended) {
+                scheduler.complete(next.get(), clock.instant());
+                continue;
+            }
+            unit.cancellation = null;
+            runningRequests.put(next.get().requestId(), next.get());
+            startUnit(next.get().requestId(), unit);
+        }
+    }
+
+    private void startUnit(long ticket, Unit unit) {
+        PooledConnection connection = connections.takeIdle(unit.values);
+        if (connection != null) {
+            grant(ticket, unit, connection);
+            return;
+        }
+        connectingUnits.put(ticket, unit);
+        connections.open((opened, error) -> onConnected(ticket, opened, error));
+    }
+
+    private void grant(long ticket, Unit unit, PooledConnection connection) {
+        Lease lease = new Lease(this, ticket, connection);
+        leases.put(ticket, lease);
+        if (unit.ended) {
+            lease.release();
+        } else {
+            unit.owner.onLease(lease);
+        }
+    }
+
+    private void onConnected(long ticket, PooledConnection opened, Throwable error) {
+        Unit unit = connectingUnits.remove(ticket);
+        if (error == null && unit != null) {
+            scheduler.resize(connections.usableConnections());
+            grant(ticket, unit, opened);
+            return;
+        }
+        freeSlot(ticket, false);
+        if (error == null) {
+            connections.putIdle(opened);
+        }
+        scheduler.resize(connections.usableConnections());
+        if (error != null && unit != null) {
+            if (!isReachable()) {
+                unit.tried.add(instance.instanceId());
+            }
+            reroute.accept(unit, RetryReason.CONNECT_FAILED);
+        }
+        if (isReachable()) {
+            startNext();
+        } else {
+            rerouteWaiting();
+        }
+    }
+
+    /** Reroutes all units that are queued or for which a connection is being opened. */
+    private void rerouteWaiting() {
+        List<Unit> rerouted = new ArrayList<>(connectingUnits.values());
+        connectingUnits.clear();
+        List<Unit> queued = List.copyOf(waitingUnits.values());
+        queued.forEach(unit -> {
+            unit.cancellation.accept(unit);
+            unit.cancellation = null;
+        });
+        rerouted.addAll(queued);
+        rerouted.forEach(unit -> {
+            unit.tried.add(instance.instanceId());
+            reroute.accept(unit, RetryReason.CONNECT_FAILED);
+        });
+    }
+}
--- /dev/null
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnections.java
@@ -0,0 +1,267 @@
+package org.hornbeamspread.proxy.session;
+
+import java.time.Clock;
+import java.time.Duration;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.List;
+import java.util.Map;
+import java.util.function.BiConsumer;
+import org.hornbeamspread.core.admission.AdaptiveConnectionLimit;
+import org.hornbeamspread.core.misc.EventLog;
+import org.hornbeamspread.core.misc.FailureException;
+import org.hornbeamspread.core.misc.FailureType;
+import org.hornbeamspread.core.placement.Reachability;
+import org.hornbeamspread.core.route.DatabaseInstance;
+import org.hornbeamspread.core.sql.SqlConnector;
+
+/**
+ * This proxy's connections to one instance. {@link AdaptiveConnectionLimit} limits their number; {@link Reachability} detects
+ * whether the instance responds. Connections that have been idle for some time are closed: when a machine loses power, the
+ * instance still holds that machine's connections for a while, and they use up the connection limit that the proxies need
+ * when they restart. Confined to the engine's thread.
+ */
+final class InstanceConnections {
+    /** Four round trips between regions, and the set-up of a connection at a busy database. */
+    private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
+
+    /** A hundred times the set-up time of a connection at a database. */
+    private static final long IDLE_TIMEOUT_MS = 1_500;
+
+    private final DatabaseInstance instance;
+    private final SqlConnector connector;
+    private final Clock clock;
+    private final EventLog events;
+    private final Runnable onConnectionsAvailable;
+    private final Deque<PooledConnection> idle = new ArrayDeque<>();
+    private final Reachability reachability = new Reachability();
+    private final AdaptiveConnectionLimit adaptiveLimit;
+    private int configuredLimit;
+
+    /** Open connections and connections that are being opened. */
+    private int connectionCount;
+
+    private int openingCount;
+    private boolean closed;
+
+    /**
+     * Whether the last connection attempt failed for a reason other than the database's connection limit, or the silence timeout
+     * was exceeded since.
+     */
+    private boolean connectFailed;
+
+    /**
+     * Creates an instance without open connections.
+     *
+     * @param onConnectionsAvailable called after a probe has opened a connection that no unit requested
+     */
+    InstanceConnections(
+            DatabaseInstance instance,
+            int limit,
+            SqlConnector connector,
+            Clock clock,
+            EventLog events,
+            Runnable onConnectionsAvailable) {
+        this.instance = instance;
+        this.configuredLimit = limit;
+        this.adaptiveLimit = new AdaptiveConnectionLimit(limit);
+        this.connector = connector;
+        this.clock = clock;
+        this.events = events;
+        this.onConnectionsAvailable = onConnectionsAvailable;
+    }
+
+    boolean hasConnectFailed() {
+        return connectFailed;
+    }
+
+    /** Whether units may be sent to the instance. */
+    boolean isUsable() {
+        return reachability.isReachable() && adaptiveLimit.effectiveLimit() > 0;
+    }
+
+    /** Time without a response while requests to the instance are pending. */
+    long silentMs() {
+        return reachability.silentMs(clock.millis());
+    }
+
+    /** Number of connections that units may use at once; at least one. */
+    int usableConnections() {
+        return Math.max(1, adaptiveLimit.effectiveLimit());
+    }
+
+    /** Whether {@link #check} must be called again. */
+    boolean needsCheck() {
+        return idle.size() > 1 || !isUsable();
+    }
+
+    void resize(int newLimit) {
+        configuredLimit = newLimit;
+        adaptiveLimit.resize(newLimit);
+        while (connectionCount > configuredLimit && !idle.isEmpty()) {
+            discard(idle.removeLast());
+        }
+    }
+
+    /** Records a pause of this proxy itself. */
+    void onLocalPause() {
+        reachability.onLocalPause(clock.millis());
+    }
+
+    /** Whether a reachable instance has been silent for so long that it must be treated as unreachable. */
+    boolean isSilenceTimeoutExceeded() {
+        return reachability.isSilenceTimeoutExceeded(clock.millis());
+    }
+
+    /** Marks the instance unreachable and closes the idle connections, which may be broken. */
+    void onSilenceTimeout() {
+        long nowMs = clock.millis();
+        onFailure(nowMs, new FailureException(FailureType.REQUEST_TIMEOUT, "silent"));
+        closeIdle();
+    }
+
+    /**
+     * Closes connections past the idle timeout, except for one, and probes the instance when a probe is due: a connection attempt
+     * that no unit waits for.
+     *
+     * @param unitsWaiting whether units wait for a connection
+     */
+    void check(boolean unitsWaiting) {
+        long nowMs = clock.millis();
+        while (idle.size() > 1 && nowMs - idle.peekLast().idleSinceMs() > IDLE_TIMEOUT_MS) {
+            discard(idle.removeLast());
+        }
+        if (closed || connectionCount >= configuredLimit) {
+            return;
+        }
+        boolean reachabilityProbeDue = reachability.isProbeDue(nowMs);
+        boolean limitProbeDue = reachability.isReachable()
+                && (unitsWaiting || adaptiveLimit.effectiveLimit() == 0)
+                && adaptiveLimit.isProbeDue(nowMs);
+        if (reachabilityProbeDue || limitProbeDue) {
+            probe();
+        }
+    }
+
+    private void probe() {
+        reachability.onProbeStarted();
+        adaptiveLimit.onProbeStarted();
+        open((opened, error) -> {
+            reachability.onProbeEnded();
+            adaptiveLimit.onProbeEnded();
+            if (error == null) {
+                putIdle(opened);
+                onConnectionsAvailable.run();
+            }
+        });
+    }
+
+    void open(BiConsumer<PooledConnection, Throwable> callback) {
+        connectionCount++;
+        openingCount++;
+        long startedAtMs = clock.millis();
+        reachability.onRequestSent(startedAtMs);
+        connector.connect(instance, CONNECT_TIMEOUT).whenComplete((opened, error) -> {
+            openingCount--;
+            if (error != null) {
+                connectionCount--;
+                onConnectError(startedAtMs, FailureException.of(error));
+                callback.accept(null, error);
+                return;
+            }
+            reachability.onResponse(clock.millis());
+            onReached();
+            connectFailed = false;
+            adaptiveLimit.onOpened(openCount(), clock.millis());
+            callback.accept(new PooledConnection(opened, reachability, clock), null);
+        });
+    }
+
+    /** Takes an idle connection, preferably one that already has the session's values; null when none is idle. */
+    PooledConnection takeIdle(Map<String, String> values) {
+        List.copyOf(idle).stream().filter(connection -> !connection.isOpen()).forEach(connection -> {
+            idle.remove(connection);
+            connectionCount--;
+        });
+        for (PooledConnection connection : idle) {
+            if (connection.hasValues(values)) {
+                idle.remove(connection);
+                return connection;
+            }
+        }
+        return idle.pollFirst();
+    }
+
+    /** Adds a connection outside of any transaction to the idle ones, or closes a connection above the limit. */
+    void putIdle(PooledConnection connection) {
+        if (connection.isOpen() && !closed && connectionCount <= configuredLimit) {
+            connection.onIdle();
+            idle.addFirst(connection);
+        } else {
+            discard(connection);
+        }
+    }
+
+    void discard(PooledConnection connection) {
+        connectionCount--;
+        connection.close();
+    }
+
+    /** Closes the idle connections; connections returned later are closed at once. */
+    void close() {
+        closed = true;
+        closeIdle();
+    }
+
+    private void closeIdle() {
+        while (!idle.isEmpty()) {
+            discard(idle.removeLast());
+        }
+    }
+
+    private int openCount() {
+        return connectionCount - openingCount;
+    }
+
+    private void onConnectError(long startedAtMs, FailureException failure) {
+        if (failure.type() != FailureType.CONNECTION_LIMIT) {
+            reachability.onRequestAbandoned();
+            onFailure(startedAtMs, failure);
+            return;
+        }
+        reachability.onResponse(clock.millis());
+        onReached();
+        connectFailed = false;
+        if (adaptiveLimit.onRefused(openCount(), startedAtMs, clock.millis())) {
+            record("database_connection_limit", adaptiveLimit.backoffMs(), failure);
+        }
+    }
+
+    private void onReached() {
+        if (reachability.onReached(clock.millis())) {
+            events.record("database_regained", "instance", instance.instanceId());
+        }
+    }
+
+    private void onFailure(long startedAtMs, FailureException failure) {
+        connectFailed = true;
+        if (reachability.onFailed(startedAtMs, clock.millis())) {
+            record("database_lost", reachability.backoffMs(), failure);
+        }
+    }
+
+    private void record(String event, long backoffMs, FailureException failure) {
+        events.record(
+                event,
+                "instance",
+                instance.instanceId(),
+                "address",
+                instance.address(),
+                "connections",
+                connectionCount,
+                "backoff_ms",
+                backoffMs,
+                "cause",
+                failure.getMessage());
+    }
+}
--- /dev/null
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRouter.java
@@ -0,0 +1,381 @@
+package org.hornbeamspread.proxy.session;
+
+import java.time.Clock;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.TimeUnit;
+import org.hornbeamspread.core.misc.ClockJumpDetector;
+import org.hornbeamspread.core.misc.EventLog;
+import org.hornbeamspread.core.misc.LogPosition;
+import org.hornbeamspread.core.placement.InstanceSelector;
+import org.hornbeamspread.core.placement.InstanceSelector.Candidate;
+import org.hornbeamspread.core.placement.PositionSamples.Sample;
+import org.hornbeamspread.core.route.DatabaseInstance;
+import org.hornbeamspread.core.route.RouteKind;
+import org.hornbeamspread.core.route.RoutedService;
+import org.hornbeamspread.core.sql.SqlConnector;
+
+/**
+ * Routes each unit, which is a statement or a transaction, to an instance.
+ *
+ * <p>Writes, read-write transactions and the reads of primary routes go to the primary, which proves its role by accepting a
+ * read-write transaction. Other reads go to the instance with the earliest expected completion. The position that the log of
+ * that instance must contain comes from {@link org.hornbeamspread.core.placement.PositionSamples} and from the session's own
+ * commits; the instance validates that its log contains the position. A unit without a usable instance waits for a short time,
+ * since a promotion may be in progress, and is then refused as not run. Confined to the engine's thread.
+ */
+final class StatementRouter {
+    /** Connections of each database that are reserved for control. */
+    private static final int RESERVED_CONNECTIONS = 3;
+
+    /** Subtracted from a staleness allowance, since ages are rounded. */
+    private static final long STALENESS_MARGIN_MS = 100;
+
+    /** Samples older than this fraction of the staleness allowance are refreshed before they expire. */
+    private static final double SAMPLE_REFRESH_FRACTION = 0.5;
+
+    private static final long PARKED_RETRY_INTERVAL_MS = 25;
+
+    /** A promoted instance becomes the primary about a hundred ms after the promotion request. */
+    private static final long NOT_PRIMARY_BACKOFF_MS = 60;
+
+    /** Interval of the checks for silent instances and for units that can no longer start in time. */
+    private static final long CHECK_INTERVAL_MS = 50;
+
+    /** A check that runs later than scheduled by more than this time shows that this proxy itself was paused. */
+    private static final long LOCAL_PAUSE_THRESHOLD_MS = 150;
+
+    private static final int MAX_ATTEMPTS = 6;
+
+    /** A draining primary without a successor serves until shortly before the time limit for new work. */
+    private static final long DRAINING_PRIMARY_LIMIT_MS = 4_000;
+
+    private static final double SAME_DOMAIN_RTT_MS = 0.5;
+    private static final double SAME_REGION_RTT_MS = 4;
+    private static final double OTHER_REGION_RTT_MS = 24;
+
+    private final String failureDomain;
+    private final Map<String, String> regionByDomain;
+    private final SqlConnector connector;
+    private final Clock clock;
+    private final ClockJumpDetector clockJumpDetector;
+    private final ScheduledExecutorService executor;
+    private final EventLog events;
+    private final SessionMetrics metrics;
+    private final Map<String, InstanceConnectionPool> pools = new HashMap<>();
+    private final Map<String, ServiceState> serviceStates = new HashMap<>();
+    private final Map<String, Long> drainingSinceMs = new HashMap<>();
+
+    /** Until when an instance that answered that it is not the primary gets no further requests for the primary. */
+    private final Map<String, Long> notPrimaryUntilMs = new HashMap<>();
+
+    private final Deque<Unit> parked = new ArrayDeque<>();
+    private SystemView view = SystemView.NONE;
+    private boolean retryScheduled;
+    private boolean checkScheduled;
+    private long checkScheduledAtMs;
+    private boolean controlReachable = true;
+    private PrimaryProbe probe;
+
+    /** Requests the primary's log position; the response is passed to {@link ServiceState#onPrimaryProof}. */
+    interface PrimaryProbe {
+        void requestPosition(String service);
+    }
+
+    StatementRouter(
+            String failureDomain,
+            Map<String, String> regionByDomain,
+            SqlConnector connector,
+            Clock clock,
+            ClockJumpDetector clockJumpDetector,
+            ScheduledExecutorService executor,
+            EventLog events,
+            SessionMetrics metrics) {
+        this.metrics = metrics;
+        this.failureDomain = failureDomain;
+        this.regionByDomain = Map.copyOf(regionByDomain);
+        this.connector = connector;
+        this.clock = clock;
+        this.clockJumpDetector = clockJumpDetector;
+        this.executor = executor;
+        this.events = events;
+    }
+
+    void setPrimaryProbe(PrimaryProbe primaryProbe) {
+        probe = primaryProbe;
+    }
+
+    SystemView view() {
+        return view;
+    }
+
+    ServiceState serviceState(String name) {
+        return serviceStates.computeIfAbsent(name, key -> new ServiceState());
+    }
+
+    /** Applies a newer view. */
+    void onView(SystemView next) {
+        view = next;
+        notPrimaryUntilMs.clear();
+        Map<String, DatabaseInstance> currentInstances = new HashMap<>();
+        next.instances().forEach(instance -> currentInstances.put(instance.instanceId(), instance));
+        drainingSinceMs.keySet().removeIf(id -> !currentInstances.containsKey(id));
+        for (InstanceConnectionPool pool : List.copyOf(pools.values())) {
+            DatabaseInstance current = currentInstances.get(pool.instance().instanceId());
+            boolean sameIncarnation = current != null
+                    && current.bornMs() == pool.instance().bornMs()
+                    && current.address().equals(pool.instance().address());
+            if (!sameIncarnation) {
+                pools.remove(pool.instance().instanceId());
+                pool.close();
+            } else {
+                pool.resize(connectionLimit(current), next.proxyCount());
+            }
+        }
+        for (DatabaseInstance instance : next.instances()) {
+            if (instance.draining()) {
+                drainingSinceMs.putIfAbsent(instance.instanceId(), clock.millis());
+            }
+        }
+        retryParked();
+    }
+
+    /** Records the answer of an instance that it is not the primary. */
+    void onNotPrimary(String instanceId) {
+        Long previousUntilMs = notPrimaryUntilMs.put(instanceId, clock.millis() + NOT_PRIMARY_BACKOFF_MS);
+        if (previousUntilMs == null) {
+            events.record("not_primary", "instance", instanceId, "pause_ms", NOT_PRIMARY_BACKOFF_MS);
+        }
+        InstanceConnectionPool pool = pools.get(instanceId);
+        if (pool != null) {
+            serviceState(pool.instance().service()).onNotPrimary(clock.millis());
+        }
+    }
+
+    /** Records whether control is reachable, and the view therefore up to date. */
+    void onControlReachable(boolean reachable) {
+        controlReachable = reachable;
+        if (reachable) {
+            serviceStates.values().forEach(ServiceState::clearNotPrimary);
+        }
+    }
+
+    /** Records that an instance proved to be the primary. */
+    void onPrimaryProof(DatabaseInstance instance, long requestedAtMs, long requestEpoch, LogPosition position) {
+        notPrimaryUntilMs.remove(instance.instanceId());
+        ServiceState state = serviceState(instance.service());
+        state.updateClockEpoch(clockJumpDetector.epoch());
+        state.onPrimaryProof(instance.instanceId(), requestedAtMs, requestEpoch, position);
+        if (!parked.isEmpty()) {
+            retryParked();
+        }
+    }
+
+    /** Routes a unit again that the previous instance could not run. */
+    void retry(Unit unit, RetryReason reason) {
+        metrics.onRetry(reason);
+        route(unit);
+    }
+
+    /** Routes a unit. */
+    void route(Unit unit) {
+        if (unit.ended) {
+            return;
+        }
+        if (unit.attempts++ >= MAX_ATTEMPTS) {
+            unit.refuse(RefusalReason.ATTEMPTS_SPENT);
+            return;
+        }
+        Optional<InstanceConnectionPool> pool = unit.needsPrimary ? primaryPool(unit) : readPool(unit);
+        if (pool.isPresent()) {
+            pool.get().acquire(unit);
+            scheduleCheck();
+        } else if (!unit.ended) {
+            park(unit);
+        }
+    }
+
+    private Optional<InstanceConnectionPool> primaryPool(Unit unit) {
+        String service = unit.route.service();
+        String provenId = serviceState(service).provenPrimaryId();
+        Optional<DatabaseInstance> announced = view.primary(service).filter(this::mayBePrimary);
+        // The previous primary stays the primary until the promotion takes effect, but writes that it
+        // acknowledges in that time would be lost.
+        boolean promotionKnown = controlReachable && view.hasPromotedInstance(service);
+        Optional<DatabaseInstance> proven = view.instances(service).stream()
+                .filter(instance -> !promotionKnown)
+                .filter(instance -> instance.instanceId().equals(provenId))
+                .filter(this::mayBePrimary)
+                .findFirst();
+        Optional<InstanceConnectionPool> pool =
+                announced.or(() -> proven).or(() -> possiblePrimary(service)).map(this::pool);
+        if (pool.isPresent() && !pool.get().isReachable() && pool.get().hasConnectFailed()) {
+            serviceState(service).onPrimaryUnreachable(clock.millis());
+        }
+        return pool.filter(InstanceConnectionPool::isReachable);
+    }
+
+    /**
+     * While control is unreachable, any reachable instance that has not recently answered that it is not the primary: the proxy
+     * receives no promotions then. The instance proves to be the primary, or refuses the unit, which then did not run.
+     */
+    private Optional<DatabaseInstance> possiblePrimary(String service) {
+        if (controlReachable) {
+            return Optional.empty();
+        }
+        return view.instances(service).stream()
+                .filter(this::mayBePrimary)
+                .filter(instance -> pool(instance).isReachable())
+                .findFirst();
+    }
+
+    /** Adds a position that control received from a proven primary at or after the given time. */
+    void onSharedPosition(String service, long requestedAtMs, long requestEpoch, LogPosition position) {
+        ServiceState state = serviceState(service);
+        state.updateClockEpoch(clockJumpDetector.epoch());
+        state.addSample(requestedAtMs, requestEpoch, position);
+        retryParked();
+    }
+
+    /** Whether the primary of any service has been unreachable or unknown for longer than a time. */
+    boolean lacksPrimary(long longerThanMs) {
+        long nowMs = clock.millis();
+        return serviceStates.values().stream()
+                .anyMatch(state ->
+                        state.withoutPrimarySinceMs() > 0 && nowMs - state.withoutPrimarySinceMs() > longerThanMs);
+    }
+
+    /** Whether reads wait for positions that this proxy cannot request itself. */
+    boolean wantsPositions() {
+        return serviceStates.values().stream().anyMatch(state -> state.positionsWanted);
+    }
+
+    private boolean mayBePrimary(DatabaseInstance instance) {
+        Long sinceMs = drainingSinceMs.get(instance.instanceId());
+        boolean drainingTooLong = sinceMs != null && clock.millis() - sinceMs > DRAINING_PRIMARY_LIMIT_MS;
+        boolean notPrimary = notPrimaryUntilMs.getOrDefault(instance.instanceId(), Long.MIN_VALUE) > clock.millis();
+        return !drainingTooLong && !notPrimary;
+    }
+
+    private Optional<InstanceConnectionPool> readPool(Unit unit) {
+        String service = unit.route.service();
+        ServiceState state = serviceState(service);
+        state.updateClockEpoch(clockJumpDetector.epoch());
+        long allowanceMs = Math.max(0, unit.route.maxStalenessMs() - STALENESS_MARGIN_MS);
+        Optional<Sample> sample = state.positionSamples.oldestWithin(unit.arrivedMs, allowanceMs);
+        Optional<Sample> latest = state.positionSamples.latest();
+        boolean refreshDue = latest.isEmpty()
+                || clock.millis() - latest.get().requestedAtMs() > SAMPLE_REFRESH_FRACTION * allowanceMs;
+        if (refreshDue) {
+            probe.requestPosition(service);
+            state.positionsWanted |= state.unreachableSinceMs() > 0;
+        }
+        if (sample.isEmpty()) {
+            unit.after = Optional.empty();
+            return Optional.empty();
+        }
+        LogPosition position = sample.get().position();
+        unit.after = Optional.of(
+                unit.route.kind() == RouteKind.READ_YOUR_WRITES ? LogPosition.max(position, unit.floor) : position);
+        List<Candidate> candidates = new ArrayList<>();
+        for (DatabaseInstance instance : view.instances(service)) {
+            if (!instance.draining() && !unit.tried.contains(instance.instanceId())) {
+                InstanceConnectionPool pool = pool(instance);
+                if (pool.isReachable()) {
+                    candidates.add(candidate(pool));
+                }
+            }
+        }
+        if (candidates.isEmpty() && unit.queueRefusal != null) {
+            unit.refuse(unit.queueRefusal);
+        }
+        return InstanceSelector.select(candidates).map(best -> pools.get(best.instanceId()));
+    }
+
+    private Candidate candidate(InstanceConnectionPool pool) {
+        return new Candidate(
+                pool.instance().instanceId(),
+                roundTripMs(pool.instance()),
+                pool.serviceMs(),
+                pool.outstanding(),
+                pool.limiter().concurrencyLimit(),
+                pool.silentMs(),
+                pool.laggingForMs() > 0 ? pool.serviceMs() + OTHER_REGION_RTT_MS : 0);
+    }
+
+    private double roundTripMs(DatabaseInstance instance) {
+        if (instance.failureDomain().equals(failureDomain)) {
+            return SAME_DOMAIN_RTT_MS;
+        }
+        String region = regionByDomain.getOrDefault(instance.failureDomain(), "");
+        boolean sameRegion = region.equals(regionByDomain.getOrDefault(failureDomain, "-"));
+        return sameRegion ? SAME_REGION_RTT_MS : OTHER_REGION_RTT_MS;
+    }
+
+    InstanceConnectionPool pool(DatabaseInstance instance) {
+        return pools.computeIfAbsent(
+                instance.instanceId(),
+                id -> new InstanceConnectionPool(
+                        instance, connectionLimit(instance), view.proxyCount(), connector, clock, events, this::retry));
+    }
+
+    /** This proxy's share of the connections that a database accepts from all proxies. */
+    private int connectionLimit(DatabaseInstance instance) {
+        int maxConnections = view.configuration()
+                .service(instance.service())
+                .map(RoutedService::maxConnections)
+                .orElse(0);
+        return Math.max(1, (maxConnections - RESERVED_CONNECTIONS) / Math.max(1, view.proxyCount()));
+    }
+
+    private void scheduleCheck() {
+        if (!checkScheduled) {
+            checkScheduled = true;
+            checkScheduledAtMs = clock.millis();
+            executor.schedule(this::checkPools, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    private void checkPools() {
+        checkScheduled = false;
+        boolean localPause = clock.millis() - checkScheduledAtMs > CHECK_INTERVAL_MS + LOCAL_PAUSE_THRESHOLD_MS;
+        List.copyOf(pools.values()).forEach(pool -> pool.check(localPause));
+        if (pools.values().stream().anyMatch(InstanceConnectionPool::needsCheck)) {
+            scheduleCheck();
+        }
+    }
+
+    private void park(Unit unit) {
+        unit.tried.clear();
+        unit.queueRefusal = null;
+        if (clock.millis() >= unit.startByMs) {
+            unit.refuse(unit.needsPrimary ? RefusalReason.NO_PRIMARY : RefusalReason.NO_RECENT_POSITION);
+            return;
+        }
+        unit.attempts = 0;
+        parked.add(unit);
+        unit.cancellation = parked::remove;
+        if (!retryScheduled) {
+            retryScheduled = true;
+            executor.schedule(this::onRetryTimer, PARKED_RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    private void onRetryTimer() {
+        retryScheduled = false;
+        retryParked();
+    }
+
+    private void retryParked() {
+        List<Unit> waiting = List.copyOf(parked);
+        parked.clear();
+        waiting.forEach(unit -> unit.cancellation = null);
+        waiting.forEach(this::route);
+    }
+}
