--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/EngineHarness.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/EngineHarness.java
@@ -28,7 +28,7 @@
     static final String READ_YOUR_WRITES_ROUTE = "fieldsync";
 
     final ManualClock clock = new ManualClock();
-    final ManualClock timeOfDay = new ManualClock();
+    final ManualClock wallClock = new ManualClock();
     final ManualExecutor executor = new ManualExecutor(clock);
     final FakeDatabase primary = new FakeDatabase("p", 1, executor);
     final FakeDatabase nearReplica = new FakeDatabase("a", 2, executor);
@@ -50,7 +50,7 @@
                 Map.of("domain-1", "r", "domain-2", "r", "domain-3", "other"),
                 connector,
                 clock,
-                timeOfDay,
+                wallClock,
                 executor,
                 EventLog.NONE,
                 new PrometheusRegistry());
@@ -101,7 +101,7 @@
     }
 
     void run(long forMs) {
-        timeOfDay.advance(Duration.ofMillis(forMs));
+        wallClock.advance(Duration.ofMillis(forMs));
         executor.run(forMs);
     }
 
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
@@ -89,7 +89,7 @@
         assertThat(client.lastReply().isSuccess()).isTrue();
         harness.primary.reachable = false;
         harness.primary.resetConnections();
-        harness.timeOfDay.advance(Duration.ofSeconds(5));
+        harness.wallClock.advance(Duration.ofSeconds(5));
         client.send("r2", new Read("item"));
         harness.run(1_300);
 
