--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
@@ -51,7 +51,7 @@
     /** Idle sessions are closed in this many steps, so that clients do not reconnect all at once. */
     private static final int DRAIN_STEPS = 20;
 
-    /** Upper bound of reported ages; also reported for an event that has never occurred. */
+    /** Upper bound of the reported time since a proof of a primary; also reported if there was no proof. */
     private static final long MAX_REPORTED_AGE_MS = 3_600_000;
 
     private final Clock clock;
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
@@ -53,7 +53,7 @@
         assertThat(harness.primary.runs.get(0).transaction()).containsExactly("r1");
     }
 
-    /** The proxy has not received the view with the promotion yet: the demoted primary refuses the read, and nothing runs there. */
+    /** The proxy has not received the promotion yet: the demoted primary refuses the read, and nothing runs there. */
     @Test
     void aReadOfAPrimaryRouteNeverRunsOnADemotedPrimary() {
         harness.primary.primary = false;
@@ -292,8 +292,8 @@
     void aQueuedStatementIsNotSentAfterItsClientDisconnects() {
         harness.loadConfiguration(2, 28, 90);
         harness.primary.workMs = 100;
-        Client leaving = harness.open(EngineHarness.PRIMARY_ROUTE).send("b", new Begin(false));
-        leaving.send("s1", new Read("item"));
+        Client disconnecting = harness.open(EngineHarness.PRIMARY_ROUTE).send("b", new Begin(false));
+        disconnecting.send("s1", new Read("item"));
         harness.run(150);
         harness.loadConfiguration(3, 280, 6);
         List<Client> busy = List.of(
@@ -301,9 +301,9 @@
                 harness.open(EngineHarness.PRIMARY_ROUTE).send("w2", new Write("item", "1")),
                 harness.open(EngineHarness.PRIMARY_ROUTE).send("w3", new Write("item", "1")));
         harness.run(10);
-        leaving.send("s2", new Read("item"));
+        disconnecting.send("s2", new Read("item"));
         harness.run(10);
-        leaving.session.orElseThrow().onClosed();
+        disconnecting.session.orElseThrow().onClosed();
         harness.run(500);
 
         busy.forEach(client -> assertThat(client.lastReply().isSuccess()).isTrue());
