--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientSession.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientSession.java
@@ -47,10 +47,10 @@
     private boolean closed;
     private long idleSinceMs;
 
-    ClientSession(SessionContext context, String database, ClientConnection port) {
+    ClientSession(SessionContext context, String database, ClientConnection client) {
         this.context = context;
         this.database = database;
-        this.client = port;
+        this.client = client;
         this.idleSinceMs = context.nowMs();
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionLease.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionLease.java
@@ -10,9 +10,9 @@
     private boolean released;
     private boolean retryable;
 
-    ConnectionLease(InstanceLink link, long ticket, PooledConnection connection) {
+    ConnectionLease(InstanceLink link, long slotRequestId, PooledConnection connection) {
         this.link = link;
-        this.slotRequestId = ticket;
+        this.slotRequestId = slotRequestId;
         this.connection = connection;
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionRequest.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionRequest.java
@@ -49,20 +49,20 @@
             String requestId,
             Route route,
             boolean needsPrimary,
-            LogPosition floor,
+            LogPosition minPosition,
             Map<String, String> values,
             long arrivedMs,
-            long startByMs,
-            Listener owner) {
+            long startDeadlineMs,
+            Listener listener) {
         this.id = id;
         this.requestId = requestId;
         this.route = route;
         this.needsPrimary = needsPrimary;
-        this.minPosition = floor;
+        this.minPosition = minPosition;
         this.values = values;
         this.arrivedMs = arrivedMs;
-        this.startDeadlineMs = startByMs;
-        this.listener = owner;
+        this.startDeadlineMs = startDeadlineMs;
+        this.listener = listener;
     }
 
     String rank() {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
@@ -185,8 +185,8 @@
      * The health of a primary as observed by this proxy.
      *
      * @param instanceId the instance that is the primary according to the view
-     * @param sinceProofMs time since the instance last proved to be the primary
-     * @param oldestWriteMs age of the oldest write without a response; 0 if there is none
+     * @param sinceLastProofMs time since the instance last proved to be the primary
+     * @param oldestPendingWriteMs age of the oldest write without a response; 0 if there is none
      * @param unreachableMs how long attempts to reach the instance have failed; 0 if the last one succeeded
      */
     public record PrimaryHealth(
