--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientSession.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientSession.java
@@ -17,86 +17,88 @@
 import org.hornbeamspread.core.sql.TransactionState;
 
 /**
- * One client's session. Values and prepared names live here and are laid on whichever connection runs the next statement;
- * requests are handled one at a time. Used on the engine's thread.
+ * A client's session. It holds the session values and the prepared statements, which are restored on the connection that runs
+ * the next statement. Requests are handled one at a time. Confined to the engine's thread.
  */
 public final class ClientSession {
-    /** Requests sent ahead of their answers; more close the session. */
+    /** Limit of pipelined requests without a response; a client that exceeds it is disconnected. */
     private static final int MAX_PENDING_REQUESTS = 1_024;
 
     private final SessionContext context;
     private final String database;
-    private final ClientPort port;
+    private final ClientConnection client;
     private final Map<String, String> values = new TreeMap<>();
     private final Map<String, PreparedDefinition> prepared = new HashMap<>();
-    private final Map<String, LogPosition> floors = new HashMap<>();
-    private final Deque<SqlRequest> pending = new ArrayDeque<>();
+    /** The position of the session's last commit by service, which read-your-writes reads require. */
+    private final Map<String, LogPosition> minPositions = new HashMap<>();
+
+    private final Deque<SqlRequest> pendingRequests = new ArrayDeque<>();
     private TransactionState state = TransactionState.IDLE;
 
-    /** Present from BEGIN to the transaction's end, and until then in state FAILED too. */
+    /** Present from BEGIN until the end of the transaction, also while the state is FAILED. */
     private Optional<SessionTransaction> transaction = Optional.empty();
 
-    /** Why the transaction was ended from this side, until the client has been told. */
+    /** Why the proxy aborted the transaction; present until the client has received the error. */
     private Optional<String> abortReason = Optional.empty();
 
-    private Optional<Operation> current = Optional.empty();
-    private ScheduledFuture<?> timer;
+    private Optional<SessionOperation> currentOperation = Optional.empty();
+    private ScheduledFuture<?> statementTimer;
     private boolean closeWhenIdle;
     private boolean closed;
     private long idleSinceMs;
 
-    ClientSession(SessionContext context, String database, ClientPort port) {
+    ClientSession(SessionContext context, String database, ClientConnection client) {
         this.context = context;
         this.database = database;
-        this.port = port;
+        this.client = client;
         this.idleSinceMs = context.nowMs();
     }
 
-    /** A request of the client. */
+    /** Handles a request, or queues it behind the requests before it. */
     public void onRequest(SqlRequest request) {
         if (closed) {
             return;
         }
-        if (pending.size() >= MAX_PENDING_REQUESTS) {
-            port.refuse(SqlError.TOO_LARGE, "too many requests without an answer");
+        if (pendingRequests.size() >= MAX_PENDING_REQUESTS) {
+            client.refuse(SqlError.TOO_LARGE, "too many requests without a response");
             onClosed();
             return;
         }
-        pending.add(request);
-        next();
+        pendingRequests.add(request);
+        handlePendingRequests();
     }
 
-    /** A request that can't be understood. */
+    /** Handles a request that could not be parsed; the error response keeps its place in the order of the requests. */
     public void onMalformed(String detail) {
         onRequest(new SqlRequest("", Optional.empty(), new SqlStatement.Status()));
         context.events().record("request_malformed", "database", database, "detail", detail);
     }
 
-    /** The client's connection has ended. */
+    /** Rolls back an open transaction and releases the session after the client's connection has closed. */
     public void onClosed() {
         if (closed) {
             return;
         }
         closed = true;
-        stopTimer();
-        current.ifPresent(Operation::abandon);
+        cancelStatementTimer();
+        currentOperation.ifPresent(SessionOperation::onClientDisconnected);
         transaction.ifPresent(SessionTransaction::rollBack);
         transaction = Optional.empty();
-        context.forget(this);
+        context.removeSession(this);
     }
 
-    /** Ends the session as soon as it stands outside of a transaction and waits for nothing. */
+    /** Closes the session as soon as no transaction is open and no request is pending. */
     void closeWhenIdle() {
         closeWhenIdle = true;
-        closeIfDue();
+        closeIfIdle();
     }
 
-    /** Rolls an open transaction back; the client is told with its next request. */
+    /** Rolls back an open transaction; the client receives the error as the response to its next request. */
     void abortTransaction(String reason) {
         if (state == TransactionState.OPEN && abortReason.isEmpty()) {
             abortReason = Optional.of(reason);
             context.events().record("transaction_aborted", "database", database, "reason", reason);
-            if (current.isEmpty()) {
+            if (currentOperation.isEmpty()) {
                 transaction.ifPresent(SessionTransaction::rollBack);
             } else {
                 transaction.ifPresent(SessionTransaction::discard);
@@ -104,9 +106,9 @@
         }
     }
 
-    /** How long the session has had an open transaction without a request; 0 when it has none. */
+    /** How long an open transaction has been idle; 0 if no transaction is open or a request is running. */
     long idleInTransactionMs() {
-        boolean idle = state == TransactionState.OPEN && current.isEmpty();
+        boolean idle = state == TransactionState.OPEN && currentOperation.isEmpty();
         return idle ? context.nowMs() - idleSinceMs : 0;
     }
 
@@ -114,48 +116,51 @@
         return values;
     }
 
-    LogPosition floor(String service) {
-        return floors.getOrDefault(service, LogPosition.NONE);
+    LogPosition minPosition(String service) {
+        return minPositions.getOrDefault(service, LogPosition.NONE);
     }
 
-    void raiseFloor(String service, LogPosition position) {
-        floors.merge(service, position, LogPosition::max);
+    void raiseMinPosition(String service, LogPosition position) {
+        minPositions.merge(service, position, LogPosition::max);
     }
 
-    /** The operation's answer. */
-    void finish(Operation operation, SqlResult result) {
-        if (closed || current.filter(operation::equals).isEmpty()) {
+    /** Sends the result of an operation to the client; ignored if the operation is no longer the current one. */
+    void complete(SessionOperation operation, SqlResult result) {
+        if (closed || currentOperation.filter(operation::equals).isEmpty()) {
             return;
         }
-        current = Optional.empty();
-        stopTimer();
+        currentOperation = Optional.empty();
+        cancelStatementTimer();
         reply(result);
     }
 
-    private void next() {
-        while (current.isEmpty() && !closed) {
-            SqlRequest request = pending.poll();
+    private void handlePendingRequests() {
+        while (currentOperation.isEmpty() && !closed) {
+            SqlRequest request = pendingRequests.poll();
             if (request == null) {
                 return;
             }
-            handle(request);
+            handleRequest(request);
         }
     }
 
-    private void handle(SqlRequest request) {
+    private void handleRequest(SqlRequest request) {
         SqlStatement statement = request.statement();
         if (abortReason.isPresent()) {
             String reason = abortReason.get();
             abortReason = Optional.empty();
-            boolean ends = statement instanceof SqlStatement.Commit || statement instanceof SqlStatement.Rollback;
+            boolean endsTransaction =
+                    statement instanceof SqlStatement.Commit || statement instanceof SqlStatement.Rollback;
             endTransaction();
             reply(
                     statement instanceof SqlStatement.Rollback
                             ? SqlResult.success(TransactionState.IDLE)
                             : SqlResult.failure(
-                                    SqlError.ABORTED, reason, ends ? TransactionState.IDLE : TransactionState.FAILED));
+                                    SqlError.ABORTED,
+                                    reason,
+                                    endsTransaction ? TransactionState.IDLE : TransactionState.FAILED));
         } else if (state == TransactionState.FAILED) {
-            handleFailed(statement);
+            handleInFailedTransaction(statement);
         } else if (statement instanceof SqlStatement.Begin begin) {
             begin(begin);
         } else if (statement instanceof SqlStatement.Rollback) {
@@ -174,7 +179,7 @@
         }
     }
 
-    private void handleFailed(SqlStatement statement) {
+    private void handleInFailedTransaction(SqlStatement statement) {
         if (statement instanceof SqlStatement.Rollback) {
             endTransaction();
             reply(SqlResult.success(TransactionState.IDLE));
@@ -200,7 +205,7 @@
 
     private void rollBack() {
         if (state == TransactionState.IDLE) {
-            reply(SqlResult.failure(SqlError.MALFORMED, "no transaction", state));
+            reply(SqlResult.failure(SqlError.MALFORMED, "no transaction is open", state));
             return;
         }
         endTransaction();
@@ -215,11 +220,11 @@
 
     private void handleForwarded(SqlRequest request) {
         Optional<ForwardedStatement> forwarded = ForwardedStatement.of(request, prepared);
-        boolean commitOutside = request.statement() instanceof SqlStatement.Commit && transaction.isEmpty();
-        if (forwarded.isEmpty() || commitOutside) {
-            boolean unknownName = request.statement() instanceof SqlStatement.Execute;
-            SqlError error = unknownName ? SqlError.UNKNOWN_PREPARED : SqlError.MALFORMED;
-            reply(SqlResult.failure(error, "", failedState()));
+        boolean commitWithoutTransaction = request.statement() instanceof SqlStatement.Commit && transaction.isEmpty();
+        if (forwarded.isEmpty() || commitWithoutTransaction) {
+            boolean isExecute = request.statement() instanceof SqlStatement.Execute;
+            SqlError error = isExecute ? SqlError.UNKNOWN_PREPARED : SqlError.MALFORMED;
+            reply(SqlResult.failure(error, "", stateAfterError()));
             return;
         }
         Optional<Route> route = transaction
@@ -229,15 +234,15 @@
             reply(SqlResult.failure(SqlError.UNKNOWN_DATABASE, database, state));
             return;
         }
-        Operation operation = transaction.isPresent()
+        SessionOperation operation = transaction.isPresent()
                 ? transaction.get().operation(forwarded.get())
-                : new SingleStatement(context, this, route.get(), forwarded.get());
-        current = Optional.of(operation);
-        timer = context.schedule(operation::onTimeout, route.get().statementTimeoutMs());
+                : new AutocommitStatement(context, this, route.get(), forwarded.get());
+        currentOperation = Optional.of(operation);
+        statementTimer = context.schedule(operation::onTimeout, route.get().statementTimeoutMs());
         operation.start();
     }
 
-    private TransactionState failedState() {
+    private TransactionState stateAfterError() {
         return state == TransactionState.IDLE ? TransactionState.IDLE : TransactionState.FAILED;
     }
 
@@ -247,22 +252,26 @@
             transaction = Optional.empty();
         }
         idleSinceMs = context.nowMs();
-        port.reply(result);
-        closeIfDue();
-        next();
+        client.reply(result);
+        closeIfIdle();
+        handlePendingRequests();
     }
 
-    private void closeIfDue() {
-        if (closeWhenIdle && !closed && state == TransactionState.IDLE && current.isEmpty() && pending.isEmpty()) {
-            port.close();
+    private void closeIfIdle() {
+        if (closeWhenIdle
+                && !closed
+                && state == TransactionState.IDLE
+                && currentOperation.isEmpty()
+                && pendingRequests.isEmpty()) {
+            client.close();
             onClosed();
         }
     }
 
-    private void stopTimer() {
-        if (timer != null) {
-            timer.cancel(false);
-            timer = null;
+    private void cancelStatementTimer() {
+        if (statementTimer != null) {
+            statementTimer.cancel(false);
+            statementTimer = null;
         }
     }
 }
--- /dev/null
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionLease.java
@@ -0,0 +1,56 @@
+package org.hornbeamspread.proxy.session;
+
+import org.hornbeamspread.core.route.DatabaseInstance;
+
+/** Exclusive use of a pooled connection by one statement or one transaction. */
+final class ConnectionLease {
+    private final InstanceConnectionPool link;
+    private final long slotRequestId;
+    private final PooledConnection connection;
+    private boolean released;
+    private boolean retryable;
+
+    ConnectionLease(InstanceConnectionPool link, long slotRequestId, PooledConnection connection) {
+        this.link = link;
+        this.slotRequestId = slotRequestId;
+        this.connection = connection;
+    }
+
+    InstanceConnectionPool link() {
+        return link;
+    }
+
+    DatabaseInstance instance() {
+        return link.instance();
+    }
+
+    PooledConnection connection() {
+        return connection;
+    }
+
+    /** Sets whether the statement that runs on the connection may be retried on another instance. */
+    void setRetryable(boolean mayBeRetried) {
+        retryable = mayBeRetried;
+    }
+
+    boolean isRetryable() {
+        return retryable;
+    }
+
+    /** Returns the connection to the pool. No transaction may be open and no response outstanding. */
+    void release() {
+        returnConnection(true);
+    }
+
+    /** Closes the connection, which rolls back an open transaction. */
+    void discard() {
+        returnConnection(false);
+    }
+
+    private void returnConnection(boolean reusable) {
+        if (!released) {
+            released = true;
+            link.release(slotRequestId, connection, reusable);
+        }
+    }
+}
--- /dev/null
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionRequest.java
@@ -0,0 +1,86 @@
+package org.hornbeamspread.proxy.session;
+
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.hornbeamspread.core.misc.LogPosition;
+import org.hornbeamspread.core.route.Route;
+
+/** A request of a statement or a transaction for a connection to a database instance. */
+final class ConnectionRequest {
+    /** Receives the outcome of a connection request. */
+    interface Listener {
+        /** A connection has been leased. */
+        void onLease(ConnectionLease lease);
+
+        /** The request was refused; nothing ran on a database. */
+        void onRefused(RefusalReason reason);
+    }
+
+    final long id;
+    final String requestId;
+    final Route route;
+    final boolean needsPrimary;
+    final LogPosition minPosition;
+    final Map<String, String> values;
+    final long arrivedMs;
+    final long startDeadlineMs;
+    final Listener listener;
+
+    /** Instances on which the request has already failed. */
+    final Set<String> triedInstanceIds = new HashSet<>();
+
+    /** Position that the database's log must contain; absent if the request runs on a proven primary instead. */
+    Optional<LogPosition> requiredPosition = Optional.empty();
+
+    /** Why the last instance with a full queue or too long a wait refused the request; null if none did. */
+    RefusalReason lastQueueRefusal;
+
+    int attempts;
+    boolean ended;
+
+    /** Removes the request from the queue in which it waits; null while it waits in none. */
+    Consumer<ConnectionRequest> cancelHandler;
+
+    ConnectionRequest(
+            long id,
+            String requestId,
+            Route route,
+            boolean needsPrimary,
+            LogPosition minPosition,
+            Map<String, String> values,
+            long arrivedMs,
+            long startDeadlineMs,
+            Listener listener) {
+        this.id = id;
+        this.requestId = requestId;
+        this.route = route;
+        this.needsPrimary = needsPrimary;
+        this.minPosition = minPosition;
+        this.values = values;
+        this.arrivedMs = arrivedMs;
+        this.startDeadlineMs = startDeadlineMs;
+        this.listener = listener;
+    }
+
+    String rank() {
+        return PriorityRanks.rankName(route.priority());
+    }
+
+    void refuse(RefusalReason reason) {
+        if (!ended) {
+            ended = true;
+            listener.onRefused(reason);
+        }
+    }
+
+    /** Cancels the request, and removes it from its queue. */
+    void cancel() {
+        ended = true;
+        if (cancelHandler != null) {
+            cancelHandler.accept(this);
+        }
+    }
+}
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnectionPool.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnectionPool.java
@@ -31,17 +31,17 @@
 
     private final DatabaseInstance instance;
     private final Clock clock;
-    private final BiConsumer<Unit, RetryReason> reroute;
+    private final BiConsumer<ConnectionRequest, RetryReason> reroute;
     private final InstanceConnections connections;
 
     /** Queued units by ticket. A unit gets a new ticket each time it joins the queue of this pool. */
-    private final Map<Long, Unit> waitingUnits = new LinkedHashMap<>();
+    private final Map<Long, ConnectionRequest> waitingUnits = new LinkedHashMap<>();
 
     /** Units for which a connection is being opened, by ticket. */
-    private final Map<Long, Unit> connectingUnits = new LinkedHashMap<>();
+    private final Map<Long, ConnectionRequest> connectingUnits = new LinkedHashMap<>();
 
     private final Map<Long, SlotRequest> runningRequests = new HashMap<>();
-    private final Map<Long, Lease> leases = new HashMap<>();
+    private final Map<Long, ConnectionLease> leases = new HashMap<>();
     private final StatementLimiter limiter;
     private final RankScheduler scheduler;
     private long nextTicket;
@@ -62,7 +62,7 @@
             SqlConnector connector,
             Clock clock,
             EventLog events,
-            BiConsumer<Unit, RetryReason> reroute) {
+            BiConsumer<ConnectionRequest, RetryReason> reroute) {
         this.instance = instance;
         this.clock = clock;
         this.reroute = reroute;
@@ -145,7 +145,9 @@
     void onSilenceTimeout() {
         connections.onSilenceTimeout();
         rerouteWaiting();
-        List.copyOf(leases.values()).stream().filter(Lease::isRepeatable).forEach(Lease::discard);
+        List.copyOf(leases.values()).stream()
+                .filter(ConnectionLease::isRetryable)
+                .forEach(ConnectionLease::discard);
     }
 
     /** Applies new limits. Running units keep their connections. */
@@ -161,7 +163,7 @@
     }
 
     /** Queues a unit. A unit that cannot start in time is refused or rerouted at once. */
-    void acquire(Unit unit) {
+    void acquire(ConnectionRequest unit) {
         enqueue(unit);
         startNext();
     }
@@ -195,13 +197,13 @@
         }
     }
 
-    private void enqueue(Unit unit) {
+    private void enqueue(ConnectionRequest unit) {
         long ticket = nextTicket++;
         SlotRequest request = new SlotRequest(
                 ticket,
                 unit.rank(),
                 clock.instant(),
-                Instant.ofEpochMilli(Math.max(unit.startByMs, clock.millis() + 1)));
+                Instant.ofEpochMilli(Math.max(unit.startDeadlineMs, clock.millis() + 1)));
         Optional<FailureException> refusal = scheduler.offer(request);
         if (refusal.isPresent()) {
             boolean full = refusal.get().type() == FailureType.QUEUE_FULL;
@@ -209,28 +211,28 @@
             return;
         }
         waitingUnits.put(ticket, unit);
-        unit.cancellation = cancelled -> {
+        unit.cancelHandler = cancelled -> {
             waitingUnits.remove(ticket);
             scheduler.cancel(request);
         };
     }
 
     /** Reroutes a read, since another instance may have capacity; refuses a unit that only the primary can run. */
-    private void refuseOrReroute(Unit unit, RefusalReason reason) {
+    private void refuseOrReroute(ConnectionRequest unit, RefusalReason reason) {
         if (unit.needsPrimary) {
             unit.refuse(reason);
             return;
         }
-        unit.tried.add(instance.instanceId());
-        unit.queueRefusal = reason;
+        unit.triedInstanceIds.add(instance.instanceId());
+        unit.lastQueueRefusal = reason;
         reroute.accept(unit, RetryReason.WAIT_TOO_LONG);
     }
 
     private void removeExpired() {
         for (SlotRequest expired : scheduler.removeExpired(clock.instant())) {
-            Unit unit = waitingUnits.remove(expired.requestId());
+            ConnectionRequest unit = waitingUnits.remove(expired.requestId());
             if (unit != null) {
-                unit.cancellation = null;
+                unit.cancelHandler = null;
                 refuseOrReroute(unit, RefusalReason.WAIT_TOO_LONG);
             }
         }
@@ -242,18 +244,18 @@
             if (next.isEmpty()) {
                 return;
             }
-            Unit unit = waitingUnits.remove(next.get().requestId());
+            ConnectionRequest unit = waitingUnits.remove(next.get().requestId());
             if (unit == null || unit.ended) {
                 scheduler.complete(next.get(), clock.instant());
                 continue;
             }
-            unit.cancellation = null;
+            unit.cancelHandler = null;
             runningRequests.put(next.get().requestId(), next.get());
             startUnit(next.get().requestId(), unit);
         }
     }
 
-    private void startUnit(long ticket, Unit unit) {
+    private void startUnit(long ticket, ConnectionRequest unit) {
         PooledConnection connection = connections.takeIdle(unit.values);
         if (connection != null) {
             grant(ticket, unit, connection);
@@ -263,18 +265,18 @@
         connections.open((opened, error) -> onConnected(ticket, opened, error));
     }
 
-    private void grant(long ticket, Unit unit, PooledConnection connection) {
-        Lease lease = new Lease(this, ticket, connection);
+    private void grant(long ticket, ConnectionRequest unit, PooledConnection connection) {
+        ConnectionLease lease = new ConnectionLease(this, ticket, connection);
         leases.put(ticket, lease);
         if (unit.ended) {
             lease.release();
         } else {
-            unit.owner.onLease(lease);
+            unit.listener.onLease(lease);
         }
     }
 
     private void onConnected(long ticket, PooledConnection opened, Throwable error) {
-        Unit unit = connectingUnits.remove(ticket);
+        ConnectionRequest unit = connectingUnits.remove(ticket);
         if (error == null && unit != null) {
             scheduler.resize(connections.usableConnections());
             grant(ticket, unit, opened);
@@ -287,7 +289,7 @@
         scheduler.resize(connections.usableConnections());
         if (error != null && unit != null) {
             if (!isReachable()) {
-                unit.tried.add(instance.instanceId());
+                unit.triedInstanceIds.add(instance.instanceId());
             }
             reroute.accept(unit, RetryReason.CONNECT_FAILED);
         }
@@ -300,16 +302,16 @@
 
     /** Reroutes all units that are queued or for which a connection is being opened. */
     private void rerouteWaiting() {
-        List<Unit> rerouted = new ArrayList<>(connectingUnits.values());
+        List<ConnectionRequest> rerouted = new ArrayList<>(connectingUnits.values());
         connectingUnits.clear();
-        List<Unit> queued = List.copyOf(waitingUnits.values());
+        List<ConnectionRequest> queued = List.copyOf(waitingUnits.values());
         queued.forEach(unit -> {
-            unit.cancellation.accept(unit);
-            unit.cancellation = null;
+            unit.cancelHandler.accept(unit);
+            unit.cancelHandler = null;
         });
         rerouted.addAll(queued);
         rerouted.forEach(unit -> {
-            unit.tried.add(instance.instanceId());
+            unit.triedInstanceIds.add(instance.instanceId());
             reroute.accept(unit, RetryReason.CONNECT_FAILED);
         });
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
@@ -25,199 +25,211 @@
 import org.hornbeamspread.core.sql.SqlStatement;
 
 /**
- * The sessions of one proxy. Everything runs on the one thread of the executor: a statement touches sessions, queues and pools
- * in turn, and handing it from thread to thread would cost more than it takes. Other threads call through the executor.
+ * The sessions of one proxy. All code runs on the single thread of the executor: a statement uses sessions, queues and pools in
+ * turn, and a handover between threads would cost more than the work itself. Other threads call through the executor.
  */
 public final class SessionEngine {
-    /** Below the two seconds that clients wait for a session to open. */
-    private static final long OPEN_LIMIT_MS = 1_500;
+    /** Shorter than the two seconds for which clients wait for a session to open. */
+    private static final long OPEN_TIMEOUT_MS = 1_500;
 
     private static final long OPEN_RETRY_MS = 50;
 
-    /** Twenty round trips between regions: the question takes no slot. */
-    private static final long PROBE_LIMIT_MS = 400;
+    /** Twenty round trips between regions. No queueing is included, since a probe takes no slot of the database. */
+    private static final long PROBE_TIMEOUT_MS = 400;
 
-    private static final long SWEEP_MS = 500;
+    private static final long SWEEP_INTERVAL_MS = 500;
 
-    /** Two attempts to connect, and a round of all control members. */
-    private static final long ISOLATED_MS = 1_200;
+    /** Covers two connection attempts and one round of requests to all control members. */
+    private static final long ISOLATION_THRESHOLD_MS = 1_200;
 
-    /** The part of the grace that open transactions have to end. */
-    private static final double TRANSACTION_GRACE_PART = 0.5;
+    /** Fraction of the grace period of a drain after which open transactions are aborted. */
+    private static final double TRANSACTION_GRACE_FRACTION = 0.5;
 
-    /** The balancer stops sending new connections after two missed answers, a second apart. */
-    private static final long BALANCER_NOTICE_MS = 2_200;
+    /** The load balancer stops routing new connections here after two failed health checks, one second apart. */
+    private static final long LOAD_BALANCER_DETECTION_MS = 2_200;
 
-    /** Idle sessions are closed in this many steps, so that they do not return all at once. */
-    private static final int CLOSING_STEPS = 20;
+    /** Idle sessions are closed in this many steps, so that clients do not reconnect all at once. */
+    private static final int DRAIN_STEPS = 20;
 
-    /** Stands for never. */
-    private static final long FAR_PAST_MS = 3_600_000;
+    /** Upper bound of the reported time since a proof of a primary; also reported if there was no proof. */
+    private static final long MAX_REPORTED_AGE_MS = 3_600_000;
 
     private final Clock clock;
-    private final ClockJumpDetector guard;
-    private final ScheduledExecutorService loop;
+    private final ClockJumpDetector clockJumpDetector;
+    private final ScheduledExecutorService executor;
     private final EventLog events;
     private final StatementRouter placement;
     private final SessionContext context;
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
     private boolean draining;
 
-    /** Since when control has not been heard; 0 while it is. */
-    private long controlLostMs;
+    /** When control became unreachable; 0 while control is reachable. */
+    private long controlLostSinceMs;
 
-    /** Since when this proxy takes itself for isolated; 0 while it does not. */
+    /** When this proxy was first found to be isolated; 0 while it is not. */
     private long isolatedSinceMs;
 
-    /** Until when sessions that come while this proxy drains are accepted. */
+    /** While draining: the time until which new sessions are still accepted. */
     private long acceptUntilMs;
 
     /**
-     * An engine without sessions.
+     * Creates an engine without sessions.
      *
-     * @param failureDomain of this proxy
+     * @param failureDomain the failure domain of this proxy
      * @param regionByDomain the region of each failure domain
-     * @param clock a steady clock
-     * @param timeOfDay the wall clock, used only to notice that the steady one stood still
-     * @param loop runs everything, on one thread
+     * @param clock a monotonic clock
+     * @param wallClock used only to detect that the monotonic clock stood still
+     * @param executor runs all work of the engine on one thread
      */
     public SessionEngine(
             String failureDomain,
             Map<String, String> regionByDomain,
             SqlConnector connector,
             Clock clock,
-            Clock timeOfDay,
-            ScheduledExecutorService loop,
+            Clock wallClock,
+            ScheduledExecutorService executor,
             EventLog events,
             PrometheusRegistry registry) {
         this.clock = clock;
-        this.guard = new ClockJumpDetector(clock, timeOfDay);
-        this.loop = loop;
+        this.clockJumpDetector = new ClockJumpDetector(clock, wallClock);
+        this.executor = executor;
         this.events = events;
         SessionMetrics metrics = new SessionMetrics(registry);
-        this.placement =
-                new StatementRouter(failureDomain, regionByDomain, connector, clock, guard, loop, events, metrics);
-        this.context = new SessionContext(placement, clock, guard, loop, events, metrics, sessions::remove);
+        this.placement = new StatementRouter(
+                failureDomain, regionByDomain, connector, clock, clockJumpDetector, executor, events, metrics);
+        this.context =
+                new SessionContext(placement, clock, clockJumpDetector, executor, events, metrics, sessions::remove);
         GaugeWithCallback.builder()
                 .name("hornbeamspread_sessions")
                 .help("Open sessions")
                 .callback(gauge -> gauge.call(sessions.size()))
                 .register(registry);
-        placement.setPrimaryProbe(this::probe);
-        loop.schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+        placement.setPrimaryProbe(this::probePrimaryPosition);
+        executor.schedule(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** What opening a session came to; called once, on the engine's thread. */
+    /** Receives an opened session; called at most once for each request to open one, on the engine's thread. */
     public interface OpenListener {
         /** The session is open. */
         void onOpen(ClientSession session);
     }
 
-    /** Opens a session on a database name, and waits a little for a configuration if there is none yet. */
-    public void open(String database, ClientPort port, OpenListener listener) {
-        open(database, port, listener, clock.millis() + OPEN_LIMIT_MS);
+    /**
+     * Opens a session on a database name. Without a configuration, waits for the first one until {@link #OPEN_TIMEOUT_MS} and
+     * then refuses the session.
+     */
+    public void open(String database, ClientConnection client, OpenListener listener) {
+        open(database, client, listener, clock.millis() + OPEN_TIMEOUT_MS);
     }
 
-    /** Whether this proxy can serve. */
+    /** Whether this proxy can serve sessions. */
     public boolean isReady() {
         return placement.view().isLoaded() && !draining && !isIsolated();
     }
 
-    /** Control is heard, or has not been heard since a time. */
-    public void onControlHeard(boolean heard) {
-        placement.onControlReachable(heard);
-        if (heard) {
-            controlLostMs = 0;
-        } else if (controlLostMs == 0) {
-            controlLostMs = clock.millis();
+    /** Updates whether control is reachable. */
+    public void onControlReachability(boolean reachable) {
+        placement.onControlReachable(reachable);
+        if (reachable) {
+            controlLostSinceMs = 0;
+        } else if (controlLostSinceMs == 0) {
+            controlLostSinceMs = clock.millis();
         }
     }
 
     /**
-     * Whether neither control nor some primary is in reach: the fault is likely on this side, and others can serve. Without
-     * control alone a proxy goes on with what it knows.
+     * Whether control has been unreachable, and the primary of some service unreachable or unknown, for longer than {@link
+     * #ISOLATION_THRESHOLD_MS}. The fault is then likely on the side of this proxy, and other proxies can serve. While only
+     * control is unreachable, the proxy continues to serve with its last view.
      */
     private boolean isIsolated() {
-        boolean unheard = controlLostMs > 0 && clock.millis() - controlLostMs > ISOLATED_MS;
-        return unheard && placement.lacksPrimary(ISOLATED_MS);
+        boolean controlLost = controlLostSinceMs > 0 && clock.millis() - controlLostSinceMs > ISOLATION_THRESHOLD_MS;
+        return controlLost && placement.lacksPrimary(ISOLATION_THRESHOLD_MS);
     }
 
-    /** Takes a newer view over. */
+    /** Applies a newer view of the system. */
     public void onView(SystemView view) {
         placement.onView(view);
     }
 
-    /** The view in force. */
+    /** The current view of the system. */
     public SystemView view() {
         return placement.view();
     }
 
-    /** What this proxy has seen of each service's primary: the instance, since its last proof, the oldest write. */
-    public List<PrimarySighting> sightings() {
+    /** The health of each service's primary as observed by this proxy. */
+    public List<PrimaryHealth> primaryHealth() {
         long nowMs = clock.millis();
-        List<PrimarySighting> sightings = new ArrayList<>();
+        List<PrimaryHealth> primaries = new ArrayList<>();
         for (String service : services()) {
             ServiceState state = placement.serviceState(service);
             Optional<String> primaryId = placement.view().primary(service).map(DatabaseInstance::instanceId);
             if (primaryId.isPresent()) {
-                long provenMs =
-                        state.provenPrimaryId().equals(primaryId.get()) ? state.lastProofAtMs() : nowMs - FAR_PAST_MS;
+                long provenMs = state.provenPrimaryId().equals(primaryId.get())
+                        ? state.lastProofAtMs()
+                        : nowMs - MAX_REPORTED_AGE_MS;
                 long oldestMs = state.pendingWriteSentAtMs.values().stream()
                         .mapToLong(sentMs -> nowMs - sentMs)
                         .max()
                         .orElse(0);
-                sightings.add(new PrimarySighting(
+                primaries.add(new PrimaryHealth(
                         primaryId.get(),
-                        Math.min(FAR_PAST_MS, nowMs - provenMs),
+                        Math.min(MAX_REPORTED_AGE_MS, nowMs - provenMs),
                         oldestMs,
                         state.unreachableSinceMs() == 0 ? 0 : nowMs - state.unreachableSinceMs()));
             }
         }
-        return sightings;
+        return primaries;
     }
 
     /**
-     * What this proxy has seen of a primary.
+     * The health of a primary as observed by this proxy.
      *
-     * @param instanceId the instance that the view names as primary
-     * @param sinceProofMs since it last proved to lead
-     * @param oldestWriteMs age of the oldest write that waits for its answer; 0 for none
-     * @param unreachableMs for how long attempts to reach it have failed; 0 when the last one succeeded
+     * @param instanceId the instance that is the primary according to the view
+     * @param sinceLastProofMs time since the instance last proved to be the primary
+     * @param oldestPendingWriteMs age of the oldest write without a response; 0 if there is none
+     * @param unreachableMs how long attempts to reach the instance have failed; 0 if the last one succeeded
      */
-    public record PrimarySighting(String instanceId, long sinceProofMs, long oldestWriteMs, long unreachableMs) {}
+    public record PrimaryHealth(
+            String instanceId, long sinceLastProofMs, long oldestPendingWriteMs, long unreachableMs) {}
 
-    /** Whether reads wait for positions that this proxy can't ask for itself. */
-    public boolean wantsPositions() {
+    /** Whether reads wait for positions that this proxy cannot request from the primary itself. */
+    public boolean needsSharedPositions() {
         return placement.wantsPositions();
     }
 
-    /** The epoch of the steady clock. */
+    /** The epoch of the monotonic clock; ages are valid only within one epoch. */
     public long clockEpoch() {
-        return guard.epoch();
+        return clockJumpDetector.epoch();
     }
 
-    /** A position that control was told by a proven primary which it asked no earlier than the time given. */
-    public void onSharedPosition(String service, long askedMs, long askedEpoch, LogPosition position) {
-        placement.onSharedPosition(service, askedMs, askedEpoch, position);
+    /**
+     * Adds a position that control received from a proven primary.
+     *
+     * @param requestedAtMs lower bound of the time at which control sent its request
+     * @param requestEpoch the clock's epoch at that time
+     */
+    public void onSharedPosition(String service, long requestedAtMs, long requestEpoch, LogPosition position) {
+        placement.onSharedPosition(service, requestedAtMs, requestEpoch, position);
     }
 
     /**
-     * Ends all sessions. Until the balancer has noticed, everything goes on, since a client that is sent away would be sent
-     * back here. Then idle sessions are closed in steps, others as soon as they are idle, and open transactions by force after
-     * half of the grace.
+     * Closes all sessions. Until the load balancer has detected the drain, service continues unchanged, since a client whose
+     * session is closed would be routed back to this proxy. Then idle sessions are closed in steps, and the others as soon as
+     * they are idle. Open transactions are aborted after half of the grace period.
      */
     public void drain(long graceMs) {
         if (draining) {
             return;
         }
         draining = true;
-        acceptUntilMs = clock.millis() + Math.min(BALANCER_NOTICE_MS, graceMs / 2);
+        acceptUntilMs = clock.millis() + Math.min(LOAD_BALANCER_DETECTION_MS, graceMs / 2);
         events.record("drain_started", "sessions", sessions.size(), "grace_ms", graceMs);
-        long transactionMs = Math.round(graceMs * TRANSACTION_GRACE_PART);
-        long noticedMs = Math.min(BALANCER_NOTICE_MS, transactionMs);
-        long intervalMs = Math.max(1, (transactionMs - noticedMs) / CLOSING_STEPS);
-        loop.schedule(() -> closeStep(1, intervalMs), noticedMs, TimeUnit.MILLISECONDS);
-        loop.schedule(
+        long transactionMs = Math.round(graceMs * TRANSACTION_GRACE_FRACTION);
+        long firstStepMs = Math.min(LOAD_BALANCER_DETECTION_MS, transactionMs);
+        long intervalMs = Math.max(1, (transactionMs - firstStepMs) / DRAIN_STEPS);
+        executor.schedule(() -> drainStep(1, intervalMs), firstStepMs, TimeUnit.MILLISECONDS);
+        executor.schedule(
                 () -> List.copyOf(sessions).forEach(session -> {
                     session.abortTransaction("the proxy is shutting down");
                     session.closeWhenIdle();
@@ -226,56 +238,58 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Whether no session is left, and none may come. */
+    /** Whether no session is open and no new session is accepted any more. */
     public boolean isDrained() {
         return draining && sessions.isEmpty() && clock.millis() > acceptUntilMs;
     }
 
-    private void closeStep(int step, long intervalMs) {
+    private void drainStep(int step, long intervalMs) {
         List<ClientSession> open = List.copyOf(sessions);
-        int part = open.size() / (CLOSING_STEPS - Math.min(step, CLOSING_STEPS) + 1) + 1;
-        open.stream().limit(part).forEach(ClientSession::closeWhenIdle);
-        if (step < CLOSING_STEPS) {
-            loop.schedule(() -> closeStep(step + 1, intervalMs), intervalMs, TimeUnit.MILLISECONDS);
+        int count = open.size() / (DRAIN_STEPS - Math.min(step, DRAIN_STEPS) + 1) + 1;
+        open.stream().limit(count).forEach(ClientSession::closeWhenIdle);
+        if (step < DRAIN_STEPS) {
+            executor.schedule(() -> drainStep(step + 1, intervalMs), intervalMs, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void open(String database, ClientPort port, OpenListener listener, long untilMs) {
+    private void open(String database, ClientConnection client, OpenListener listener, long deadlineMs) {
         if (draining && clock.millis() > acceptUntilMs) {
-            refuse(database, port, SqlError.BUSY, RefusalReason.SHUTTING_DOWN);
+            refuse(database, client, SqlError.BUSY, RefusalReason.SHUTTING_DOWN);
         } else if (placement.view().route(database).isPresent()) {
-            ClientSession session = new ClientSession(context, database, port);
+            ClientSession session = new ClientSession(context, database, client);
             sessions.add(session);
             listener.onOpen(session);
-            port.accept();
+            client.accept();
         } else if (placement.view().isLoaded()) {
-            refuse(database, port, SqlError.UNKNOWN_DATABASE, RefusalReason.NO_ROUTE);
-        } else if (clock.millis() < untilMs) {
-            loop.schedule(() -> open(database, port, listener, untilMs), OPEN_RETRY_MS, TimeUnit.MILLISECONDS);
+            refuse(database, client, SqlError.UNKNOWN_DATABASE, RefusalReason.NO_ROUTE);
+        } else if (clock.millis() < deadlineMs) {
+            executor.schedule(() -> open(database, client, listener, deadlineMs), OPEN_RETRY_MS, TimeUnit.MILLISECONDS);
         } else {
-            refuse(database, port, SqlError.BUSY, RefusalReason.NO_CONFIGURATION);
+            refuse(database, client, SqlError.BUSY, RefusalReason.NO_CONFIGURATION);
         }
     }
 
-    private void refuse(String database, ClientPort port, SqlError error, RefusalReason reason) {
+    private void refuse(String database, ClientConnection client, SqlError error, RefusalReason reason) {
         context.onRefused(reason);
         long version = placement.view().configuration().version();
         events.record("session_refused", "database", database, "reason", reason, "configuration", version);
-        port.refuse(error, reason.name());
+        client.refuse(error, reason.name());
     }
 
-    /** Sends sessions away while this proxy is isolated, once the balancer sends them elsewhere. */
+    /** Closes idle sessions of an isolated proxy, once the load balancer routes new connections to other proxies. */
     private void checkIsolation() {
         if (!isIsolated()) {
             isolatedSinceMs = 0;
         } else if (isolatedSinceMs == 0) {
             isolatedSinceMs = clock.millis();
-            events.record("isolated", "control_lost_ms", clock.millis() - controlLostMs, "sessions", sessions.size());
-        } else if (clock.millis() - isolatedSinceMs > BALANCER_NOTICE_MS) {
+            events.record(
+                    "isolated", "control_lost_ms", clock.millis() - controlLostSinceMs, "sessions", sessions.size());
+        } else if (clock.millis() - isolatedSinceMs > LOAD_BALANCER_DETECTION_MS) {
             List.copyOf(sessions).forEach(ClientSession::closeWhenIdle);
         }
     }
 
+    /** Checks for isolation, and aborts transactions that have been idle for too long. */
     private void sweep() {
         checkIsolation();
         long limitMs = placement.view().configuration().idleTransactionMs();
@@ -286,7 +300,7 @@
                 }
             }
         }
-        loop.schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+        executor.schedule(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private List<String> services() {
@@ -296,29 +310,29 @@
                 .toList();
     }
 
-    /** Asks a service's primary for its position, unless such a question is under way. */
-    private void probe(String service) {
+    /** Requests the position of a service's primary, unless such a probe is in flight. */
+    private void probePrimaryPosition(String service) {
         ServiceState state = placement.serviceState(service);
         if (state.probing) {
             return;
         }
         state.probing = true;
-        Route route = new Route("position probe", "", service, RouteKind.PRIMARY, 0, OPEN_LIMIT_MS, 0, 0);
-        Unit unit = new Unit(
-                context.nextUnitId(),
+        Route route = new Route("position probe", "", service, RouteKind.PRIMARY, 0, OPEN_TIMEOUT_MS, 0, 0);
+        ConnectionRequest connectionRequest = new ConnectionRequest(
+                context.nextConnectionRequestId(),
                 SqlRequest.INTERNAL_ID,
                 route,
                 true,
                 LogPosition.NONE,
                 Map.of(),
                 clock.millis(),
-                clock.millis() + OPEN_LIMIT_MS,
+                clock.millis() + OPEN_TIMEOUT_MS,
                 new PositionProbe(state));
-        placement.route(unit);
+        placement.route(connectionRequest);
     }
 
-    /** Opens and ends a plain transaction at the primary, which tells its position. */
-    private final class PositionProbe implements Unit.Owner {
+    /** Begins and rolls back a read-write transaction on the primary, whose response to BEGIN contains its position. */
+    private final class PositionProbe implements ConnectionRequest.Listener {
         private final ServiceState state;
 
         PositionProbe(ServiceState state) {
@@ -332,14 +346,14 @@
         }
 
         @Override
-        public void onLease(Lease lease) {
-            long askedMs = clock.millis();
-            long askedEpoch = guard.epoch();
+        public void onLease(ConnectionLease lease) {
+            long requestedAtMs = clock.millis();
+            long requestEpoch = clockJumpDetector.epoch();
             List<CompletableFuture<SqlResult>> results = lease.connection()
                     .send(List.of(
                             SqlRequest.internal(new SqlStatement.Begin(false)),
                             SqlRequest.internal(new SqlStatement.Rollback())));
-            loop.schedule(
+            executor.schedule(
                     () -> {
                         if (!results.get(1).isDone()) {
                             lease.link().onSilenceTimeout();
@@ -347,7 +361,7 @@
                             lease.discard();
                         }
                     },
-                    PROBE_LIMIT_MS,
+                    PROBE_TIMEOUT_MS,
                     TimeUnit.MILLISECONDS);
             results.get(1).whenComplete((end, error) -> {
                 state.probing = false;
@@ -360,8 +374,8 @@
                     lease.release();
                     placement.onPrimaryProof(
                             lease.instance(),
-                            askedMs,
-                            askedEpoch,
+                            requestedAtMs,
+                            requestEpoch,
                             begun.position().orElse(LogPosition.NONE));
                 } else {
                     lease.discard();
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionMetrics.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionMetrics.java
@@ -6,18 +6,18 @@
 import org.hornbeamspread.core.route.Route;
 import org.hornbeamspread.core.sql.SqlResult;
 
-/** Counters of statements by outcome, and their times by rank. */
+/** Counters of statements by rank and outcome, and their durations by rank. */
 final class SessionMetrics {
-    private static final double[] BOUNDS_SECONDS = {0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 5};
+    private static final double[] BUCKET_BOUNDS_SECONDS = {0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 5};
     private static final double MILLIS_PER_SECOND = 1000;
 
-    /** One served statement of this many has a line in the log. */
-    private static final long SAMPLED_ONE_OF = 64;
+    /** One of this many successful statements is logged. */
+    private static final long SAMPLING_INTERVAL = 64;
 
     private final Counter answers;
     private final Counter refusals;
     private final Counter retries;
-    private final Histogram times;
+    private final Histogram durations;
     private long served;
 
     SessionMetrics(PrometheusRegistry registry) {
@@ -33,22 +33,22 @@
                 .register(registry);
         retries = Counter.builder()
                 .name("hornbeamspread_session_retries_total")
-                .help("Statements tried again, by reason")
+                .help("Statements retried, by reason")
                 .labelNames("reason")
                 .register(registry);
-        times = Histogram.builder()
+        durations = Histogram.builder()
                 .name("hornbeamspread_session_statement_seconds")
-                .help("Time from a statement's arrival to its answer, by rank")
+                .help("Time from the arrival of a statement to its response, by rank")
                 .labelNames("rank")
                 .classicOnly()
-                .classicUpperBounds(BOUNDS_SECONDS)
+                .classicUpperBounds(BUCKET_BOUNDS_SECONDS)
                 .register(registry);
     }
 
     void onAnswer(Route route, SqlResult result, long elapsedMs) {
         String rank = PriorityRanks.rankName(route.priority());
         answers.labelValues(rank, result.error().map(Enum::name).orElse("DONE")).inc();
-        times.labelValues(rank).observe(elapsedMs / MILLIS_PER_SECOND);
+        durations.labelValues(rank).observe(elapsedMs / MILLIS_PER_SECOND);
     }
 
     void onRefused(RefusalReason reason) {
@@ -59,7 +59,8 @@
         retries.labelValues(reason.name()).inc();
     }
 
-    boolean isSampled() {
-        return served++ % SAMPLED_ONE_OF == 0;
+    /** Whether the next successful statement is to be logged; advances the sampling counter. */
+    boolean sampleNext() {
+        return served++ % SAMPLING_INTERVAL == 0;
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionTransaction.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionTransaction.java
@@ -14,20 +14,20 @@
 import org.hornbeamspread.core.sql.TransactionState;
 
 /**
- * A client's transaction. It gets a connection with its first statement and keeps it to its end. Until COMMIT has been sent
- * nothing of it can be kept, so every failure before that is reported as aborted.
+ * A client's transaction. The first statement leases a connection, which the transaction holds until its end. Before COMMIT has
+ * been sent, no change of the transaction can be committed, so every earlier failure is reported as ABORTED.
  */
 final class SessionTransaction {
     private final SessionContext context;
     private final ClientSession session;
     private final Route route;
     private final boolean readOnly;
-    private Optional<Lease> lease = Optional.empty();
+    private Optional<ConnectionLease> lease = Optional.empty();
 
-    /** Whether the connection's transaction is open. */
+    /** Whether BEGIN has succeeded on the leased connection. */
     private boolean begun;
 
-    private boolean wrote;
+    private boolean hasWrites;
     private boolean ended;
 
     SessionTransaction(SessionContext context, ClientSession session, Route route, boolean readOnly) {
@@ -41,67 +41,68 @@
         return route;
     }
 
-    Operation operation(ForwardedStatement statement) {
-        return new InTransaction(statement);
+    SessionOperation operation(ForwardedStatement statement) {
+        return new TransactionStatement(statement);
     }
 
-    /** Ends it without keeping anything; to be called while no statement runs, or when the client has gone. */
+    /** Rolls back the transaction. Call only while no statement runs, or after the client has disconnected. */
     void rollBack() {
         ended = true;
         if (lease.isEmpty()) {
             return;
         }
-        Lease held = lease.get();
+        ConnectionLease heldLease = lease.get();
         lease = Optional.empty();
         if (!begun) {
-            held.discard();
+            heldLease.discard();
             return;
         }
-        held.connection()
+        heldLease
+                .connection()
                 .send(List.of(SqlRequest.internal(new SqlStatement.Rollback())))
                 .get(0)
                 .whenComplete((result, error) -> {
                     if (error == null && result.isSuccess() && result.state() == TransactionState.IDLE) {
-                        held.release();
+                        heldLease.release();
                     } else {
-                        held.discard();
+                        heldLease.discard();
                     }
                 });
     }
 
-    /** Ends it by closing its connection, under a statement that runs. */
+    /** Ends the transaction while a statement runs, by closing its connection. */
     void discard() {
-        lease.ifPresent(Lease::discard);
+        lease.ifPresent(ConnectionLease::discard);
     }
 
-    private boolean isPrimaryOnly() {
+    private boolean needsPrimary() {
         return !readOnly || route.kind() == RouteKind.PRIMARY;
     }
 
-    /** One statement of the transaction. */
-    private final class InTransaction implements Operation, Unit.Owner {
-        /** Before a statement that the database had no capacity for is sent again on its connection. */
+    /** A statement of the transaction. */
+    private final class TransactionStatement implements SessionOperation, ConnectionRequest.Listener {
+        /** Delay before a statement that the database refused as BUSY is retried on the same connection. */
         private static final long BUSY_RETRY_MS = 20;
 
         private final ForwardedStatement statement;
-        private final Unit unit;
+        private final ConnectionRequest connectionRequest;
         private long sentMs;
         private long sentEpoch;
         private boolean sent;
         private boolean timedOut;
-        private boolean over;
+        private boolean completed;
 
-        InTransaction(ForwardedStatement statement) {
+        TransactionStatement(ForwardedStatement statement) {
             this.statement = statement;
-            this.unit = new Unit(
-                    context.nextUnitId(),
+            this.connectionRequest = new ConnectionRequest(
+                    context.nextConnectionRequestId(),
                     statement.request().id(),
                     route,
-                    isPrimaryOnly(),
-                    session.floor(route.service()),
+                    needsPrimary(),
+                    session.minPosition(route.service()),
                     session.values(),
                     context.nowMs(),
-                    context.startByMs(route),
+                    context.startDeadlineMs(route),
                     this);
         }
 
@@ -109,11 +110,11 @@
         public void start() {
             if (readOnly && statement.kind() == ForwardedStatement.Kind.WRITE) {
                 context.onRefused(RefusalReason.READ_ONLY_TRANSACTION);
-                end(SqlError.READ_ONLY, "", RefusalReason.READ_ONLY_TRANSACTION.name());
+                fail(SqlError.READ_ONLY, "", RefusalReason.READ_ONLY_TRANSACTION.name());
             } else if (lease.isPresent()) {
                 send(lease.get());
             } else {
-                context.placement().route(unit);
+                context.placement().route(connectionRequest);
             }
         }
 
@@ -124,51 +125,52 @@
                 lease.get().discard();
                 return;
             }
-            lease.ifPresent(Lease::discard);
+            lease.ifPresent(ConnectionLease::discard);
             lease = Optional.empty();
-            unit.cancel();
+            connectionRequest.cancel();
             onRefused(RefusalReason.NOT_SENT_IN_TIME);
         }
 
         @Override
-        public void abandon() {
-            over = true;
-            unit.cancel();
-            // A commit that was sent runs to its end; anything else is rolled back behind the statement that runs.
+        public void onClientDisconnected() {
+            completed = true;
+            connectionRequest.cancel();
+            // A COMMIT that was sent still completes. After any other running statement the transaction is rolled back.
         }
 
         @Override
         public void onRefused(RefusalReason reason) {
             context.onRefused(reason);
-            end(SqlError.BUSY, "", reason.name());
+            fail(SqlError.BUSY, "", reason.name());
         }
 
         @Override
-        public void onLease(Lease granted) {
-            if (over || ended) {
+        public void onLease(ConnectionLease granted) {
+            if (completed || ended) {
                 granted.release();
                 return;
             }
             lease = Optional.of(granted);
             sentMs = context.nowMs();
-            sentEpoch = context.epoch();
-            granted.setRepeatable(true);
-            boolean plain = unit.after.isEmpty();
-            SqlRequest begin = SqlRequest.internal(new SqlStatement.Begin(!plain));
+            sentEpoch = context.clockEpoch();
+            granted.setRetryable(true);
+            boolean readWrite = connectionRequest.requiredPosition.isEmpty();
+            SqlRequest begin = SqlRequest.internal(new SqlStatement.Begin(!readWrite));
             granted.connection()
-                    .send(List.of(plain ? begin : begin.requiringPosition(unit.after.get())))
+                    .send(List.of(
+                            readWrite ? begin : begin.requiringPosition(connectionRequest.requiredPosition.get())))
                     .get(0)
-                    .whenComplete((result, error) -> onBegun(granted, plain, result, error));
+                    .whenComplete((result, error) -> onBeginResult(granted, readWrite, result, error));
         }
 
-        private void onBegun(Lease granted, boolean plain, SqlResult result, Throwable error) {
+        private void onBeginResult(ConnectionLease granted, boolean readWrite, SqlResult result, Throwable error) {
             if (error == null && result.isSuccess()) {
                 begun = true;
-                granted.setRepeatable(false);
-                if (plain) {
+                granted.setRetryable(false);
+                if (readWrite) {
                     onProof(granted, result);
                 }
-                if (over || ended) {
+                if (completed || ended) {
                     rollBack();
                 } else {
                     send(granted);
@@ -176,7 +178,7 @@
                 return;
             }
             lease = Optional.empty();
-            unit.tried.add(granted.instance().instanceId());
+            connectionRequest.triedInstanceIds.add(granted.instance().instanceId());
             if (error != null || result.state() != TransactionState.IDLE) {
                 granted.discard();
             } else {
@@ -188,135 +190,143 @@
                 granted.link().onLagging(Math.max(1, route.maxStalenessMs() / 4));
             }
             if (timedOut) {
-                end(SqlError.ABORTED, granted.instance().instanceId(), "no answer to BEGIN in time");
-            } else if (!over && !ended) {
+                fail(SqlError.ABORTED, granted.instance().instanceId(), "no response to BEGIN in time");
+            } else if (!completed && !ended) {
                 context.placement()
                         .retry(
-                                unit,
+                                connectionRequest,
                                 error == null
                                         ? RetryReason.of(result.error().orElseThrow())
                                         : RetryReason.CONNECTION_LOST);
             }
         }
 
-        private void send(Lease held) {
-            StatementRun.send(
-                    held,
+        private void send(ConnectionLease heldLease) {
+            StatementSender.send(
+                    heldLease,
                     session,
                     statement.request(),
-                    statement.shape().orElse(null),
+                    statement.preparedDefinition().orElse(null),
                     List.of(),
                     route.priority(),
-                    () -> onSend(held),
-                    (result, error) -> onResult(held, result, error));
+                    () -> beforeSend(heldLease),
+                    (result, error) -> onResult(heldLease, result, error));
         }
 
-        private boolean onSend(Lease held) {
-            if (over || ended || lease.filter(held::equals).isEmpty()) {
+        private boolean beforeSend(ConnectionLease heldLease) {
+            if (completed || ended || lease.filter(heldLease::equals).isEmpty()) {
                 return false;
             }
-            sent = held.connection().isOpen();
+            sent = heldLease.connection().isOpen();
             sentMs = context.nowMs();
-            sentEpoch = context.epoch();
+            sentEpoch = context.clockEpoch();
             if (statement.kind() != ForwardedStatement.Kind.READ) {
                 context.placement()
                         .serviceState(route.service())
                         .pendingWriteSentAtMs
-                        .put(unit.id, sentMs);
+                        .put(connectionRequest.id, sentMs);
             }
             return true;
         }
 
-        private void onResult(Lease held, SqlResult result, Throwable error) {
+        private void onResult(ConnectionLease heldLease, SqlResult result, Throwable error) {
             context.placement()
                     .serviceState(route.service())
                     .pendingWriteSentAtMs
-                    .remove(unit.id);
-            String instanceId = held.instance().instanceId();
+                    .remove(connectionRequest.id);
+            String instanceId = heldLease.instance().instanceId();
             boolean commit = statement.kind() == ForwardedStatement.Kind.COMMIT;
             if (error != null) {
-                held.discard();
+                heldLease.discard();
                 lease = Optional.empty();
-                if (over) {
+                if (completed) {
                     return;
                 }
                 String reason = timedOut
-                        ? "no answer within " + route.statementTimeoutMs() + " ms"
+                        ? "no response within " + route.statementTimeoutMs() + " ms"
                         : FailureException.of(error).getMessage();
-                end(commit && sent ? SqlError.IN_DOUBT : SqlError.ABORTED, instanceId, reason);
+                fail(commit && sent ? SqlError.IN_DOUBT : SqlError.ABORTED, instanceId, reason);
                 return;
             }
-            held.link().recordServiceTime(context.nowMs() - sentMs);
-            if (over && !commit) {
+            heldLease.link().recordServiceTime(context.nowMs() - sentMs);
+            if (completed && !commit) {
                 return;
             }
             if (!result.isSuccess()) {
-                onError(held, result, commit);
+                onError(heldLease, result, commit);
                 return;
             }
             if (statement.kind() == ForwardedStatement.Kind.WRITE) {
-                wrote = true;
+                hasWrites = true;
             }
             if (!commit) {
-                if (isPrimaryOnly()) {
-                    onProof(held, result);
+                if (needsPrimary()) {
+                    onProof(heldLease, result);
                 }
-                finish(result.withState(TransactionState.OPEN), instanceId, "");
+                complete(result.withState(TransactionState.OPEN), instanceId, "");
                 return;
             }
             lease = Optional.empty();
             if (result.state() == TransactionState.IDLE) {
-                held.release();
+                heldLease.release();
             } else {
-                held.discard();
+                heldLease.discard();
             }
-            if (wrote) {
-                onProof(held, result);
-                result.position().ifPresent(position -> session.raiseFloor(route.service(), position));
+            if (hasWrites) {
+                onProof(heldLease, result);
+                result.position().ifPresent(position -> session.raiseMinPosition(route.service(), position));
             }
-            finish(result.withState(TransactionState.IDLE), instanceId, "");
+            complete(result.withState(TransactionState.IDLE), instanceId, "");
         }
 
-        private void onError(Lease held, SqlResult result, boolean commit) {
+        private void onError(ConnectionLease heldLease, SqlResult result, boolean commit) {
             if (result.hasError(SqlError.BUSY) && result.state() == TransactionState.OPEN && !timedOut && !ended) {
                 context.onRetry(RetryReason.BUSY);
-                context.schedule(() -> sendAgain(held), BUSY_RETRY_MS);
+                context.schedule(() -> resend(heldLease), BUSY_RETRY_MS);
                 return;
             }
             lease = Optional.empty();
-            held.discard();
+            heldLease.discard();
             SqlError error = result.error().orElseThrow();
             if (error == SqlError.READ_ONLY) {
-                context.placement().onNotPrimary(held.instance().instanceId());
+                context.placement().onNotPrimary(heldLease.instance().instanceId());
             }
-            boolean certain = error.isNotRun() || !commit;
-            end(certain ? SqlError.ABORTED : error, held.instance().instanceId(), error + " " + result.detail());
+            boolean knownNotCommitted = error.isNotRun() || !commit;
+            fail(
+                    knownNotCommitted ? SqlError.ABORTED : error,
+                    heldLease.instance().instanceId(),
+                    error + " " + result.detail());
         }
 
-        private void sendAgain(Lease held) {
-            if (held.connection().isOpen() && !over && !ended) {
-                send(held);
+        private void resend(ConnectionLease heldLease) {
+            if (heldLease.connection().isOpen() && !completed && !ended) {
+                send(heldLease);
             } else {
-                onResult(held, null, new FailureException(FailureType.CONNECTION_LOST, "closed before a repetition"));
+                onResult(
+                        heldLease,
+                        null,
+                        new FailureException(
+                                FailureType.CONNECTION_LOST, "connection closed before the statement was retried"));
             }
         }
 
-        private void onProof(Lease held, SqlResult result) {
+        private void onProof(ConnectionLease heldLease, SqlResult result) {
             LogPosition position = result.position().orElse(LogPosition.NONE);
-            context.placement().onPrimaryProof(held.instance(), sentMs, sentEpoch, position);
+            context.placement().onPrimaryProof(heldLease.instance(), sentMs, sentEpoch, position);
         }
 
-        private void end(SqlError error, String instanceId, String reason) {
+        private void fail(SqlError error, String instanceId, String reason) {
             boolean commit = statement.kind() == ForwardedStatement.Kind.COMMIT;
-            TransactionState next = commit ? TransactionState.IDLE : TransactionState.FAILED;
-            finish(SqlResult.failure(error, "", next), instanceId, reason);
+            TransactionState nextState = commit ? TransactionState.IDLE : TransactionState.FAILED;
+            complete(SqlResult.failure(error, "", nextState), instanceId, reason);
         }
 
-        private void finish(SqlResult result, String instanceId, String reason) {
-            if (!over) {
-                over = true;
-                context.record(statement.request().id(), route, instanceId, unit.arrivedMs, result, reason);
-                session.finish(this, result);
+        private void complete(SqlResult result, String instanceId, String reason) {
+            if (!completed) {
+                completed = true;
+                context.record(
+                        statement.request().id(), route, instanceId, connectionRequest.arrivedMs, result, reason);
+                session.complete(this, result);
             }
         }
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRouter.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRouter.java
@@ -75,7 +75,7 @@
     /** Until when an instance that answered that it is not the primary gets no further requests for the primary. */
     private final Map<String, Long> notPrimaryUntilMs = new HashMap<>();
 
-    private final Deque<Unit> parked = new ArrayDeque<>();
+    private final Deque<ConnectionRequest> parked = new ArrayDeque<>();
     private SystemView view = SystemView.NONE;
     private boolean retryScheduled;
     private boolean checkScheduled;
@@ -178,13 +178,13 @@
     }
 
     /** Routes a unit again that the previous instance could not run. */
-    void retry(Unit unit, RetryReason reason) {
+    void retry(ConnectionRequest unit, RetryReason reason) {
         metrics.onRetry(reason);
         route(unit);
     }
 
     /** Routes a unit. */
-    void route(Unit unit) {
+    void route(ConnectionRequest unit) {
         if (unit.ended) {
             return;
         }
@@ -201,7 +201,7 @@
         }
     }
 
-    private Optional<InstanceConnectionPool> primaryPool(Unit unit) {
+    private Optional<InstanceConnectionPool> primaryPool(ConnectionRequest unit) {
         String service = unit.route.service();
         String provenId = serviceState(service).provenPrimaryId();
         Optional<DatabaseInstance> announced = view.primary(service).filter(this::mayBePrimary);
@@ -263,7 +263,7 @@
         return !drainingTooLong && !notPrimary;
     }
 
-    private Optional<InstanceConnectionPool> readPool(Unit unit) {
+    private Optional<InstanceConnectionPool> readPool(ConnectionRequest unit) {
         String service = unit.route.service();
         ServiceState state = serviceState(service);
         state.updateClockEpoch(clockJumpDetector.epoch());
@@ -277,23 +277,25 @@
             state.positionsWanted |= state.unreachableSinceMs() > 0;
         }
         if (sample.isEmpty()) {
-            unit.after = Optional.empty();
+            unit.requiredPosition = Optional.empty();
             return Optional.empty();
         }
         LogPosition position = sample.get().position();
-        unit.after = Optional.of(
-                unit.route.kind() == RouteKind.READ_YOUR_WRITES ? LogPosition.max(position, unit.floor) : position);
+        unit.requiredPosition = Optional.of(
+                unit.route.kind() == RouteKind.READ_YOUR_WRITES
+                        ? LogPosition.max(position, unit.minPosition)
+                        : position);
         List<Candidate> candidates = new ArrayList<>();
         for (DatabaseInstance instance : view.instances(service)) {
-            if (!instance.draining() && !unit.tried.contains(instance.instanceId())) {
+            if (!instance.draining() && !unit.triedInstanceIds.contains(instance.instanceId())) {
                 InstanceConnectionPool pool = pool(instance);
                 if (pool.isReachable()) {
                     candidates.add(candidate(pool));
                 }
             }
         }
-        if (candidates.isEmpty() && unit.queueRefusal != null) {
-            unit.refuse(unit.queueRefusal);
+        if (candidates.isEmpty() && unit.lastQueueRefusal != null) {
+            unit.refuse(unit.lastQueueRefusal);
         }
         return InstanceSelector.select(candidates).map(best -> pools.get(best.instanceId()));
     }
@@ -351,16 +353,16 @@
         }
     }
 
-    private void park(Unit unit) {
-        unit.tried.clear();
-        unit.queueRefusal = null;
-        if (clock.millis() >= unit.startByMs) {
+    private void park(ConnectionRequest unit) {
+        unit.triedInstanceIds.clear();
+        unit.lastQueueRefusal = null;
+        if (clock.millis() >= unit.startDeadlineMs) {
             unit.refuse(unit.needsPrimary ? RefusalReason.NO_PRIMARY : RefusalReason.NO_RECENT_POSITION);
             return;
         }
         unit.attempts = 0;
         parked.add(unit);
-        unit.cancellation = parked::remove;
+        unit.cancelHandler = parked::remove;
         if (!retryScheduled) {
             retryScheduled = true;
             executor.schedule(this::onRetryTimer, PARKED_RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -373,9 +375,9 @@
     }
 
     private void retryParked() {
-        List<Unit> waiting = List.copyOf(parked);
+        List<ConnectionRequest> waiting = List.copyOf(parked);
         parked.clear();
-        waiting.forEach(unit -> unit.cancellation = null);
+        waiting.forEach(unit -> unit.cancelHandler = null);
         waiting.forEach(this::route);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemWatch.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemWatch.java
@@ -147,13 +147,13 @@
                 .setLeaderTerm(leaderTerm)
                 .setSystemVersion(systemVersion)
                 .setConfigurationVersion(configuration.version())
-                .setPositionsWanted(engine.wantsPositions())
+                .setPositionsWanted(engine.needsSharedPositions())
                 .setDraining(!engine.isReady() && engine.view().isLoaded());
-        engine.sightings()
+        engine.primaryHealth()
                 .forEach(sighting -> request.addObservations(PrimaryObservation.newBuilder()
                         .setInstanceId(sighting.instanceId())
-                        .setSinceSuccessMs((int) sighting.sinceProofMs())
-                        .setOldestWriteMs((int) sighting.oldestWriteMs())
+                        .setSinceSuccessMs((int) sighting.sinceLastProofMs())
+                        .setOldestWriteMs((int) sighting.oldestPendingWriteMs())
                         .setUnreachableMs((int) sighting.unreachableMs())));
         requestedAtMs = clock.millis();
         requestEpoch = engine.clockEpoch();
@@ -168,7 +168,7 @@
                     new FailureException(FailureType.NOT_LEADER, ""));
             return;
         }
-        engine.onControlHeard(true);
+        engine.onControlReachability(true);
         if (!controlReachable) {
             controlReachable = true;
             events.record("control_regained", "leader_term", update.getLeaderTerm());
@@ -204,7 +204,7 @@
                     requestEpoch,
                     Envelopes.position(primaryPosition.getPosition()));
         }
-        if (engine.wantsPositions()) {
+        if (engine.needsSharedPositions()) {
             executor.schedule(this::poll, POSITIONS_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         } else {
             poll();
@@ -238,7 +238,7 @@
         boolean redirected = failure.type() == FailureType.NOT_LEADER
                 && !failure.detail().isEmpty()
                 && failure.detail().contains(":");
-        engine.onControlHeard(false);
+        engine.onControlReachability(false);
         connection.ifPresent(PeerConnection::close);
         connection = Optional.empty();
         Optional<Endpoint> previous = leader;
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/ConnectionLimitTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/ConnectionLimitTest.java
@@ -24,13 +24,13 @@
 
     @Test
     void allAvailableConnectionsAreUsed() {
-        harness.load(2, 28, 3);
+        harness.loadConfiguration(2, 28, 3);
         harness.primary.connectionLimit = 2;
         harness.primary.serviceMs = 4;
         List<Client> clients = sendAtIntervals(100);
         runInSteps(1_000);
 
-        clients.forEach(client -> assertThat(client.last().isSuccess()).isTrue());
+        clients.forEach(client -> assertThat(client.lastReply().isSuccess()).isTrue());
         assertThat(harness.primary.openedConnectionCount).isEqualTo(2);
     }
 
@@ -39,18 +39,18 @@
         harness.primary.connectionLimit = 0;
         List<Client> refused = sendAtIntervals(200);
         runInSteps(200);
-        refused.forEach(client -> assertThat(client.last().error()).hasValue(SqlError.BUSY));
+        refused.forEach(client -> assertThat(client.lastReply().error()).hasValue(SqlError.BUSY));
         harness.primary.connectionLimit = 28;
         runInSteps(300);
         List<Client> served = sendAtIntervals(100);
         runInSteps(300);
 
-        served.forEach(client -> assertThat(client.last().isSuccess()).isTrue());
+        served.forEach(client -> assertThat(client.lastReply().isSuccess()).isTrue());
     }
 
     @Test
     void proxyOpensItsShareOnceTheDatabaseAcceptsConnections() {
-        harness.load(2, 28, 3);
+        harness.loadConfiguration(2, 28, 3);
         harness.primary.connectionLimit = 1;
         sendAtIntervals(50);
         harness.primary.connectionLimit = 28;
@@ -71,7 +71,7 @@
         assertThat(harness.primary.openConnections.size()).isAtLeast(6);
         harness.primary.serviceMs = 4;
         for (int i = 0; i < 300; i++) {
-            harness.open(EngineHarness.TOPUP).send("slow" + i, new Write("item", "5"));
+            harness.open(EngineHarness.PRIMARY_ROUTE).send("slow" + i, new Write("item", "5"));
             runInSteps(INTERVAL_MS);
         }
 
@@ -82,7 +82,7 @@
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < steps; i++) {
             for (int j = 0; j < CONCURRENT_WRITES; j++) {
-                clients.add(harness.open(EngineHarness.TOPUP).send("w" + i + "-" + j, new Write("item", "5")));
+                clients.add(harness.open(EngineHarness.PRIMARY_ROUTE).send("w" + i + "-" + j, new Write("item", "5")));
             }
             runInSteps(INTERVAL_MS);
         }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionHistoriesTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionHistoriesTest.java
@@ -23,9 +23,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Random clients on few connections, which leave at any moment, under resets, refusals, silence and changes of the primary. Each
- * statement must run inside its own client's transaction and with its own client's values, and none after a promise that
- * nothing of it was kept.
+ * Guards against statements of different sessions mixing on pooled connections. Random clients share few connections and
+ * disconnect at any time, while connections are reset, statements fail, databases stop responding and the primary changes. Each
+ * statement must run inside its own client's transaction and with its own client's values, and no statement may run after its
+ * transaction was reported as not committed.
  */
 final class SessionHistoriesTest {
     private static final int STEPS = 400;
@@ -33,7 +34,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 6})
-    void statementsOfSessionsNeverMix(int proxies) {
+    void statementsRunOnlyInTheirOwnTransactionAndWithTheirOwnValues(int proxies) {
         for (int seed = 0; seed < 60; seed++) {
             new History(seed, proxies).run();
         }
@@ -45,7 +46,7 @@
         Map<String, String> values = new TreeMap<>();
         boolean inTransaction;
         int transactions;
-        int sent;
+        int sentRequests;
 
         Actor(int number) {
             this.number = number;
@@ -59,12 +60,12 @@
         private final int proxies;
         private final List<Actor> actors = new ArrayList<>();
 
-        /** The transaction that each statement was sent in; 0 outside of one. */
+        /** The transaction in which each statement was sent; empty outside of one. */
         private final Map<String, String> transactionById = new HashMap<>();
 
         private final Map<String, Map<String, String>> valuesById = new HashMap<>();
         private final Map<String, Actor> actorById = new HashMap<>();
-        private int incarnation;
+        private int clientCount;
 
         History(int seed, int proxies) {
             this.seed = seed;
@@ -73,26 +74,28 @@
         }
 
         void run() {
-            harness.load(2, 12, proxies);
-            harness.databases.forEach(database -> database.injectedError = request ->
-                    random.nextInt(25) == 0 && !request.id().equals("-") ? Optional.of(anyError()) : Optional.empty());
+            harness.loadConfiguration(2, 12, proxies);
+            harness.databases.forEach(database -> database.injectedError =
+                    request -> random.nextInt(25) == 0 && !request.id().equals("-")
+                            ? Optional.of(randomError())
+                            : Optional.empty());
             for (int i = 0; i < CLIENTS; i++) {
                 actors.add(new Actor(i));
             }
             for (int step = 0; step < STEPS; step++) {
-                disturb();
-                actors.forEach(this::act);
+                injectFault();
+                actors.forEach(this::step);
                 harness.run(random.nextInt(20));
             }
-            check();
+            checkIsolation();
         }
 
-        private SqlError anyError() {
-            SqlError[] errors = {SqlError.BUSY, SqlError.FAILED, SqlError.TIMEOUT, SqlError.REPLICA_LAGGING};
-            return errors[random.nextInt(errors.length)];
+        private SqlError randomError() {
+            SqlError[] candidates = {SqlError.BUSY, SqlError.FAILED, SqlError.TIMEOUT, SqlError.REPLICA_LAGGING};
+            return candidates[random.nextInt(candidates.length)];
         }
 
-        private void disturb() {
+        private void injectFault() {
             FakeDatabase database = harness.databases.get(random.nextInt(3));
             switch (random.nextInt(40)) {
                 case 0 -> database.resetConnections();
@@ -101,23 +104,27 @@
                 case 3 -> {
                     harness.databases.forEach(other -> other.primary = other == database);
                     if (random.nextBoolean()) {
-                        harness.load(3, 12, proxies);
+                        harness.loadConfiguration(3, 12, proxies);
                     }
                 }
                 case 4 -> database.reachable = !database.reachable;
-                case 5 -> harness.load(4, 6 + random.nextInt(12), proxies);
+                case 5 -> harness.loadConfiguration(4, 6 + random.nextInt(12), proxies);
                 default -> {}
             }
         }
 
-        private void act(Actor actor) {
+        private void step(Actor actor) {
             if (actor.client == null || actor.client.closed || actor.client.refusal.isPresent()) {
-                String[] routes = {EngineHarness.TOPUP, EngineHarness.BALANCE, EngineHarness.SYNC};
+                String[] routes = {
+                    EngineHarness.PRIMARY_ROUTE,
+                    EngineHarness.BOUNDED_STALENESS_ROUTE,
+                    EngineHarness.READ_YOUR_WRITES_ROUTE
+                };
                 actor.client = harness.open(routes[random.nextInt(routes.length)]);
                 actor.values = new TreeMap<>();
                 actor.inTransaction = false;
-                actor.sent = 0;
-                incarnation++;
+                actor.sentRequests = 0;
+                clientCount++;
                 return;
             }
             if (random.nextInt(60) == 0) {
@@ -125,39 +132,40 @@
                 actor.client.closed = true;
                 return;
             }
-            if (actor.client.replies.size() < actor.sent || random.nextInt(3) == 0) {
+            if (actor.client.replies.size() < actor.sentRequests || random.nextInt(3) == 0) {
                 return;
             }
-            boolean failed = actor.sent > 0 && actor.client.last().state() != TransactionState.OPEN;
+            boolean failed = actor.sentRequests > 0 && actor.client.lastReply().state() != TransactionState.OPEN;
             actor.inTransaction &= !failed;
             send(actor);
         }
 
         private void send(Actor actor) {
-            String id = "s" + seed + "-" + actor.number + "-" + incarnation + "-" + transactionById.size();
-            SqlStatement statement = next(actor);
+            String id = "s" + seed + "-" + actor.number + "-" + clientCount + "-" + transactionById.size();
+            SqlStatement statement = nextStatement(actor);
             if (statement instanceof Begin) {
                 actor.transactions++;
             }
             transactionById.put(id, actor.inTransaction ? actor.number + "/" + actor.transactions : "");
             valuesById.put(id, Map.copyOf(actor.values));
             actorById.put(id, actor);
-            actor.sent++;
+            actor.sentRequests++;
             actor.client.send(id, statement);
-            if (statement instanceof SetValue set && actor.client.last().isSuccess()) {
+            if (statement instanceof SetValue set && actor.client.lastReply().isSuccess()) {
                 actor.values.put(set.name(), set.value());
             }
             if (statement instanceof Begin) {
-                actor.inTransaction = actor.client.last().state() == TransactionState.OPEN;
+                actor.inTransaction = actor.client.lastReply().state() == TransactionState.OPEN;
             }
             if (statement instanceof Commit || statement instanceof Rollback) {
                 actor.inTransaction = false;
             }
         }
 
-        private SqlStatement next(Actor actor) {
-            boolean stuck = actor.sent > 0 && actor.client.last().state() == TransactionState.FAILED;
-            if (stuck) {
+        private SqlStatement nextStatement(Actor actor) {
+            boolean transactionFailed =
+                    actor.sentRequests > 0 && actor.client.lastReply().state() == TransactionState.FAILED;
+            if (transactionFailed) {
                 return new Rollback();
             }
             switch (random.nextInt(actor.inTransaction ? 6 : 5)) {
@@ -182,17 +190,17 @@
             }
         }
 
-        private void check() {
+        private void checkIsolation() {
             for (FakeDatabase database : harness.databases) {
                 for (FakeDatabase.ExecutedStatement run : database.executedStatements) {
                     String transaction = transactionById.get(run.id());
-                    boolean own = transaction.isEmpty()
+                    boolean inOwnTransaction = transaction.isEmpty()
                             ? run.transactionIds().size() <= 1
                             : run.transactionIds().stream()
                                     .allMatch(
                                             other -> transactionById.get(other).equals(transaction));
                     assertWithMessage("seed %s: %s of %s ran in %s", seed, run.id(), transaction, run.transactionIds())
-                            .that(own
+                            .that(inOwnTransaction
                                     && (transaction.isEmpty()
                                             || !run.transactionIds().isEmpty()))
                             .isTrue();
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/UnresponsiveInstanceTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/UnresponsiveInstanceTest.java
@@ -24,32 +24,35 @@
      */
     @Test
     void readsAreRoutedToResponsiveInstances() {
-        sendAtIntervals(EngineHarness.SYNC, 100);
-        makeUnresponsive(harness.near);
-        List<Client> clients = sendAtIntervals(EngineHarness.SYNC, 400);
+        sendAtIntervals(EngineHarness.READ_YOUR_WRITES_ROUTE, 100);
+        makeUnresponsive(harness.nearReplica);
+        List<Client> clients = sendAtIntervals(EngineHarness.READ_YOUR_WRITES_ROUTE, 400);
         harness.run(1_000);
 
-        assertThat(clients.stream().filter(client -> client.waitedMs() <= 100).count())
+        assertThat(clients.stream()
+                        .filter(client -> client.replyTimeMs() <= 100)
+                        .count())
                 .isAtLeast(380);
-        clients.forEach(client -> assertThat(client.last().isSuccess()).isTrue());
+        clients.forEach(client -> assertThat(client.lastReply().isSuccess()).isTrue());
     }
 
     @Test
     void readPendingAtAnUnresponsiveInstanceIsRetriedElsewhereBeforeItsTimeout() {
-        sendAtIntervals(EngineHarness.SYNC, 100);
-        harness.near.statementsHang = true;
-        Client client = harness.open(EngineHarness.SYNC).send("hanging", new Read("item"));
+        sendAtIntervals(EngineHarness.READ_YOUR_WRITES_ROUTE, 100);
+        harness.nearReplica.statementsHang = true;
+        Client client = harness.open(EngineHarness.READ_YOUR_WRITES_ROUTE).send("hanging", new Read("item"));
         harness.run(600);
 
-        assertThat(client.last().isSuccess()).isTrue();
-        assertThat(FakeDatabase.requestIds(harness.near.executedStatements)).doesNotContain("hanging");
+        assertThat(client.lastReply().isSuccess()).isTrue();
+        assertThat(FakeDatabase.requestIds(harness.nearReplica.executedStatements))
+                .doesNotContain("hanging");
     }
 
     @Test
     void transactionWhoseBeginIsPendingAtAnUnresponsiveInstanceBeginsElsewhere() {
-        sendAtIntervals(EngineHarness.SYNC, 100);
-        harness.near.statementsHang = true;
-        Client client = harness.open(EngineHarness.SYNC).send("b", new Begin(true));
+        sendAtIntervals(EngineHarness.READ_YOUR_WRITES_ROUTE, 100);
+        harness.nearReplica.statementsHang = true;
+        Client client = harness.open(EngineHarness.READ_YOUR_WRITES_ROUTE).send("b", new Begin(true));
         client.send("s", new Read("item"));
         harness.run(600);
         client.send("c", new Commit());
@@ -62,14 +65,14 @@
     /** A write that was sent may have run, so the proxy neither retries it nor reports an outcome before the timeout. */
     @Test
     void writeSentToAnUnresponsiveInstanceIsNotRetried() {
-        sendAtIntervals(EngineHarness.TOPUP, 20);
+        sendAtIntervals(EngineHarness.PRIMARY_ROUTE, 20);
         harness.primary.statementsHang = true;
-        Client client = harness.open(EngineHarness.TOPUP).send("w", new Write("item", "5"));
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("w", new Write("item", "5"));
         harness.run(700);
         assertThat(client.replies).isEmpty();
         harness.run(200);
 
-        assertThat(client.last().error()).hasValue(SqlError.IN_DOUBT);
+        assertThat(client.lastReply().error()).hasValue(SqlError.IN_DOUBT);
     }
 
     /**
@@ -78,13 +81,13 @@
      */
     @Test
     void writesAreRefusedQuicklyWhileThePrimaryIsUnresponsive() {
-        sendAtIntervals(EngineHarness.TOPUP, 20);
+        sendAtIntervals(EngineHarness.PRIMARY_ROUTE, 20);
         makeUnresponsive(harness.primary);
-        sendAtIntervals(EngineHarness.TOPUP, 100);
-        List<Client> clients = sendAtIntervals(EngineHarness.TOPUP, 600);
+        sendAtIntervals(EngineHarness.PRIMARY_ROUTE, 100);
+        List<Client> clients = sendAtIntervals(EngineHarness.PRIMARY_ROUTE, 600);
         harness.run(1_000);
 
-        clients.forEach(client -> assertThat(client.waitedMs()).isAtMost(200));
+        clients.forEach(client -> assertThat(client.replyTimeMs()).isAtMost(200));
     }
 
     /**
@@ -93,44 +96,45 @@
      */
     @Test
     void writesAreServedOnceThePrimaryRespondsAgain() {
-        sendAtIntervals(EngineHarness.TOPUP, 20);
+        sendAtIntervals(EngineHarness.PRIMARY_ROUTE, 20);
         makeUnresponsive(harness.primary);
-        sendAtIntervals(EngineHarness.TOPUP, 500);
+        sendAtIntervals(EngineHarness.PRIMARY_ROUTE, 500);
         harness.primary.unresponsive = false;
         harness.run(1_100);
-        List<Client> clients = sendAtIntervals(EngineHarness.TOPUP, 100);
+        List<Client> clients = sendAtIntervals(EngineHarness.PRIMARY_ROUTE, 100);
         harness.run(1_000);
 
-        clients.forEach(client -> assertThat(client.last().isSuccess()).isTrue());
+        clients.forEach(client -> assertThat(client.lastReply().isSuccess()).isTrue());
     }
 
     /** A unit that expires in the queue must be refused, not dropped silently and left to its timeout. */
     @Test
     void queuedWriteIsRefusedOnceItCannotStartInTime() {
-        harness.load(2, 4, 1);
+        harness.loadConfiguration(2, 4, 1);
         harness.primary.serviceMs = 5;
-        sendAtIntervals(EngineHarness.TOPUP, 50);
-        Client transactionClient = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
+        sendAtIntervals(EngineHarness.PRIMARY_ROUTE, 50);
+        Client transactionClient = harness.open(EngineHarness.PRIMARY_ROUTE).send("b", new Begin(false));
         transactionClient.send("s", new Read("item"));
         harness.run(50);
-        Client waiting = harness.open(EngineHarness.TOPUP).send("w", new Write("item", "5"));
+        Client waiting = harness.open(EngineHarness.PRIMARY_ROUTE).send("w", new Write("item", "5"));
         harness.run(200);
 
-        assertThat(waiting.last().error()).hasValue(SqlError.BUSY);
+        assertThat(waiting.lastReply().error()).hasValue(SqlError.BUSY);
     }
 
     /** An open transaction of an idle client holds the nearest instance's only connection; the other instances are idle. */
     @Test
     void readThatWouldWaitTooLongIsServedByAnotherInstance() {
-        harness.load(2, 4, 1);
-        sendAtIntervals(EngineHarness.SYNC, 20);
-        Client transactionClient = harness.open(EngineHarness.SYNC).send("b", new Begin(true));
+        harness.loadConfiguration(2, 4, 1);
+        sendAtIntervals(EngineHarness.READ_YOUR_WRITES_ROUTE, 20);
+        Client transactionClient =
+                harness.open(EngineHarness.READ_YOUR_WRITES_ROUTE).send("b", new Begin(true));
         transactionClient.send("s", new Read("item"));
         harness.run(50);
-        Client client = harness.open(EngineHarness.SYNC).send("r", new Read("item"));
+        Client client = harness.open(EngineHarness.READ_YOUR_WRITES_ROUTE).send("r", new Read("item"));
         runInSteps(700);
 
-        assertThat(client.last().isSuccess()).isTrue();
+        assertThat(client.lastReply().isSuccess()).isTrue();
     }
 
     /** Advances the time in steps too small to count as a clock jump or a local pause. */
@@ -148,7 +152,8 @@
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < requests; i++) {
             Client client = harness.open(route);
-            client.send(route + i, route.equals(EngineHarness.TOPUP) ? new Write("item", "5") : new Read("item"));
+            client.send(
+                    route + i, route.equals(EngineHarness.PRIMARY_ROUTE) ? new Write("item", "5") : new Read("item"));
             clients.add(client);
             harness.run(INTERVAL_MS);
         }
