--- a/proxy/src/main/java/org/hornbeamspread/proxy/DatabaseExecutor.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/DatabaseExecutor.java
@@ -13,5 +13,5 @@
      * or CONNECTION_LOST_AFTER_SEND (unknown).
      */
     CompletableFuture<StatementsExecuted> execute(
-            ViewSnapshot view, DatabaseEntry database, WorkOrder order, ExecuteStatements statements);
+            ViewSnapshot view, DatabaseEntry database, RequestContext order, ExecuteStatements statements);
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/Databases.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/Databases.java
@@ -63,7 +63,7 @@
     void view(ViewSnapshot view) {
         for (GroupView group : view.groups()) {
             GroupState state = group(group.getGroup());
-            state.view(group, view.groupDatabases(group));
+            state.view(group, view.groupSize(group));
             for (DatabaseEntry entry : group.getDatabasesList()) {
                 links.computeIfAbsent(entry.getDatabaseId(), id -> link(state, entry))
                         .update(entry);
@@ -134,7 +134,7 @@
                 transport,
                 entry,
                 report -> reported(state, report),
-                bytes -> metrics.reported(otherRegion, bytes));
+                bytes -> metrics.countReportBytes(otherRegion, bytes));
     }
 
     private void reported(GroupState state, PositionReport report) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabase.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabase.java
@@ -64,7 +64,7 @@
     }
 
     /** Runs statements as a transaction of their own. */
-    CompletableFuture<StatementsExecuted> execute(WorkOrder order, ExecuteStatements statements) {
+    CompletableFuture<StatementsExecuted> execute(RequestContext order, ExecuteStatements statements) {
         Envelope request =
                 Envelope.newBuilder().setExecuteStatements(statements).build();
         return queue.run(order, () -> onConnection(order, connection -> send(connection, request, order)))
@@ -72,7 +72,7 @@
     }
 
     /** Sends a request on a connection that the caller owns, and types what went wrong after it was sent. */
-    CompletableFuture<Envelope> send(PeerConnection connection, Envelope request, WorkOrder order) {
+    CompletableFuture<Envelope> send(PeerConnection connection, Envelope request, RequestContext order) {
         Duration remaining = Duration.between(dispatcher.clock().instant(), order.deadline());
         if (remaining.isNegative() || remaining.isZero()) {
             return CompletableFuture.failedFuture(
@@ -115,7 +115,7 @@
     }
 
     private CompletableFuture<Envelope> onConnection(
-            WorkOrder order, Function<PeerConnection, CompletableFuture<Envelope>> use) {
+            RequestContext order, Function<PeerConnection, CompletableFuture<Envelope>> use) {
         CompletableFuture<Envelope> result = new CompletableFuture<>();
         Instant now = dispatcher.clock().instant();
         Dispatcher.Timer timer = dispatcher.schedule(
--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
@@ -87,7 +87,7 @@
 
     /** Runs statements at a database that this proxy holds at an epoch. Fails with WRONG_HOLDER, not run. */
     CompletableFuture<StatementsExecuted> execute(
-            String databaseId, long holderEpoch, WorkOrder order, ExecuteStatements statements) {
+            String databaseId, long holderEpoch, RequestContext order, ExecuteStatements statements) {
         Optional<HeldDatabase> database = usable(databaseId, holderEpoch, statements.getReadOnly());
         if (database.isEmpty()) {
             return CompletableFuture.failedFuture(new FailureException(FailureType.WRONG_HOLDER, databaseId));
@@ -114,7 +114,7 @@
     /** Statements that wait or run at a held database. */
     int waitingStatements(String databaseId) {
         HeldDatabase database = held.get(databaseId);
-        return database == null ? 0 : database.queue().statements();
+        return database == null ? 0 : database.queue().outstandingStatements();
     }
 
     Map<String, HeldDatabase> all() {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/HolderExecutor.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HolderExecutor.java
@@ -14,9 +14,9 @@
     private final String proxyId;
     private final String region;
     private final HeldDatabases held;
-    private final RelayLinks relays;
+    private final RelayClient relays;
 
-    HolderExecutor(String proxyId, String region, HeldDatabases held, RelayLinks relays) {
+    HolderExecutor(String proxyId, String region, HeldDatabases held, RelayClient relays) {
         this.proxyId = proxyId;
         this.region = region;
         this.held = held;
@@ -25,7 +25,7 @@
 
     @Override
     public CompletableFuture<StatementsExecuted> execute(
-            ViewSnapshot view, DatabaseEntry database, WorkOrder order, ExecuteStatements statements) {
+            ViewSnapshot view, DatabaseEntry database, RequestContext order, ExecuteStatements statements) {
         if (database.getHolderProxyId().isEmpty()) {
             return CompletableFuture.failedFuture(new FailureException(
                     FailureType.DATABASE_UNREACHABLE, database.getDatabaseId() + " has no holder"));
--- a/proxy/src/main/java/org/hornbeamspread/proxy/OpenTransaction.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/OpenTransaction.java
@@ -26,7 +26,7 @@
             HeldDatabase database,
             PeerConnection connection,
             boolean readOnly,
-            WorkOrder order,
+            RequestContext order,
             int timeoutMs,
             Instant now) {
         this.id = id;
@@ -70,11 +70,11 @@
     }
 
     /** Takes the connection for one request. */
-    WorkOrder use(Instant now, int requestTimeoutMs) {
+    RequestContext use(Instant now, int requestTimeoutMs) {
         busy = true;
         lastUsedAt = now;
         int limitMs = requestTimeoutMs > 0 ? requestTimeoutMs : timeoutMs;
-        return new WorkOrder(rank, callerId, now.plusMillis(limitMs));
+        return new RequestContext(rank, callerId, now.plusMillis(limitMs));
     }
 
     /** The request has ended. */
--- a/proxy/src/main/java/org/hornbeamspread/proxy/PeerService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/PeerService.java
@@ -67,7 +67,7 @@
     }
 
     /** Passes a report on to those who subscribed. Call it on the dispatcher's thread. */
-    void report(PositionReport report) {
+    void forwardReport(PositionReport report) {
         List<PeerConnection> peers = subscribers.getOrDefault(report.getDatabaseId(), List.of());
         if (!peers.isEmpty()) {
             Envelope push = Envelope.newBuilder().setPositionReport(report).build();
@@ -77,11 +77,11 @@
 
     private void execute(RelayExecute relay, Consumer<Envelope> answer) {
         Instant deadline = dispatcher.clock().instant().plusMillis(Integer.toUnsignedLong(relay.getTimeoutMs()));
-        WorkOrder order = new WorkOrder(relay.getRank(), relay.getCallerId(), deadline);
+        RequestContext order = new RequestContext(relay.getRank(), relay.getCallerId(), deadline);
         inProgress.incrementAndGet();
         held.execute(relay.getDatabaseId(), relay.getHolderEpoch(), order, relay.getExecute())
                 .whenComplete((executed, error) -> {
-                    answer.accept(answer(executed, error));
+                    answer.accept(relayResponse(executed, error));
                     inProgress.decrementAndGet();
                 });
     }
@@ -98,7 +98,7 @@
         answer.accept(Envelope.newBuilder().setRelaySubscribed(reports).build());
     }
 
-    private static Envelope answer(StatementsExecuted executed, Throwable error) {
+    private static Envelope relayResponse(StatementsExecuted executed, Throwable error) {
         RelayExecuted.Builder result = RelayExecuted.newBuilder();
         if (error != null) {
             result.setFailure(Envelopes.failure(FailureException.of(error)));
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyMain.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyMain.java
@@ -9,10 +9,10 @@
 /** Starts the proxy daemon. */
 public final class ProxyMain {
     private static final String BINARY = "hornbeamspread-proxy";
-    private static final int EXIT_FAILED = 1;
+    private static final int EXIT_FAILURE = 1;
 
     /** How long requests in progress may take to finish once no more are accepted. */
-    private static final Duration FINISH_LIMIT = Duration.ofSeconds(60);
+    private static final Duration DRAIN_TIMEOUT = Duration.ofSeconds(60);
 
     private ProxyMain() {}
 
@@ -30,13 +30,13 @@
             Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(server), "drain"));
         } catch (FailureException e) {
             System.err.println(BINARY + ": " + e.getMessage());
-            System.exit(e.type() == FailureType.INVALID_SETTING ? CommandLine.EXIT_USAGE : EXIT_FAILED);
+            System.exit(e.type() == FailureType.INVALID_SETTING ? CommandLine.EXIT_USAGE : EXIT_FAILURE);
         }
     }
 
     private static void drain(ProxyServer server) {
         try {
-            server.drain(FINISH_LIMIT);
+            server.drain(DRAIN_TIMEOUT);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyMetrics.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyMetrics.java
@@ -13,18 +13,18 @@
 
     private final Counter refusals;
     private final Counter retries;
-    private final Counter statements;
+    private final Counter responses;
     private final Counter reads;
     private final Counter peerBytes;
-    private final Gauge requests;
-    private final Gauge queue;
-    private final Gauge connections;
+    private final Gauge requestsInProgress;
+    private final Gauge databaseStatements;
+    private final Gauge databaseConnections;
     private final Histogram latency;
 
     ProxyMetrics(PrometheusRegistry registry) {
         refusals = counter(registry, "hornbeamspread_refusals_total", "Failed answers by type", "type", "rank");
         retries = counter(registry, "hornbeamspread_retries_total", "Further attempts by the failure before", "type");
-        statements = counter(
+        responses = counter(
                 registry,
                 "hornbeamspread_requests_total",
                 "Answers by kind, rank and effect",
@@ -38,16 +38,16 @@
                 "Bytes of messages sent and received, by purpose",
                 "purpose",
                 "other_region");
-        requests = Gauge.builder()
+        requestsInProgress = Gauge.builder()
                 .name("hornbeamspread_requests_in_progress")
                 .help("Requests in progress")
                 .register(registry);
-        queue = Gauge.builder()
+        databaseStatements = Gauge.builder()
                 .name("hornbeamspread_database_statements")
                 .help("Statements that wait or run at a held database")
                 .labelNames("database")
                 .register(registry);
-        connections = Gauge.builder()
+        databaseConnections = Gauge.builder()
                 .name("hornbeamspread_database_connections")
                 .help("Connections open to a held database")
                 .labelNames("database")
@@ -74,7 +74,7 @@
     }
 
     void answered(String kind, String rank, String effect, Duration taken) {
-        statements.labelValues(kind, rank, effect).inc();
+        responses.labelValues(kind, rank, effect).inc();
         latency.labelValues(rank).observe(taken.toNanos() / NANOS_PER_SECOND);
     }
 
@@ -83,21 +83,21 @@
     }
 
     /** Bytes of a relayed statement or its answer. */
-    void relayed(boolean otherRegion, int bytes) {
+    void countStatementBytes(boolean otherRegion, int bytes) {
         peerBytes.labelValues("statements", Boolean.toString(otherRegion)).inc(bytes);
     }
 
     /** Bytes of a position report or of a question for one. */
-    void reported(boolean otherRegion, int bytes) {
+    void countReportBytes(boolean otherRegion, int bytes) {
         peerBytes.labelValues("reports", Boolean.toString(otherRegion)).inc(bytes);
     }
 
-    void inProgress(int count) {
-        requests.set(count);
+    void setRequestsInProgress(int count) {
+        requestsInProgress.set(count);
     }
 
-    void held(String databaseId, int waiting, int open) {
-        queue.labelValues(databaseId).set(waiting);
-        connections.labelValues(databaseId).set(open);
+    void setDatabaseUsage(String databaseId, int waiting, int open) {
+        databaseStatements.labelValues(databaseId).set(waiting);
+        databaseConnections.labelValues(databaseId).set(open);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
@@ -29,8 +29,8 @@
 
     private final ProxySettings settings;
     private final long incarnation;
-    private final DutyDispatcher requests;
-    private final DutyDispatcher control;
+    private final DutyDispatcher requestDispatcher;
+    private final DutyDispatcher controlDispatcher;
     private final PeerTransport transport;
     private final ViewPublisher publisher;
     private final Databases databases;
@@ -40,15 +40,15 @@
     private final Transactions transactions;
     private final StatementsService statements;
     private final ControlLink controlLink;
-    private final PeerService peers;
+    private final PeerService peerService;
     private final ProxyMetrics metrics;
     private final PrometheusRegistry registry = new PrometheusRegistry();
 
     /** The view that the requests' thread acts on: what renewals confirm. */
-    private volatile ViewSnapshot confirmed = ViewSnapshot.NONE;
+    private volatile ViewSnapshot appliedView = ViewSnapshot.NONE;
 
     private volatile List<DatabaseObservation> observations = List.of();
-    private volatile List<HeldDatabase> holdings = List.of();
+    private volatile List<HeldDatabase> heldEntries = List.of();
     private volatile int openTransactions;
     private volatile boolean draining;
 
@@ -61,46 +61,47 @@
     ProxyServer(ProxySettings settings, Clock clock) {
         this.settings = settings;
         this.incarnation = clock.millis();
-        this.requests = new DutyDispatcher("requests", clock);
-        this.control = new DutyDispatcher("control", clock);
+        this.requestDispatcher = new DutyDispatcher("requests", clock);
+        this.controlDispatcher = new DutyDispatcher("control", clock);
         this.transport = new PeerTransport(settings.networkThreads(), settings.translator());
         this.publisher = new ViewPublisher(clock);
         this.metrics = new ProxyMetrics(registry);
-        this.databases = new Databases(requests, transport, publisher, metrics, settings.region());
+        this.databases = new Databases(requestDispatcher, transport, publisher, metrics, settings.region());
         this.held = new HeldDatabases(
-                requests,
+                requestDispatcher,
                 transport,
                 publisher,
                 databases,
                 (configuration, database) -> settings.slotOrder()
                         .scheduler(configuration, Math.max(1, database.getSlots()), clock.instant()),
                 settings.proxyId());
-        this.peers = new PeerService(requests, held, databases);
-        databases.onReport(peers::report);
-        RelayLinks relays = new RelayLinks(requests, transport, RelayLinks.refuseRequests(), metrics);
+        this.peerService = new PeerService(requestDispatcher, held, databases);
+        databases.onReport(peerService::forwardReport);
+        RelayClient relays = new RelayClient(requestDispatcher, transport, RelayClient.refuseRequests(), metrics);
         DatabaseExecutor executor = new HolderExecutor(settings.proxyId(), settings.region(), held, relays);
         this.inFlight = new InFlight();
-        this.writes = new WritePath(requests, publisher, databases, executor, inFlight);
-        ReadPath reads = new ReadPath(requests, publisher, databases, held, executor, inFlight, metrics, settings);
-        this.transactions = new Transactions(requests, publisher, held, writes, settings, incarnation);
+        this.writes = new WritePath(requestDispatcher, publisher, databases, executor, inFlight);
+        ReadPath reads =
+                new ReadPath(requestDispatcher, publisher, databases, held, executor, inFlight, metrics, settings);
+        this.transactions = new Transactions(requestDispatcher, publisher, held, writes, settings, incarnation);
         this.statements = new StatementsService(
-                requests,
+                requestDispatcher,
                 publisher,
                 writes,
                 reads,
-                new TransactionService(requests, publisher, transactions, settings, incarnation),
-                new RetryLoop(requests, metrics, publisher::isCutOff),
+                new TransactionService(requestDispatcher, publisher, transactions, settings, incarnation),
+                new RetryLoop(requestDispatcher, metrics, publisher::isIsolatedFromControl),
                 metrics,
                 settings);
-        this.controlLink =
-                new ControlLink(control, transport, settings.control(), publisher, this::renewal, this::onView);
+        this.controlLink = new ControlLink(
+                controlDispatcher, transport, settings.control(), publisher, this::renewalRequest, this::onView);
     }
 
     /** Starts to serve. */
     void start() {
-        peerServer = transport.listen(settings.peerEndpoint(), peers).join();
+        peerServer = transport.listen(settings.peerEndpoint(), peerService).join();
         http = new RpcServer(settings.httpEndpoint(), statements.methods(), this::isReady, registry);
-        requests.execute(() -> {
+        requestDispatcher.execute(() -> {
             databases.start();
             held.start();
             transactions.start();
@@ -118,13 +119,13 @@
 
     /** Completes once this proxy has seen a database apply a position. */
     CompletableFuture<Void> awaitApplied(String group, String databaseId, LogPosition position) {
-        return CompletableFuture.supplyAsync(() -> databases.group(group), requests)
+        return CompletableFuture.supplyAsync(() -> databases.group(group), requestDispatcher)
                 .thenCompose(state -> state.awaitApplied(databaseId, position));
     }
 
     /** Asks a group's primary for its position, which proves the age of the replicas. */
-    CompletableFuture<LogPosition> askPrimary(String group) {
-        return CompletableFuture.supplyAsync(() -> databases.askPrimary(group), requests)
+    CompletableFuture<LogPosition> primaryPosition(String group) {
+        return CompletableFuture.supplyAsync(() -> databases.askPrimary(group), requestDispatcher)
                 .thenCompose(position -> position);
     }
 
@@ -138,8 +139,8 @@
         controlLink.renewNow();
         Thread.sleep(settings.drainGraceMs());
         statements.close();
-        Instant limit = requests.clock().instant().plus(finishLimit);
-        while (!isIdle() && requests.clock().instant().isBefore(limit)) {
+        Instant limit = requestDispatcher.clock().instant().plus(finishLimit);
+        while (!isIdle() && requestDispatcher.clock().instant().isBefore(limit)) {
             Thread.sleep(10);
         }
         close();
@@ -155,8 +156,8 @@
             peerServer.close();
         }
         transport.close();
-        requests.close();
-        control.close();
+        requestDispatcher.close();
+        controlDispatcher.close();
         LOG.log(Level.INFO, "proxy " + settings.proxyId() + " has ended");
     }
 
@@ -165,57 +166,59 @@
     }
 
     private boolean isIdle() {
-        return statements.inProgress() == 0 && peers.inProgress() == 0 && openTransactions == 0;
+        return statements.inProgress() == 0 && peerService.inProgress() == 0 && openTransactions == 0;
     }
 
     /** Port 0 takes a free one. */
-    private static Endpoint bound(Endpoint setting, int port) {
+    private static Endpoint boundEndpoint(Endpoint setting, int port) {
         return setting.toBuilder().setPort(port).build();
     }
 
-    private RenewView renewal() {
-        ViewSnapshot view = confirmed;
+    private RenewView renewalRequest() {
+        ViewSnapshot view = appliedView;
         return RenewView.newBuilder()
                 .setProxy(ProxyEntry.newBuilder()
                         .setProxyId(settings.proxyId())
                         .setFailureDomain(settings.failureDomain())
                         .setRegion(settings.region())
-                        .setPeer(bound(settings.peerEndpoint(), peerServer.port()))
-                        .setHttp(bound(settings.httpEndpoint(), http.port()))
+                        .setPeer(boundEndpoint(settings.peerEndpoint(), peerServer.port()))
+                        .setHttp(boundEndpoint(settings.httpEndpoint(), http.port()))
                         .setConfigurationVersion(view.configurationVersion())
                         .setDraining(draining)
                         .setIncarnation(incarnation))
                 .setLeaderTerm(view.leaderTerm())
                 .setViewVersion(view.version())
                 .addAllObservations(observations)
-                .addAllHeld(holdings)
+                .addAllHeld(heldEntries)
                 .setClusterId(settings.clusterId())
                 .build();
     }
 
     /** On the control thread: hands a new view to the requests' thread, and confirms it once it is acted on. */
     private void onView(ViewSnapshot view) {
-        requests.execute(() -> {
+        requestDispatcher.execute(() -> {
             databases.view(view);
-            writes.view(view);
+            writes.applyView(view);
             inFlight.view(view);
             held.view(view);
-            holdings = held.wire();
-            confirmed = view;
+            heldEntries = held.wire();
+            appliedView = view;
             controlLink.renewNow();
         });
     }
 
     private void observe() {
-        observations = databases.observations(confirmed);
+        observations = databases.observations(appliedView);
         openTransactions = transactions.openTransactions();
-        requests.schedule(OBSERVATION_INTERVAL, this::observe);
+        requestDispatcher.schedule(OBSERVATION_INTERVAL, this::observe);
     }
 
     private void updateGauges() {
         held.all()
-                .forEach((id, database) -> metrics.held(
-                        id, database.queue().statements(), database.pool().openConnections()));
-        requests.schedule(GAUGE_INTERVAL, this::updateGauges);
+                .forEach((id, database) -> metrics.setDatabaseUsage(
+                        id,
+                        database.queue().outstandingStatements(),
+                        database.pool().openConnections()));
+        requestDispatcher.schedule(GAUGE_INTERVAL, this::updateGauges);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
@@ -30,7 +30,7 @@
 final class ReadPath {
     private static final Duration CATCH_UP_WAIT = Duration.ofMillis(20);
     private static final Duration REGION_ROUND_TRIP = Duration.ofMillis(16);
-    private static final Duration MIN_ATTEMPT = Duration.ofMillis(250);
+    private static final Duration MIN_ATTEMPT_TIME = Duration.ofMillis(250);
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
@@ -74,24 +74,24 @@
         private final Set<String> failedDatabases = new HashSet<>();
 
         /** The position that must have been applied; empty until the primary was asked for it. */
-        private Optional<LogPosition> floor;
+        private Optional<LogPosition> minPosition;
 
         private Read(StatementRequest request) {
             this.request = request;
             boolean lostToken = request.request().getSessionToken().isEmpty()
                     && !request.request().getSessionId().isEmpty();
-            this.floor = lostToken
+            this.minPosition = lostToken
                     ? Optional.empty()
-                    : request.token().positionOf(request.group()).map(SessionPosition::minReadPosition);
+                    : request.sessionToken().positionOf(request.group()).map(SessionPosition::minReadPosition);
         }
 
         /** Makes one attempt. Completes on the dispatcher's thread. */
         CompletableFuture<ExecuteResponse> attempt() {
-            if (floor.isPresent()) {
-                return route(floor.get(), true);
+            if (minPosition.isPresent()) {
+                return route(minPosition.get(), true);
             }
             return databases.askPrimary(request.group()).thenCompose(position -> {
-                floor = Optional.of(position);
+                minPosition = Optional.of(position);
                 return route(position, true);
             });
         }
@@ -102,7 +102,8 @@
             if (group.isEmpty()) {
                 return failed(FailureType.NO_PRIMARY, request.group() + " is not in the view");
             }
-            ReadDecision decision = router.decide(candidates(group.get()), position, request.allowance(), mayWait);
+            ReadDecision decision =
+                    router.decide(candidates(group.get()), position, request.stalenessAllowance(), mayWait);
             if (decision instanceof ReadDecision.Replica replica) {
                 return execute(view, group.get(), replica.databaseId());
             }
@@ -137,31 +138,32 @@
             boolean provenPrimary = databaseId.equals(group.getPrimaryId())
                     && publisher.current().isFreshAt(sentAt);
             CompletableFuture<StatementsExecuted> answer =
-                    executor.execute(view, database, attemptOrder(sentAt), request.statements(0));
+                    executor.execute(view, database, attemptContext(sentAt), request.statements(0));
             return inFlight.watch(group.getGroup(), 0, database, answer).handle((executed, error) -> {
                 if (error != null) {
                     failedDatabases.add(databaseId);
                     throw FailureException.of(error);
                 }
-                return answer(group, databaseId, executed, provenPrimary ? Optional.of(sentAt) : Optional.empty());
+                return toResponse(group, databaseId, executed, provenPrimary ? Optional.of(sentAt) : Optional.empty());
             });
         }
 
         /** Half the time left, so that a database that does not answer leaves time for another one. */
-        private WorkOrder attemptOrder(Instant now) {
-            Duration remaining = Duration.between(now, request.order().deadline());
+        private RequestContext attemptContext(Instant now) {
+            Duration remaining = Duration.between(now, request.context().deadline());
             Duration half = remaining.dividedBy(2);
-            Duration limit = half.compareTo(MIN_ATTEMPT) > 0 ? half : MIN_ATTEMPT;
+            Duration limit = half.compareTo(MIN_ATTEMPT_TIME) > 0 ? half : MIN_ATTEMPT_TIME;
             Instant deadline = limit.compareTo(remaining) < 0
                     ? now.plus(limit)
-                    : request.order().deadline();
-            return new WorkOrder(request.order().rank(), request.order().callerId(), deadline);
+                    : request.context().deadline();
+            return new RequestContext(
+                    request.context().rank(), request.context().callerId(), deadline);
         }
 
-        private ExecuteResponse answer(
+        private ExecuteResponse toResponse(
                 GroupView group, String databaseId, StatementsExecuted executed, Optional<Instant> askedPrimaryAt) {
             LogPosition state = Envelopes.position(executed.getPosition());
-            if (!state.covers(floor.orElseThrow())) {
+            if (!state.covers(minPosition.orElseThrow())) {
                 failedDatabases.add(databaseId);
                 throw new FailureException(FailureType.NO_REPLICA_IN_TIME, databaseId + " is behind the session");
             }
@@ -170,7 +172,7 @@
             Optional<Duration> age = isPrimary
                     ? Optional.of(Duration.between(askedPrimaryAt.get(), now))
                     : databases.group(group.getGroup()).age().upperBound(state, now);
-            if (!isPrimary && (age.isEmpty() || age.get().compareTo(request.allowance()) > 0)) {
+            if (!isPrimary && (age.isEmpty() || age.get().compareTo(request.stalenessAllowance()) > 0)) {
                 failedDatabases.add(databaseId);
                 throw new FailureException(FailureType.NO_REPLICA_IN_TIME, databaseId + " may be too old");
             }
@@ -179,8 +181,9 @@
             return ExecuteResponse.newBuilder()
                     .setEffect(Effect.DONE)
                     .addAllResults(executed.getResultsList())
-                    .setSessionToken(
-                            request.token().withRead(group.getGroup(), state).encode())
+                    .setSessionToken(request.sessionToken()
+                            .withRead(group.getGroup(), state)
+                            .encode())
                     .setDatabaseId(databaseId)
                     .setFromReplica(fromReplica)
                     .setAgeBoundMs((int) age.orElseThrow().toMillis())
--- a/proxy/src/main/java/org/hornbeamspread/proxy/RelayLinks.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/RelayClient.java
@@ -27,11 +27,11 @@
  * The connections to other proxies, over which statements are relayed to the holder of a database. One connection for
  * each proxy carries all relayed statements; answers are matched by request id. Owned by the dispatcher's thread.
  */
-final class RelayLinks {
+final class RelayClient {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
     /** Given to the holder's refusal to come back: it proves that the statement did not run. */
-    private static final Duration ANSWER_MARGIN = Duration.ofMillis(10);
+    private static final Duration RESPONSE_MARGIN = Duration.ofMillis(10);
 
     private final Dispatcher dispatcher;
     private final PeerTransport transport;
@@ -39,7 +39,7 @@
     private final ProxyMetrics metrics;
     private final Map<Endpoint, CompletableFuture<PeerConnection>> connections = new HashMap<>();
 
-    RelayLinks(Dispatcher dispatcher, PeerTransport transport, PeerHandler handler, ProxyMetrics metrics) {
+    RelayClient(Dispatcher dispatcher, PeerTransport transport, PeerHandler handler, ProxyMetrics metrics) {
         this.dispatcher = dispatcher;
         this.transport = transport;
         this.handler = handler;
@@ -51,7 +51,7 @@
             Optional<ProxyEntry> holder,
             boolean otherRegion,
             DatabaseEntry database,
-            WorkOrder order,
+            RequestContext order,
             ExecuteStatements statements) {
         if (holder.isEmpty()) {
             return CompletableFuture.failedFuture(
@@ -59,18 +59,18 @@
         }
         return connection(holder.get().getPeer())
                 .thenCompose(peer -> send(peer, otherRegion, database, order, statements))
-                .thenApply(RelayLinks::executed);
+                .thenApply(RelayClient::executed);
     }
 
     private CompletableFuture<Envelope> send(
             PeerConnection peer,
             boolean otherRegion,
             DatabaseEntry database,
-            WorkOrder order,
+            RequestContext order,
             ExecuteStatements statements) {
         Instant now = dispatcher.clock().instant();
         Duration remaining = Duration.between(now, order.deadline());
-        if (remaining.compareTo(ANSWER_MARGIN) <= 0) {
+        if (remaining.compareTo(RESPONSE_MARGIN) <= 0) {
             return CompletableFuture.failedFuture(
                     new FailureException(FailureType.DEADLINE_BEFORE_START, database.getDatabaseId()));
         }
@@ -80,18 +80,18 @@
                         .setHolderEpoch(database.getHolderEpoch())
                         .setRank(order.rank())
                         .setCallerId(order.callerId())
-                        .setTimeoutMs((int) remaining.minus(ANSWER_MARGIN).toMillis())
+                        .setTimeoutMs((int) remaining.minus(RESPONSE_MARGIN).toMillis())
                         .setExecute(statements))
                 .build();
-        metrics.relayed(otherRegion, request.getSerializedSize());
+        metrics.countStatementBytes(otherRegion, request.getSerializedSize());
         CompletableFuture<Envelope> result = new CompletableFuture<>();
         peer.request(request, remaining)
                 .whenCompleteAsync(
                         (answer, error) -> {
                             if (error != null) {
-                                result.completeExceptionally(afterSend(FailureException.of(error)));
+                                result.completeExceptionally(toFailureAfterSend(FailureException.of(error)));
                             } else {
-                                metrics.relayed(otherRegion, answer.getSerializedSize());
+                                metrics.countStatementBytes(otherRegion, answer.getSerializedSize());
                                 result.complete(answer);
                             }
                         },
@@ -134,7 +134,7 @@
         return relayed.getExecuted();
     }
 
-    private static FailureException afterSend(FailureException failure) {
+    private static FailureException toFailureAfterSend(FailureException failure) {
         return switch (failure.type()) {
             case REQUEST_TIMEOUT -> new FailureException(FailureType.TIMEOUT_AFTER_SEND, "relayed");
             case CONNECTION_LOST -> new FailureException(FailureType.CONNECTION_LOST_AFTER_SEND, "relayed");
--- a/proxy/src/main/java/org/hornbeamspread/proxy/WorkOrder.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/RequestContext.java
@@ -10,8 +10,8 @@
  * @param callerId who asked
  * @param deadline when the answer must be there
  */
-record WorkOrder(String rank, String callerId, Instant deadline) {
-    private static final Duration MAX_RUN_MARGIN = Duration.ofMillis(20);
+record RequestContext(String rank, String callerId, Instant deadline) {
+    private static final Duration MAX_START_MARGIN = Duration.ofMillis(20);
     private static final int MARGIN_DIVISOR = 4;
 
     /**
@@ -20,6 +20,6 @@
      */
     Instant startBy(Instant now) {
         Duration quarter = Duration.between(now, deadline).dividedBy(MARGIN_DIVISOR);
-        return deadline.minus(quarter.compareTo(MAX_RUN_MARGIN) < 0 ? quarter : MAX_RUN_MARGIN);
+        return deadline.minus(quarter.compareTo(MAX_START_MARGIN) < 0 ? quarter : MAX_START_MARGIN);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/RetryLoop.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/RetryLoop.java
@@ -22,51 +22,51 @@
     private static final RetryPolicy POLICY = new RetryPolicy(Duration.ofMillis(5), Duration.ofMillis(50));
 
     /** How long after the deadline an attempt may still tell its own outcome. */
-    private static final Duration ANSWER_MARGIN = Duration.ofMillis(20);
+    private static final Duration RESPONSE_MARGIN = Duration.ofMillis(20);
 
     private final Dispatcher dispatcher;
     private final ProxyMetrics metrics;
-    private final BooleanSupplier cutOff;
+    private final BooleanSupplier isolatedFromControl;
     private final RetryBudget budget = new RetryBudget();
 
     RetryLoop(Dispatcher dispatcher, ProxyMetrics metrics, BooleanSupplier cutOff) {
-        this.cutOff = cutOff;
+        this.isolatedFromControl = cutOff;
         this.dispatcher = dispatcher;
         this.metrics = metrics;
     }
 
     /** Runs attempts of one request. */
     <T> CompletableFuture<T> run(StatementRequest request, Supplier<CompletableFuture<T>> attempt) {
-        budget.recordRequest(request.order().callerId(), request.order().rank());
-        Run<T> run = new Run<>(request, attempt);
+        budget.recordRequest(request.context().callerId(), request.context().rank());
+        RetriedRequest<T> run = new RetriedRequest<>(request, attempt);
         Dispatcher.Timer timer = dispatcher.schedule(
-                Duration.between(dispatcher.clock().instant(), request.order().deadline())
-                        .plus(ANSWER_MARGIN),
+                Duration.between(dispatcher.clock().instant(), request.context().deadline())
+                        .plus(RESPONSE_MARGIN),
                 run::expire);
         run.result.whenComplete((value, error) -> timer.cancel());
-        run.next();
+        run.startAttempt();
         return run.result;
     }
 
-    private final class Run<T> {
+    private final class RetriedRequest<T> {
         private final StatementRequest request;
         private final Supplier<CompletableFuture<T>> attempt;
         private final CompletableFuture<T> result = new CompletableFuture<>();
         private int attempts;
-        private Optional<FailureException> unknown = Optional.empty();
+        private Optional<FailureException> firstUnknownOutcome = Optional.empty();
 
-        Run(StatementRequest request, Supplier<CompletableFuture<T>> attempt) {
+        RetriedRequest(StatementRequest request, Supplier<CompletableFuture<T>> attempt) {
             this.request = request;
             this.attempt = attempt;
         }
 
-        void next() {
+        void startAttempt() {
             attempts++;
             Futures.start(attempt).whenComplete((value, error) -> {
                 if (error == null) {
                     result.complete(value);
                 } else {
-                    failed(FailureException.of(error));
+                    onAttemptFailed(FailureException.of(error));
                 }
             });
         }
@@ -76,38 +76,38 @@
             fail(new FailureException(FailureType.TIMEOUT_AFTER_SEND, "attempt " + attempts));
         }
 
-        private void failed(FailureException failure) {
+        private void onAttemptFailed(FailureException failure) {
             if (result.isDone()) {
                 return;
             }
-            if (unknown.isEmpty() && failure.type().effect() != Effect.NOT_RUN) {
-                unknown = Optional.of(failure);
+            if (firstUnknownOutcome.isEmpty() && failure.type().effect() != Effect.NOT_RUN) {
+                firstUnknownOutcome = Optional.of(failure);
             }
             Instant now = dispatcher.clock().instant();
-            Duration remaining = Duration.between(now, request.order().deadline());
+            Duration remaining = Duration.between(now, request.context().deadline());
             Optional<Duration> pause = POLICY.nextBackoff(failure.type(), request.kind(), attempts, remaining);
-            if (pause.isEmpty() || (failure.type().effect() == Effect.NOT_RUN && cutOff.getAsBoolean())) {
+            if (pause.isEmpty() || (failure.type().effect() == Effect.NOT_RUN && isolatedFromControl.getAsBoolean())) {
                 fail(failure);
                 return;
             }
-            Optional<FailureException> spent = charge(failure);
+            Optional<FailureException> spent = spendRetryBudget(failure);
             if (spent.isPresent()) {
                 fail(spent.get());
                 return;
             }
             metrics.retried(failure.type());
-            dispatcher.schedule(pause.get(), this::next);
+            dispatcher.schedule(pause.get(), this::startAttempt);
         }
 
-        private Optional<FailureException> charge(FailureException failure) {
+        private Optional<FailureException> spendRetryBudget(FailureException failure) {
             return RetryPolicy.consumesRetryBudget(failure.type())
                     ? budget.spendRetry(
-                            request.order().callerId(), request.order().rank())
+                            request.context().callerId(), request.context().rank())
                     : Optional.empty();
         }
 
         private void fail(FailureException last) {
-            result.completeExceptionally(unknown.orElse(last));
+            result.completeExceptionally(firstUnknownOutcome.orElse(last));
         }
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/SlotQueue.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/SlotQueue.java
@@ -16,7 +16,7 @@
     private final Dispatcher dispatcher;
     private final SlotScheduler scheduler;
     private final QueueLimits limits;
-    private final Map<Long, Work<?>> waiting = new HashMap<>();
+    private final Map<Long, QueuedTask<?>> waiting = new HashMap<>();
     private long nextRequestId;
     private boolean closed;
 
@@ -30,13 +30,13 @@
      * Takes a slot, runs something, and gives the slot back when its future ends. Without a slot in time it fails with
      * DEADLINE_BEFORE_START, QUEUE_FULL or WRONG_HOLDER, and nothing was run.
      */
-    <T> CompletableFuture<T> run(WorkOrder order, Supplier<CompletableFuture<T>> body) {
+    <T> CompletableFuture<T> run(RequestContext order, Supplier<CompletableFuture<T>> body) {
         if (closed) {
             return CompletableFuture.failedFuture(new FailureException(FailureType.WRONG_HOLDER, "no longer held"));
         }
         Instant now = dispatcher.clock().instant();
         SlotRequest request = new SlotRequest(nextRequestId++, order.rank(), now, startBy(order, now));
-        Work<T> work = new Work<>(request, body);
+        QueuedTask<T> work = new QueuedTask<>(request, body);
         waiting.put(request.requestId(), work);
         Optional<FailureException> refusal = scheduler.offer(request);
         if (refusal.isPresent()) {
@@ -44,14 +44,14 @@
             work.result.completeExceptionally(refusal.get());
             return work.result;
         }
-        startWork();
+        startQueued();
         return work.result;
     }
 
     /** Refuses what can't start in time any more. Called every now and then. */
     void expire() {
         for (SlotRequest late : scheduler.removeExpired(dispatcher.clock().instant())) {
-            Work<?> work = waiting.remove(late.requestId());
+            QueuedTask<?> work = waiting.remove(late.requestId());
             if (work != null) {
                 work.result.completeExceptionally(new FailureException(FailureType.DEADLINE_BEFORE_START, late.rank()));
             }
@@ -61,7 +61,7 @@
     /** Refuses what waits; what runs ends by itself. */
     void close() {
         closed = true;
-        for (Work<?> work : Map.copyOf(waiting).values()) {
+        for (QueuedTask<?> work : Map.copyOf(waiting).values()) {
             if (scheduler.cancel(work.request)) {
                 waiting.remove(work.request.requestId());
                 work.result.completeExceptionally(new FailureException(FailureType.WRONG_HOLDER, "no longer held"));
@@ -70,29 +70,29 @@
     }
 
     /** Statements that wait or run. */
-    int statements() {
+    int outstandingStatements() {
         return scheduler.waitingRequests() + scheduler.slotsInUse();
     }
 
-    private Instant startBy(WorkOrder order, Instant now) {
+    private Instant startBy(RequestContext order, Instant now) {
         Instant byDeadline = order.startBy(now);
         Instant byRank = now.plus(limits.maxWait(order.rank()));
         return byRank.isBefore(byDeadline) ? byRank : byDeadline;
     }
 
-    private void startWork() {
+    private void startQueued() {
         Optional<SlotRequest> next = scheduler.poll(dispatcher.clock().instant());
         while (next.isPresent()) {
-            Work<?> work = waiting.remove(next.get().requestId());
+            QueuedTask<?> work = waiting.remove(next.get().requestId());
             start(work);
             next = scheduler.poll(dispatcher.clock().instant());
         }
     }
 
-    private <T> void start(Work<T> work) {
+    private <T> void start(QueuedTask<T> work) {
         CompletableFuture<T> running;
         if (dispatcher.clock().instant().isBefore(work.request.startBy())) {
-            running = Futures.start(work.body);
+            running = Futures.start(work.task);
         } else {
             running = CompletableFuture.failedFuture(
                     new FailureException(FailureType.DEADLINE_BEFORE_START, work.request.rank()));
@@ -101,19 +101,19 @@
                 (value, error) -> {
                     scheduler.complete(work.request, dispatcher.clock().instant());
                     Futures.complete(work.result, value, error);
-                    startWork();
+                    startQueued();
                 },
                 dispatcher);
     }
 
-    private static final class Work<T> {
+    private static final class QueuedTask<T> {
         private final SlotRequest request;
-        private final Supplier<CompletableFuture<T>> body;
+        private final Supplier<CompletableFuture<T>> task;
         private final CompletableFuture<T> result = new CompletableFuture<>();
 
-        Work(SlotRequest request, Supplier<CompletableFuture<T>> body) {
+        QueuedTask(SlotRequest request, Supplier<CompletableFuture<T>> body) {
             this.request = request;
-            this.body = body;
+            this.task = body;
         }
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/StatementRequest.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/StatementRequest.java
@@ -24,13 +24,13 @@
 record StatementRequest(
         ExecuteRequest request,
         String group,
-        SessionToken token,
+        SessionToken sessionToken,
         StatementKind kind,
-        Duration allowance,
-        WorkOrder order) {
-    private static final int FALLBACK_TIMEOUT_MS = 2_000;
+        Duration stalenessAllowance,
+        RequestContext context) {
+    private static final int DEFAULT_TIMEOUT_MS = 2_000;
     private static final int MAX_TIMEOUT_MS = 60_000;
-    private static final int MAX_KEY_CHARACTERS = 256;
+    private static final int MAX_IDEMPOTENCY_KEY_CHARACTERS = 256;
 
     /**
      * Checks a request against a view. Fails with NO_VIEW, INVALID_REQUEST, INVALID_TOKEN, UNKNOWN_SERVICE,
@@ -50,7 +50,7 @@
                 SessionToken.decode(request.getSessionToken()),
                 kind,
                 allowance(request, service),
-                new WorkOrder(request.getRank(), request.getCallerId(), now.plusMillis(timeoutMs)));
+                new RequestContext(request.getRank(), request.getCallerId(), now.plusMillis(timeoutMs)));
     }
 
     /** The service of a request. */
@@ -72,7 +72,7 @@
         if (timeoutMs < 0 || timeoutMs > MAX_TIMEOUT_MS) {
             throw new FailureException(FailureType.INVALID_REQUEST, "timeout_ms above " + MAX_TIMEOUT_MS);
         }
-        return timeoutMs == 0 ? FALLBACK_TIMEOUT_MS : timeoutMs;
+        return timeoutMs == 0 ? DEFAULT_TIMEOUT_MS : timeoutMs;
     }
 
     /** The statements as a database takes them, at a term; term 0 for reads. */
@@ -90,7 +90,7 @@
             return StatementKind.READ;
         }
         String key = request.getIdempotencyKey();
-        if (key.length() > MAX_KEY_CHARACTERS) {
+        if (key.length() > MAX_IDEMPOTENCY_KEY_CHARACTERS) {
             throw new FailureException(FailureType.INVALID_REQUEST, "the idempotency key is too long");
         }
         if (key.isEmpty() && request.getNonRepeatable()) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
@@ -24,7 +24,7 @@
  */
 final class StatementsService {
     private static final String SERVICE = "hornbeamspread.Statements/";
-    private static final String NO_RANK = "unknown";
+    private static final String UNKNOWN_RANK_LABEL = "unknown";
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
@@ -84,7 +84,7 @@
     /** Runs statements; from any thread. */
     CompletableFuture<ExecuteResponse> execute(ExecuteRequest request) {
         Instant arrivedAt = dispatcher.clock().instant();
-        String rank = knownRank(request.getRank());
+        String rank = rankLabel(request.getRank());
         String kind = request.getReadOnly() ? "read" : "write";
         return admit(() -> run(request, arrivedAt), request.getTransactionId().isEmpty())
                 .handle((answer, error) -> {
@@ -94,7 +94,7 @@
                     Duration taken =
                             Duration.between(arrivedAt, dispatcher.clock().instant());
                     metrics.answered(kind, rank, response.getEffect().name(), taken);
-                    return signed(response);
+                    return withProxyId(response);
                 });
     }
 
@@ -106,7 +106,7 @@
                 return answer;
             }
             FailureException failure = FailureException.of(error);
-            metrics.refused(failure.type(), knownRank(request.getRank()));
+            metrics.refused(failure.type(), rankLabel(request.getRank()));
             return TransactionService.failed(failure);
         });
     }
@@ -122,10 +122,10 @@
     private CompletableFuture<ExecuteResponse> end(
             EndRequest request, Function<EndRequest, CompletableFuture<ExecuteResponse>> method) {
         return admit(() -> method.apply(request), false)
-                .handle((answer, error) -> signed(
+                .handle((answer, error) -> withProxyId(
                         error == null
                                 ? answer
-                                : failure(request.getSessionToken(), NO_RANK, FailureException.of(error))));
+                                : failure(request.getSessionToken(), UNKNOWN_RANK_LABEL, FailureException.of(error))));
     }
 
     private CompletableFuture<ExecuteResponse> run(ExecuteRequest request, Instant arrivedAt) {
@@ -143,7 +143,7 @@
     /** Runs work on the dispatcher's thread. A drained proxy takes nothing new, but lets open transactions end. */
     private <T> CompletableFuture<T> admit(Supplier<CompletableFuture<T>> work, boolean startsWork) {
         CompletableFuture<T> result = new CompletableFuture<>();
-        metrics.inProgress(inProgress.incrementAndGet());
+        metrics.setRequestsInProgress(inProgress.incrementAndGet());
         if (closed && startsWork) {
             result.completeExceptionally(new FailureException(FailureType.DRAINING, settings.proxyId()));
         } else if (inProgress.get() > settings.maxRequests()) {
@@ -152,7 +152,7 @@
                 () -> Futures.start(work).whenComplete((answer, error) -> Futures.complete(result, answer, error)))) {
             result.completeExceptionally(new FailureException(FailureType.RING_FULL, "requests"));
         }
-        return result.whenComplete((answer, error) -> metrics.inProgress(inProgress.decrementAndGet()));
+        return result.whenComplete((answer, error) -> metrics.setRequestsInProgress(inProgress.decrementAndGet()));
     }
 
     private ExecuteResponse failure(String token, String rank, FailureException failure) {
@@ -165,14 +165,14 @@
     }
 
     /** Names the proxy that answered; a passed-on answer keeps its own. */
-    private ExecuteResponse signed(ExecuteResponse response) {
+    private ExecuteResponse withProxyId(ExecuteResponse response) {
         return response.getProxyId().isEmpty()
                 ? response.toBuilder().setProxyId(settings.proxyId()).build()
                 : response;
     }
 
     /** Callers must not make new time series. */
-    private String knownRank(String rank) {
-        return publisher.current().view().rank(rank).isPresent() ? rank : NO_RANK;
+    private String rankLabel(String rank) {
+        return publisher.current().view().rank(rank).isPresent() ? rank : UNKNOWN_RANK_LABEL;
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/Transactions.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/Transactions.java
@@ -93,7 +93,8 @@
             throw new FailureException(FailureType.CONNECTION_LIMIT, "open transactions");
         }
         int timeoutMs = StatementRequest.timeoutMs(request.getTimeoutMs(), service);
-        WorkOrder order = new WorkOrder(request.getRank(), request.getCallerId(), arrivedAt.plusMillis(timeoutMs));
+        RequestContext order =
+                new RequestContext(request.getRank(), request.getCallerId(), arrivedAt.plusMillis(timeoutMs));
         return database.pool()
                 .acquire()
                 .thenCompose(connection -> beginOn(connection, request, group, database, order, timeoutMs));
@@ -102,7 +103,7 @@
     /** Runs statements inside a transaction. */
     CompletableFuture<ExecuteResponse> execute(TransactionId id, ExecuteRequest request) {
         OpenTransaction transaction = find(id, FailureType.UNKNOWN_TRANSACTION);
-        WorkOrder order = transaction.use(dispatcher.clock().instant(), request.getTimeoutMs());
+        RequestContext order = transaction.use(dispatcher.clock().instant(), request.getTimeoutMs());
         Envelope statements = Envelope.newBuilder()
                 .setExecuteStatements(ExecuteStatements.newBuilder()
                         .setTerm(
@@ -128,7 +129,7 @@
         if (!transaction.readOnly()) {
             writes.writableGroup(publisher.current(), transaction.group().getGroup());
         }
-        WorkOrder order = transaction.use(dispatcher.clock().instant(), 0);
+        RequestContext order = transaction.use(dispatcher.clock().instant(), 0);
         Envelope commit = Envelope.newBuilder()
                 .setCommitTransaction(CommitTransaction.newBuilder().setIdempotencyKey(request.getIdempotencyKey()))
                 .build();
@@ -138,7 +139,7 @@
     /** Drops a transaction's work. */
     CompletableFuture<ExecuteResponse> rollback(TransactionId id, EndRequest request) {
         OpenTransaction transaction = find(id, FailureType.UNKNOWN_TRANSACTION);
-        WorkOrder order = transaction.use(dispatcher.clock().instant(), 0);
+        RequestContext order = transaction.use(dispatcher.clock().instant(), 0);
         Envelope rollback = Envelope.newBuilder()
                 .setRollbackTransaction(RollbackTransaction.getDefaultInstance())
                 .build();
@@ -161,7 +162,7 @@
             BeginRequest request,
             GroupView group,
             HeldDatabase database,
-            WorkOrder order,
+            RequestContext order,
             int timeoutMs) {
         Envelope begin = Envelope.newBuilder()
                 .setBeginTransaction(BeginTransaction.newBuilder()
@@ -226,7 +227,8 @@
     }
 
     /** Ends the transaction at the database. Whatever comes back, the transaction is over. */
-    private CompletableFuture<TransactionEnded> end(OpenTransaction transaction, Envelope request, WorkOrder order) {
+    private CompletableFuture<TransactionEnded> end(
+            OpenTransaction transaction, Envelope request, RequestContext order) {
         return transaction
                 .database()
                 .send(transaction.connection(), request, order)
@@ -244,7 +246,7 @@
     }
 
     private CompletableFuture<ExecuteResponse> acknowledged(
-            OpenTransaction transaction, TransactionEnded ended, WorkOrder order, EndRequest request) {
+            OpenTransaction transaction, TransactionEnded ended, RequestContext order, EndRequest request) {
         SessionToken token = SessionToken.decode(request.getSessionToken());
         String group = transaction.group().getGroup();
         ExecuteResponse.Builder response = ExecuteResponse.newBuilder()
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ViewPublisher.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ViewPublisher.java
@@ -8,7 +8,7 @@
 /** Holds the leased view that everything in this proxy acts on. One thread writes it, any thread reads it. */
 final class ViewPublisher {
     /** Longer than a change of control's leader takes. */
-    private static final Duration CUT_OFF_AFTER = Duration.ofSeconds(1);
+    private static final Duration ISOLATION_THRESHOLD = Duration.ofSeconds(1);
 
     private final Clock clock;
     private volatile LeasedView current = LeasedView.NONE;
@@ -27,8 +27,8 @@
     }
 
     /** Whether the lease ran out so long ago that waiting for control is not worth a request's time. */
-    boolean isCutOff() {
-        return !current.isFreshAt(clock.instant().minus(CUT_OFF_AFTER));
+    boolean isIsolatedFromControl() {
+        return !current.isFreshAt(clock.instant().minus(ISOLATION_THRESHOLD));
     }
 
     /**
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ViewSnapshot.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ViewSnapshot.java
@@ -53,7 +53,7 @@
 
     /** This snapshot with an answer of control taken in; itself when the answer brings nothing new. */
     ViewSnapshot apply(ViewLease lease) {
-        if (lease.getLeaderTerm() < leaderTerm || isNothingNew(lease)) {
+        if (lease.getLeaderTerm() < leaderTerm || isUnchangedBy(lease)) {
             return this;
         }
         Map<String, GroupView> nextGroups = new HashMap<>(lease.getFull() ? Map.of() : groups);
@@ -75,7 +75,7 @@
                 nextProxies.isEmpty() ? proxies : nextProxies);
     }
 
-    private boolean isNothingNew(ViewLease lease) {
+    private boolean isUnchangedBy(ViewLease lease) {
         return !lease.getFull()
                 && lease.getLeaderTerm() == leaderTerm
                 && lease.getViewVersion() == version
@@ -122,7 +122,7 @@
     }
 
     /** How many databases a group is declared to have; at least as many as the view lists. */
-    int groupDatabases(GroupView group) {
+    int groupSize(GroupView group) {
         GroupDefinition definition = groupDefinitions.get(group.getGroup());
         return Math.max(definition == null ? 0 : definition.getDatabases(), group.getDatabasesCount());
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
@@ -27,10 +27,10 @@
  * only if that one still has the term. Owned by the dispatcher's thread.
  */
 final class WritePath {
-    private static final Duration LEASE_RECHECK = Duration.ofMillis(5);
+    private static final Duration LEASE_CHECK_INTERVAL = Duration.ofMillis(5);
 
     /** A departing primary still takes writes for this long, so that a planned promotion leaves no gap. */
-    private static final Duration DEPARTURE_GRACE = Duration.ofSeconds(2);
+    private static final Duration DEPARTURE_GRACE_PERIOD = Duration.ofSeconds(2);
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
@@ -55,7 +55,7 @@
     }
 
     /** Follows a new view. */
-    void view(ViewSnapshot view) {
+    void applyView(ViewSnapshot view) {
         for (DatabaseEntry database : view.databases()) {
             if (database.getDeparting()) {
                 departingSince.putIfAbsent(
@@ -78,11 +78,11 @@
             return CompletableFuture.failedFuture(e);
         }
         CompletableFuture<StatementsExecuted> answer =
-                executor.execute(leased.view(), primary, request.order(), request.statements(group.getTerm()));
+                executor.execute(leased.view(), primary, request.context(), request.statements(group.getTerm()));
         CompletableFuture<StatementsExecuted> executed = request.kind() == StatementKind.KEYED_WRITE
                 ? inFlight.watch(group.getGroup(), group.getTerm(), primary, answer)
                 : answer;
-        return executed.thenCompose(result -> acknowledge(group, result, request.order())
+        return executed.thenCompose(result -> acknowledge(group, result, request.context())
                 .thenApply(position -> response(request, group, result, position)));
     }
 
@@ -105,14 +105,14 @@
         DatabaseEntry primary = view.database(group.getPrimaryId())
                 .orElseThrow(() -> new FailureException(FailureType.NO_PRIMARY, group.getGroup()));
         Instant since = departingSince.get(primary.getDatabaseId());
-        if (since != null && !dispatcher.clock().instant().isBefore(since.plus(DEPARTURE_GRACE))) {
+        if (since != null && !dispatcher.clock().instant().isBefore(since.plus(DEPARTURE_GRACE_PERIOD))) {
             throw new FailureException(FailureType.DEPARTING, primary.getDatabaseId());
         }
         return primary;
     }
 
     /** Completes with the write's position when it may be acknowledged; until then nobody may be told of it. */
-    CompletableFuture<LogPosition> acknowledge(GroupView group, StatementsExecuted executed, WorkOrder order) {
+    CompletableFuture<LogPosition> acknowledge(GroupView group, StatementsExecuted executed, RequestContext order) {
         LogPosition position = Envelopes.position(executed.getPosition());
         CompletableFuture<LogPosition> result = new CompletableFuture<>();
         if (executed.getTerm() != group.getTerm()) {
@@ -131,14 +131,14 @@
             if (error != null) {
                 result.completeExceptionally(FailureException.of(error));
             } else {
-                confirmUnderLease(group, position, order, result);
+                completeUnderLease(group, position, order, result);
             }
         });
         return result;
     }
 
-    private void confirmUnderLease(
-            GroupView group, LogPosition position, WorkOrder order, CompletableFuture<LogPosition> result) {
+    private void completeUnderLease(
+            GroupView group, LogPosition position, RequestContext order, CompletableFuture<LogPosition> result) {
         Instant now = dispatcher.clock().instant();
         LeasedView leased = publisher.current();
         if (leased.allowsWrite(group.getGroup(), group.getTerm(), now)) {
@@ -153,11 +153,11 @@
         } else if (!now.isBefore(order.deadline())) {
             result.completeExceptionally(new FailureException(FailureType.LEASE_LOST_AFTER_SEND, group.getGroup()));
         } else {
-            dispatcher.schedule(LEASE_RECHECK, () -> confirmUnderLease(group, position, order, result));
+            dispatcher.schedule(LEASE_CHECK_INTERVAL, () -> completeUnderLease(group, position, order, result));
         }
     }
 
-    private Duration remaining(WorkOrder order) {
+    private Duration remaining(RequestContext order) {
         Duration remaining = Duration.between(dispatcher.clock().instant(), order.deadline());
         return remaining.isNegative() ? Duration.ZERO : remaining;
     }
@@ -167,8 +167,9 @@
         return ExecuteResponse.newBuilder()
                 .setEffect(Effect.DONE)
                 .addAllResults(executed.getResultsList())
-                .setSessionToken(
-                        request.token().withWrite(group.getGroup(), position).encode())
+                .setSessionToken(request.sessionToken()
+                        .withWrite(group.getGroup(), position)
+                        .encode())
                 .setReplayed(executed.getReplayed())
                 .setDatabaseId(group.getPrimaryId())
                 .build();
--- a/proxy/src/test/java/org/hornbeamspread/proxy/PartitionTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/PartitionTest.java
@@ -25,10 +25,10 @@
 
     @BeforeEach
     void cutOff() {
-        TestBed.awaitSeen(bed.first, "b", END);
+        TestBed.awaitReadableAt(bed.first, "b", END);
         bed.control.grant(false);
         clock.advance(LEASE);
-        bed.near.moveTo(1, 6);
+        bed.sameRegionReplica.moveTo(1, 6);
         bed.first.awaitApplied(TestViews.GROUP, "b", new LogPosition(1, 6)).join();
     }
 
@@ -41,7 +41,7 @@
     void readsWithinTheAllowanceAreServedFromAReplica() {
         CompletableFuture<ExecuteResponse> read =
                 bed.execute("p1", TestBed.read().build());
-        bed.near.next().executed(1, 6, "old");
+        bed.sameRegionReplica.next().executed(1, 6, "old");
         assertThat(read.join().getEffect()).isEqualTo(Effect.DONE);
         assertThat(read.join().getAgeBoundMs()).isEqualTo(LEASE.toMillis());
     }
@@ -71,8 +71,8 @@
 
     @Test
     void aReplacedHolderStartsNothing() {
-        bed.near.countConnections(9);
-        bed.near.moveTo(1, 7);
+        bed.sameRegionReplica.countConnections(9);
+        bed.sameRegionReplica.moveTo(1, 7);
         bed.first.awaitApplied(TestViews.GROUP, "b", new LogPosition(1, 7)).join();
         ExecuteResponse answer =
                 bed.execute("p1", TestBed.read().setTimeoutMs(4).build()).join();
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ProxyServerTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ProxyServerTest.java
@@ -27,7 +27,7 @@
         CompletableFuture<ExecuteResponse> write = bed.execute(proxyId, TestBed.write("key-1"));
         bed.primary.next().executed(1, 6, "done");
         assertThat(write.isDone()).isFalse();
-        bed.near.moveTo(1, 6);
+        bed.sameRegionReplica.moveTo(1, 6);
         ExecuteResponse answer = write.join();
         assertThat(answer.getEffect()).isEqualTo(Effect.DONE);
         assertThat(answer.getProxyId()).isEqualTo(proxyId);
@@ -35,39 +35,39 @@
     }
 
     @Test
-    void aSessionThatRoamsReadsItsOwnWriteAtAReplicaThatHoldsIt() {
+    void sessionReadsItsOwnWriteThroughAnotherProxyAtAReplica() {
         CompletableFuture<ExecuteResponse> write = bed.execute("p1", TestBed.write("key-1"));
         bed.primary.next().executed(1, 6, "done");
         bed.primary.moveTo(1, 6);
-        bed.far.moveTo(1, 6);
-        TestBed.awaitSeen(bed.second, "c", new LogPosition(1, 6));
+        bed.otherRegionReplica.moveTo(1, 6);
+        TestBed.awaitReadableAt(bed.second, "c", new LogPosition(1, 6));
         CompletableFuture<ExecuteResponse> read = bed.execute(
                 "p2",
                 TestBed.read().setSessionToken(write.join().getSessionToken()).build());
-        bed.far.next().executed(1, 6, "seen");
+        bed.otherRegionReplica.next().executed(1, 6, "seen");
         assertThat(read.join().getFromReplica()).isTrue();
         assertThat(read.join().getDatabaseId()).isEqualTo("c");
     }
 
     @Test
-    void anAnswerThatIsBehindTheSessionIsNotPassedOn() {
-        TestBed.awaitSeen(bed.second, "c", new LogPosition(1, 5));
+    void readResultBehindTheSessionPositionIsDiscarded() {
+        TestBed.awaitReadableAt(bed.second, "c", new LogPosition(1, 5));
         CompletableFuture<ExecuteResponse> write = bed.execute("p1", TestBed.write("key-1"));
         bed.primary.next().executed(1, 6, "done");
         bed.primary.moveTo(1, 6);
-        bed.far.moveTo(1, 6);
-        TestBed.awaitSeen(bed.second, "c", new LogPosition(1, 6));
+        bed.otherRegionReplica.moveTo(1, 6);
+        TestBed.awaitReadableAt(bed.second, "c", new LogPosition(1, 6));
         CompletableFuture<ExecuteResponse> read = bed.execute(
                 "p2",
                 TestBed.read().setSessionToken(write.join().getSessionToken()).build());
-        bed.far.next().executed(1, 5, "stale");
+        bed.otherRegionReplica.next().executed(1, 5, "stale");
         bed.primary.next().executed(1, 6, "fresh");
         assertThat(read.join().getResults(0).getRows(0).getColumns(0)).isEqualTo("fresh");
     }
 
     @Test
-    void aDepartingReplicaGetsNoMoreReads() {
-        TestBed.awaitSeen(bed.first, "b", new LogPosition(1, 5));
+    void departingReplicaReceivesNoReads() {
+        TestBed.awaitReadableAt(bed.first, "b", new LogPosition(1, 5));
         bed.publish(1, "p1", 1, "b");
         CompletableFuture<ExecuteResponse> read =
                 bed.execute("p1", TestBed.read().build());
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aSessionWithoutItsTokenIsServedFromThePrimarysPositionOnArrival() {
+    void sessionWithoutTokenReadsAtThePrimarysCurrentPosition() {
         bed.primary.moveTo(1, 9);
         CompletableFuture<ExecuteResponse> read =
                 bed.execute("p1", TestBed.read().setSessionId("agent-7").build());
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aKeyedWriteIsSentAgainToTheNewHolder() {
+    void keyedWriteIsRetriedAtTheNewHolder() {
         CompletableFuture<ExecuteResponse> write = bed.execute("p2", TestBed.write("key-1"));
         FakeDatabase.Call lost = bed.primary.next();
         bed.publish(1, "p2", 2);
@@ -93,7 +93,7 @@
         assertThat(again.request().getExecuteStatements())
                 .isEqualTo(lost.request().getExecuteStatements());
         again.executed(1, 6, "done");
-        bed.near.moveTo(1, 6);
+        bed.sameRegionReplica.moveTo(1, 6);
         assertThat(write.join().getEffect()).isEqualTo(Effect.DONE);
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/RetryLoopTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/RetryLoopTest.java
@@ -18,9 +18,9 @@
 /** The outcome of a request whose attempts end one after another as listed. */
 final class RetryLoopTest {
     private final ManualDispatcher dispatcher = new ManualDispatcher();
-    private boolean cutOff;
+    private boolean isolatedFromControl;
     private final RetryLoop retries =
-            new RetryLoop(dispatcher, new ProxyMetrics(new PrometheusRegistry()), () -> cutOff);
+            new RetryLoop(dispatcher, new ProxyMetrics(new PrometheusRegistry()), () -> isolatedFromControl);
 
     @ParameterizedTest
     @CsvSource({
@@ -35,13 +35,12 @@
         "CONNECTION_LIMIT CONNECTION_LIMIT DONE, READ, RETRY_BUDGET_SPENT, 2",
         "TIMEOUT_AFTER_SEND TIMEOUT_AFTER_SEND DONE, READ, TIMEOUT_AFTER_SEND, 2",
     })
-    void noLaterRefusalTurnsAnUnknownOutcomeIntoNotRun(
-            String attempts, StatementKind kind, String outcome, int attemptsMade) {
+    void unknownOutcomeIsNeverReportedAsNotRun(String attempts, StatementKind kind, String outcome, int attemptsMade) {
         Iterator<String> ends = Arrays.asList(attempts.split(" ", -1)).iterator();
         int[] made = {0};
         CompletableFuture<String> result = retries.run(request(kind), () -> {
             made[0]++;
-            return end(ends.next());
+            return attemptOutcome(ends.next());
         });
         dispatcher.advance(Duration.ofMillis(500));
         assertThat(result.exceptionally(
@@ -60,12 +59,13 @@
         "TIMEOUT_AFTER_SEND DONE, true, DONE, 2",
         "TIMEOUT_AFTER_SEND VIEW_EXPIRED DONE, true, TIMEOUT_AFTER_SEND, 2",
     })
-    void aProxyThatIsCutOffRefusesAtOnce(String attempts, boolean isCutOff, String outcome, int attemptsMade) {
-        cutOff = isCutOff;
-        noLaterRefusalTurnsAnUnknownOutcomeIntoNotRun(attempts, StatementKind.READ, outcome, attemptsMade);
+    void isolatedProxyDoesNotRetryAfterAnAttemptThatDidNotRun(
+            String attempts, boolean isCutOff, String outcome, int attemptsMade) {
+        isolatedFromControl = isCutOff;
+        unknownOutcomeIsNeverReportedAsNotRun(attempts, StatementKind.READ, outcome, attemptsMade);
     }
 
-    private static CompletableFuture<String> end(String name) {
+    private static CompletableFuture<String> attemptOutcome(String name) {
         return "DONE".equals(name)
                 ? CompletableFuture.completedFuture(name)
                 : CompletableFuture.failedFuture(new FailureException(FailureType.valueOf(name), ""));
@@ -78,6 +78,7 @@
                 SessionToken.EMPTY,
                 kind,
                 Duration.ZERO,
-                new WorkOrder("urgent", "agent-7", dispatcher.clock().instant().plusSeconds(1)));
+                new RequestContext(
+                        "urgent", "agent-7", dispatcher.clock().instant().plusSeconds(1)));
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/SlotQueueTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/SlotQueueTest.java
@@ -23,7 +23,7 @@
     /** The caller's timeout is 2 s, and the only slot stays taken. */
     @ParameterizedTest
     @CsvSource({"300, 149, false", "300, 151, true", "0, 1900, false", "0, 1990, true", "60000, 1990, true"})
-    void aRequestWaitsHalfItsRanksTargetOrUntilItsDeadline(int targetMs, int waitedMs, boolean refused) {
+    void requestIsRefusedAfterHalfItsRanksTargetOrAtItsLatestStart(int targetMs, int waitedMs, boolean refused) {
         Configuration configuration = Configuration.newBuilder()
                 .addRanks(RankDefinition.newBuilder().setName("urgent").setTargetMs(targetMs))
                 .build();
@@ -41,12 +41,13 @@
 
     @ParameterizedTest
     @CsvSource({"urgent, 150", "other, 86400000"})
-    void aRankWithoutALimitWaitsAsLongAsItsRequestsMay(String rank, long maxWaitMs) {
+    void maxWaitIsOneDayForARankWithoutALimit(String rank, long maxWaitMs) {
         QueueLimits limits = new QueueLimits(Map.of("urgent", Duration.ofMillis(150)));
         assertThat(limits.maxWait(rank)).isEqualTo(Duration.ofMillis(maxWaitMs));
     }
 
-    private WorkOrder order() {
-        return new WorkOrder("urgent", "agent-7", dispatcher.clock().instant().plusSeconds(2));
+    private RequestContext order() {
+        return new RequestContext(
+                "urgent", "agent-7", dispatcher.clock().instant().plusSeconds(2));
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/TestBed.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/TestBed.java
@@ -23,8 +23,8 @@
     final PeerTransport transport = new PeerTransport(2);
     final FakeControl control = new FakeControl(transport);
     final FakeDatabase primary = new FakeDatabase(transport, "a", true);
-    final FakeDatabase near = new FakeDatabase(transport, "b", false);
-    final FakeDatabase far = new FakeDatabase(transport, "c", false);
+    final FakeDatabase sameRegionReplica = new FakeDatabase(transport, "b", false);
+    final FakeDatabase otherRegionReplica = new FakeDatabase(transport, "c", false);
     final ProxyServer first;
     final ProxyServer second;
     private final RpcClient client = new RpcClient();
@@ -34,8 +34,8 @@
         first = proxy("p1", "bole", "addis", clock);
         second = proxy("p2", "sabian", "dire-dawa", clock);
         primary.moveTo(1, 5);
-        near.moveTo(1, 5);
-        far.moveTo(1, 5);
+        sameRegionReplica.moveTo(1, 5);
+        otherRegionReplica.moveTo(1, 5);
         first.start();
         second.start();
         publish(1, "p1", 1);
@@ -46,7 +46,7 @@
                 TestViews.group(
                         term,
                         true,
-                        Stream.of(primary, near, far)
+                        Stream.of(primary, sameRegionReplica, otherRegionReplica)
                                 .map(
                                         database -> TestViews.database(
                                                         database.databaseId(), database.endpoint(), holder, holderEpoch)
@@ -59,10 +59,10 @@
     }
 
     /** Until the proxy may serve a position from a replica. */
-    static void awaitSeen(ProxyServer proxy, String databaseId, LogPosition position) {
+    static void awaitReadableAt(ProxyServer proxy, String databaseId, LogPosition position) {
         proxy.awaitApplied(TestViews.GROUP, "a", position).join();
         proxy.awaitApplied(TestViews.GROUP, databaseId, position).join();
-        proxy.askPrimary(TestViews.GROUP).join();
+        proxy.primaryPosition(TestViews.GROUP).join();
     }
 
     CompletableFuture<ExecuteResponse> execute(String proxyId, ExecuteRequest request) {
--- a/proxy/src/test/java/org/hornbeamspread/proxy/TestViews.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/TestViews.java
@@ -15,7 +15,7 @@
 /** Views of one service with one group of three databases a, b and c, whose primary is a. */
 final class TestViews {
     static final String GROUP = "g1";
-    static final Map<String, String> DOMAINS = Map.of("a", "bole", "b", "piassa", "c", "sabian");
+    static final Map<String, String> FAILURE_DOMAINS = Map.of("a", "bole", "b", "piassa", "c", "sabian");
 
     private TestViews() {}
 
@@ -60,7 +60,7 @@
                 .setDatabaseId(id)
                 .setIncarnation(1)
                 .setEndpoint(endpoint)
-                .setFailureDomain(DOMAINS.get(id))
+                .setFailureDomain(FAILURE_DOMAINS.get(id))
                 .setRegion("c".equals(id) ? "dire-dawa" : "addis")
                 .setTrusted(true)
                 .setReachable(true)
--- a/proxy/src/test/java/org/hornbeamspread/proxy/TransactionTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/TransactionTest.java
@@ -53,7 +53,7 @@
         assertThat(committed.connection()).isSameInstanceAs(begun.connection());
         committed.ended(1, 7);
         assertThat(commit.isDone()).isFalse();
-        bed.near.moveTo(1, 7);
+        bed.sameRegionReplica.moveTo(1, 7);
         assertThat(commit.join().getEffect()).isEqualTo(Effect.DONE);
         assertThat(commit.join().getProxyId()).isEqualTo("p1");
         assertThat(other.join().getResults(0).getRows(0).getColumns(0)).isEqualTo("other");
@@ -84,7 +84,7 @@
         assertThat(second.connection()).isNotSameInstanceAs(late.connection());
         late.executed(1, 6, "of the first");
         second.executed(1, 7, "of the second");
-        bed.near.moveTo(1, 7);
+        bed.sameRegionReplica.moveTo(1, 7);
         assertThat(next.join().getResults(0).getRows(0).getColumns(0)).isEqualTo("of the second");
     }
 
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ViewPublisherTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ViewPublisherTest.java
@@ -15,7 +15,7 @@
     private final ViewPublisher publisher = new ViewPublisher(clock);
 
     @Test
-    void anAnswerOfAnEarlierLeaderChangesNothingAndRenewsNothing() {
+    void leaseFromAnEarlierLeaderTermIsIgnored() {
         publisher.apply(lease(2, 7, 3).build(), clock.instant());
         clock.advance(Duration.ofSeconds(1));
         assertThat(publisher.apply(lease(1, 9, 4).build(), clock.instant())).isFalse();
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void termsAndTheConfigurationOnlyMoveForward() {
+    void groupTermsAndConfigurationVersionNeverDecrease() {
         publisher.apply(lease(1, 7, 3).build(), clock.instant());
         ViewLease older = lease(2, 1, 2)
                 .setConfiguration(Configuration.newBuilder().setVersion(0))
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aDeltaKeepsWhatItDoesNotName() {
+    void deltaKeepsEntriesThatItDoesNotMention() {
         publisher.apply(lease(1, 7, 3).build(), clock.instant());
         ViewLease delta = ViewLease.newBuilder()
                 .setLeaderTerm(1)
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aWriteIsAllowedOnlyAtTheViewsTermWhileItIsWritableAndTheLeaseFresh() {
+    void writeIsAllowedOnlyAtTheViewsTermUnderAValidLease() {
         publisher.apply(lease(1, 7, 3).build(), clock.instant());
         Instant now = clock.instant();
         LeasedView leased = publisher.current();
--- a/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
@@ -46,7 +46,7 @@
 
     @BeforeEach
     void grantFirstLease() {
-        view(2, true);
+        renewView(2, true);
         report("a", 5);
     }
 
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aWriteIsAnsweredOnceTwoDatabasesHoldIt() {
+    void writeIsAcknowledgedOnceAMajorityHoldsIt() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
         answers.get(0).complete(executed(2, 7));
         assertThat(write.isDone()).isFalse();
@@ -72,34 +72,34 @@
     /** The proxy is stopped at a point on the way, and wakes after its lease: it must not acknowledge. */
     @ParameterizedTest
     @ValueSource(strings = {"before the answer", "before the majority", "between the majority and the answer"})
-    void aProxyThatSleptThroughItsLeaseDoesNotAcknowledge(String frozen) {
+    void pausedProxyDoesNotAcknowledgeAfterItsLeaseExpired(String frozen) {
         CompletableFuture<ExecuteResponse> write = write("key-1");
-        freezeIf(frozen.equals("before the answer"));
+        pauseIf(frozen.equals("before the answer"));
         answers.get(0).complete(executed(2, 7));
-        freezeIf(frozen.equals("before the majority"));
-        freezeIf(frozen.equals("between the majority and the answer"));
+        pauseIf(frozen.equals("before the majority"));
+        pauseIf(frozen.equals("between the majority and the answer"));
         report("b", 7);
         dispatcher.run();
         assertThat(write.isDone()).isFalse();
-        view(3, true);
+        renewView(3, true);
         dispatcher.advance(Duration.ofMillis(10));
         assertThat(failureOf(write)).isEqualTo(FailureType.TERM_CHANGED_AFTER_SEND);
     }
 
     @Test
-    void aLeaseThatIsRenewedAtTheSameTermLetsTheWriteThrough() {
+    void writeIsAcknowledgedAfterLeaseRenewalAtTheSameTerm() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
         answers.get(0).complete(executed(2, 7));
         dispatcher.sleep(LEASE);
         report("b", 7);
         assertThat(write.isDone()).isFalse();
-        view(2, true);
+        renewView(2, true);
         dispatcher.advance(Duration.ofMillis(10));
         assertThat(write.join().getReplayed()).isFalse();
     }
 
     @Test
-    void aLeaseThatIsNeverRenewedLeavesTheOutcomeUnknown() {
+    void outcomeIsUnknownWhenTheLeaseIsNotRenewed() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
         answers.get(0).complete(executed(2, 7));
         dispatcher.sleep(LEASE);
@@ -109,19 +109,19 @@
     }
 
     @Test
-    void nothingIsSentWithoutAFreshLeaseOrAWritablePrimary() {
+    void writeIsNotSentWithoutAValidLeaseAndAWritablePrimary() {
         dispatcher.sleep(LEASE);
         assertThat(failureOf(write("key-1"))).isEqualTo(FailureType.VIEW_EXPIRED);
-        view(2, false);
+        renewView(2, false);
         assertThat(failureOf(write("key-1"))).isEqualTo(FailureType.NO_PRIMARY);
         assertThat(sent).isEmpty();
     }
 
     @ParameterizedTest
     @CsvSource({"a keyed write is given up for a resend, key-1, true", "a write without a key is not, '', false"})
-    void aNewTermOvertakesAnAttemptThatWaits(String name, String key, boolean givenUp) {
+    void newTermFailsPendingKeyedWritesAtOnce(String name, String key, boolean givenUp) {
         CompletableFuture<ExecuteResponse> write = write(key);
-        view(3, true);
+        renewView(3, true);
         inFlight.view(publisher.current().view());
         assertThat(write.isDone()).isEqualTo(givenUp);
         answers.get(0).complete(executed(2, 7));
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void withoutAMajorityInTimeTheOutcomeIsUnknown() {
+    void outcomeIsUnknownWithoutAMajorityBeforeTheDeadline() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
         answers.get(0).complete(executed(2, 7));
         dispatcher.advance(Duration.ofMillis(1_999));
@@ -139,18 +139,18 @@
     }
 
     @Test
-    void aDepartingPrimaryTakesWritesForAShortWhileOnly() {
+    void departingPrimaryAcceptsWritesOnlyDuringTheGracePeriod() {
         departing = true;
-        view(2, true);
+        renewView(2, true);
         dispatcher.sleep(Duration.ofMillis(1_999));
-        view(2, true);
+        renewView(2, true);
         assertThat(write("key-1").isDone()).isFalse();
         dispatcher.sleep(Duration.ofMillis(1));
         assertThat(failureOf(write("key-2"))).isEqualTo(FailureType.DEPARTING);
         assertThat(sent).hasSize(1);
     }
 
-    private void freezeIf(boolean here) {
+    private void pauseIf(boolean here) {
         if (here) {
             dispatcher.sleep(LEASE);
         }
@@ -169,15 +169,15 @@
     }
 
     private CompletableFuture<StatementsExecuted> executeAtDatabase(
-            ViewSnapshot view, DatabaseEntry database, WorkOrder order, ExecuteStatements statements) {
+            ViewSnapshot view, DatabaseEntry database, RequestContext order, ExecuteStatements statements) {
         sent.add(statements);
         answers.add(new CompletableFuture<>());
         return answers.get(answers.size() - 1);
     }
 
-    private void view(long term, boolean writable) {
+    private void renewView(long term, boolean writable) {
         version++;
-        List<DatabaseEntry> entries = TestViews.DOMAINS.keySet().stream()
+        List<DatabaseEntry> entries = TestViews.FAILURE_DOMAINS.keySet().stream()
                 .map(id -> TestViews.database(id, Endpoint.getDefaultInstance(), "p1", 1).toBuilder()
                         .setDeparting(departing)
                         .build())
@@ -187,7 +187,7 @@
                 dispatcher.clock().instant());
         ViewSnapshot view = publisher.current().view();
         databases.group(TestViews.GROUP).view(view.group(TestViews.GROUP).orElseThrow(), 3);
-        writes.view(view);
+        writes.applyView(view);
     }
 
     private void report(String id, long index) {
