--- a/proxy/src/main/java/org/hornbeamspread/proxy/QueueLimits.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/QueueLimits.java
@@ -16,7 +16,7 @@
  */
 record QueueLimits(Map<String, Duration> maxWaitByRank) {
     private static final int TARGET_DIVISOR = 2;
-    private static final Duration UNLIMITED = Duration.ofDays(1);
+    private static final Duration MAX_WAIT_WITHOUT_TARGET = Duration.ofDays(1);
 
     QueueLimits {
         maxWaitByRank = Map.copyOf(maxWaitByRank);
@@ -34,6 +34,6 @@
 
     /** The limit of a rank; a day for one without a target. */
     Duration maxWait(String rank) {
-        return maxWaitByRank.getOrDefault(rank, UNLIMITED);
+        return maxWaitByRank.getOrDefault(rank, MAX_WAIT_WITHOUT_TARGET);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
@@ -28,8 +28,8 @@
  * against the session's position and the allowance before it answers. Owned by the dispatcher's thread.
  */
 final class ReadPath {
-    private static final Duration CATCH_UP_WAIT = Duration.ofMillis(20);
-    private static final Duration REGION_ROUND_TRIP = Duration.ofMillis(16);
+    private static final Duration MAX_CATCH_UP_WAIT = Duration.ofMillis(20);
+    private static final Duration CROSS_REGION_ROUND_TRIP = Duration.ofMillis(16);
     private static final Duration MIN_ATTEMPT_TIME = Duration.ofMillis(250);
 
     private final Dispatcher dispatcher;
@@ -41,7 +41,7 @@
     private final ProxyMetrics metrics;
     private final String failureDomain;
     private final String region;
-    private final ReadRouter router = new ReadRouter(CATCH_UP_WAIT, REGION_ROUND_TRIP);
+    private final ReadRouter router = new ReadRouter(MAX_CATCH_UP_WAIT, CROSS_REGION_ROUND_TRIP);
 
     ReadPath(
             Dispatcher dispatcher,
--- a/proxy/src/main/java/org/hornbeamspread/proxy/StatementRequest.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/StatementRequest.java
@@ -49,7 +49,7 @@
                 GroupRouting.groupOf(service.getGroupsList(), request.getRoutingKey()),
                 SessionToken.decode(request.getSessionToken()),
                 kind,
-                allowance(request, service),
+                effectiveStalenessAllowance(request, service),
                 new RequestContext(request.getRank(), request.getCallerId(), now.plusMillis(timeoutMs)));
     }
 
@@ -99,7 +99,7 @@
         return key.isEmpty() ? StatementKind.UNKEYED_WRITE : StatementKind.KEYED_WRITE;
     }
 
-    private static Duration allowance(ExecuteRequest request, ServiceDefinition service) {
+    private static Duration effectiveStalenessAllowance(ExecuteRequest request, ServiceDefinition service) {
         long serviceMs = Integer.toUnsignedLong(service.getStalenessAllowanceMs());
         long requestMs = Integer.toUnsignedLong(request.getStalenessAllowanceMs());
         return Duration.ofMillis(requestMs == 0 ? serviceMs : Math.min(serviceMs, requestMs));
