--- a/proxy/src/main/java/org/hornbeamspread/proxy/PeerService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/PeerService.java
@@ -21,15 +21,15 @@
 import org.hornbeamspread.transport.PeerHandler;
 
 /**
- * Serves other proxies at the peer endpoint: runs statements at the databases that this proxy holds, and passes their
- * position reports on.
+ * The server side of the peer endpoint: executes relayed statements at the databases that this proxy holds, and forwards
+ * their position reports to the proxies that subscribed.
  */
 final class PeerService implements PeerHandler {
     private final Dispatcher dispatcher;
     private final HeldDatabases held;
     private final Databases databases;
 
-    /** Subscribers by database id; owned by the dispatcher's thread. */
+    /** Subscribers by database id; confined to the dispatcher's thread. */
     private final Map<String, List<PeerConnection>> subscribers = new HashMap<>();
 
     private final AtomicInteger inProgress = new AtomicInteger();
@@ -61,12 +61,12 @@
         dispatcher.execute(() -> subscribers.values().forEach(peers -> peers.remove(connection)));
     }
 
-    /** Relayed statements in progress; from any thread. */
+    /** The number of relayed statements in progress. Safe for any thread. */
     int inProgress() {
         return inProgress.get();
     }
 
-    /** Passes a report on to those who subscribed. Call it on the dispatcher's thread. */
+    /** Forwards a position report to its subscribers. Must run on the dispatcher's thread. */
     void forwardReport(PositionReport report) {
         List<PeerConnection> peers = subscribers.getOrDefault(report.getDatabaseId(), List.of());
         if (!peers.isEmpty()) {
@@ -77,9 +77,9 @@
 
     private void execute(RelayExecute relay, Consumer<Envelope> answer) {
         Instant deadline = dispatcher.clock().instant().plusMillis(Integer.toUnsignedLong(relay.getTimeoutMs()));
-        RequestContext order = new RequestContext(relay.getRank(), relay.getCallerId(), deadline);
+        RequestContext context = new RequestContext(relay.getRank(), relay.getCallerId(), deadline);
         inProgress.incrementAndGet();
-        held.execute(relay.getDatabaseId(), relay.getHolderEpoch(), order, relay.getExecute())
+        held.execute(relay.getDatabaseId(), relay.getHolderEpoch(), context, relay.getExecute())
                 .whenComplete((executed, error) -> {
                     answer.accept(relayResponse(executed, error));
                     inProgress.decrementAndGet();
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyMain.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyMain.java
@@ -11,12 +11,12 @@
     private static final String BINARY = "hornbeamspread-proxy";
     private static final int EXIT_FAILURE = 1;
 
-    /** How long requests in progress may take to finish once no more are accepted. */
+    /** The longest wait for requests in progress after the proxy stops accepting new ones. */
     private static final Duration DRAIN_TIMEOUT = Duration.ofSeconds(60);
 
     private ProxyMain() {}
 
-    /** Runs until SIGTERM. Exit code 2 for a refused setting. */
+    /** Runs until SIGTERM. The exit code is 2 for an invalid setting and 1 for another startup failure. */
     @SuppressWarnings("ShutdownHook")
     public static void main(String[] arguments) {
         ProxyOptions options = new ProxyOptions();
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyMetrics.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyMetrics.java
@@ -7,7 +7,7 @@
 import java.time.Duration;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** The proxy's counters. Safe for any thread. */
+/** The proxy's metrics. Safe for any thread. */
 final class ProxyMetrics {
     private static final double NANOS_PER_SECOND = 1e9;
 
@@ -22,12 +22,14 @@
     private final Histogram latency;
 
     ProxyMetrics(PrometheusRegistry registry) {
-        refusals = counter(registry, "hornbeamspread_refusals_total", "Failed answers by type", "type", "rank");
-        retries = counter(registry, "hornbeamspread_retries_total", "Further attempts by the failure before", "type");
+        refusals = counter(
+                registry, "hornbeamspread_refusals_total", "Failed responses by failure type and rank", "type", "rank");
+        retries = counter(
+                registry, "hornbeamspread_retries_total", "Retries by failure type of the previous attempt", "type");
         responses = counter(
                 registry,
                 "hornbeamspread_requests_total",
-                "Answers by kind, rank and effect",
+                "Responses by kind, rank and effect",
                 "kind",
                 "rank",
                 "effect");
@@ -44,17 +46,17 @@
                 .register(registry);
         databaseStatements = Gauge.builder()
                 .name("hornbeamspread_database_statements")
-                .help("Statements that wait or run at a held database")
+                .help("Statements queued or running at a held database")
                 .labelNames("database")
                 .register(registry);
         databaseConnections = Gauge.builder()
                 .name("hornbeamspread_database_connections")
-                .help("Connections open to a held database")
+                .help("Open connections to a held database")
                 .labelNames("database")
                 .register(registry);
         latency = Histogram.builder()
                 .name("hornbeamspread_request_seconds")
-                .help("Time to answer, by rank")
+                .help("Response time in seconds, by rank")
                 .labelNames("rank")
                 .classicOnly()
                 .classicUpperBounds(0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1, 2, 5, 10)
@@ -73,21 +75,21 @@
         retries.labelValues(type.name()).inc();
     }
 
-    void answered(String kind, String rank, String effect, Duration taken) {
+    void answered(String kind, String rank, String effect, Duration elapsed) {
         responses.labelValues(kind, rank, effect).inc();
-        latency.labelValues(rank).observe(taken.toNanos() / NANOS_PER_SECOND);
+        latency.labelValues(rank).observe(elapsed.toNanos() / NANOS_PER_SECOND);
     }
 
     void readServed(boolean fromReplica) {
         reads.labelValues(fromReplica ? "replica" : "primary").inc();
     }
 
-    /** Bytes of a relayed statement or its answer. */
+    /** Counts the bytes of a relayed statement or of its response. */
     void countStatementBytes(boolean otherRegion, int bytes) {
         peerBytes.labelValues("statements", Boolean.toString(otherRegion)).inc(bytes);
     }
 
-    /** Bytes of a position report or of a question for one. */
+    /** Counts the bytes of a position report or of a request for one. */
     void countReportBytes(boolean otherRegion, int bytes) {
         peerBytes.labelValues("reports", Boolean.toString(otherRegion)).inc(bytes);
     }
@@ -96,8 +98,8 @@
         requestsInProgress.set(count);
     }
 
-    void setDatabaseUsage(String databaseId, int waiting, int open) {
-        databaseStatements.labelValues(databaseId).set(waiting);
-        databaseConnections.labelValues(databaseId).set(open);
+    void setDatabaseUsage(String databaseId, int statements, int openConnections) {
+        databaseStatements.labelValues(databaseId).set(statements);
+        databaseConnections.labelValues(databaseId).set(openConnections);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
@@ -19,8 +19,9 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * Puts the proxy's parts together. Two duties have a thread each: "requests" owns everything that a request touches,
- * "control" keeps the view leased however busy the other is.
+ * Wires up and runs the components of the proxy. Two dispatchers have a thread each: all state of request processing is
+ * confined to the "requests" thread, and the "control" thread renews the view lease independently of the load on the
+ * "requests" thread.
  */
 final class ProxyServer implements AutoCloseable {
     private static final Logger LOG = System.getLogger(ProxyServer.class.getName());
@@ -44,7 +45,7 @@
     private final ProxyMetrics metrics;
     private final PrometheusRegistry registry = new PrometheusRegistry();
 
-    /** The view that the requests' thread acts on: what renewals confirm. */
+    /** The view that the "requests" thread has applied; lease renewals confirm its version. */
     private volatile ViewSnapshot appliedView = ViewSnapshot.NONE;
 
     private volatile List<DatabaseObservation> observations = List.of();
@@ -77,8 +78,8 @@
                 settings.proxyId());
         this.peerService = new PeerService(requestDispatcher, held, databases);
         databases.onReport(peerService::forwardReport);
-        RelayClient relays = new RelayClient(requestDispatcher, transport, RelayClient.refuseRequests(), metrics);
-        DatabaseExecutor executor = new HolderExecutor(settings.proxyId(), settings.region(), held, relays);
+        RelayClient relayClient = new RelayClient(requestDispatcher, transport, RelayClient.refuseRequests(), metrics);
+        DatabaseExecutor executor = new HolderExecutor(settings.proxyId(), settings.region(), held, relayClient);
         this.inFlight = new InFlight();
         this.writes = new WritePath(requestDispatcher, publisher, databases, executor, inFlight);
         ReadPath reads =
@@ -97,7 +98,7 @@
                 controlDispatcher, transport, settings.control(), publisher, this::renewalRequest, this::onView);
     }
 
-    /** Starts to serve. */
+    /** Opens the endpoints and starts the background tasks. */
     void start() {
         peerServer = transport.listen(settings.peerEndpoint(), peerService).join();
         http = new RpcServer(settings.httpEndpoint(), statements.methods(), this::isReady, registry);
@@ -109,7 +110,7 @@
             updateGauges();
         });
         controlLink.start();
-        LOG.log(Level.INFO, "proxy " + settings.proxyId() + " serves on port " + http.port());
+        LOG.log(Level.INFO, "proxy " + settings.proxyId() + " is listening for HTTP on port " + http.port());
     }
 
     /** The port of the HTTP endpoint. */
@@ -117,30 +118,31 @@
         return http.port();
     }
 
-    /** Completes once this proxy has seen a database apply a position. */
+    /** Completes once a position report shows that a database has applied a position. */
     CompletableFuture<Void> awaitApplied(String group, String databaseId, LogPosition position) {
         return CompletableFuture.supplyAsync(() -> databases.group(group), requestDispatcher)
                 .thenCompose(state -> state.awaitApplied(databaseId, position));
     }
 
-    /** Asks a group's primary for its position, which proves the age of the replicas. */
+    /** Requests the position of a group's primary, from which the staleness of the replicas is bounded. */
     CompletableFuture<LogPosition> primaryPosition(String group) {
         return CompletableFuture.supplyAsync(() -> databases.askPrimary(group), requestDispatcher)
-                .thenCompose(position -> position);
+                .thenCompose(future -> future);
     }
 
     /**
-     * Ends in good order: not ready at once, requests accepted for the grace time, then those in progress finished. Other
-     * proxies take over what this one holds meanwhile. Blocks.
+     * Shuts down gracefully: reports not ready at once, accepts requests for the grace period, then waits until those in
+     * progress have finished or the timeout expires. Meanwhile other proxies take over the databases that this proxy
+     * holds. Blocks the calling thread.
      */
-    void drain(Duration finishLimit) throws InterruptedException {
-        LOG.log(Level.INFO, "proxy " + settings.proxyId() + " drains");
+    void drain(Duration timeout) throws InterruptedException {
+        LOG.log(Level.INFO, "proxy " + settings.proxyId() + " is draining");
         draining = true;
         controlLink.renewNow();
         Thread.sleep(settings.drainGraceMs());
         statements.close();
-        Instant limit = requestDispatcher.clock().instant().plus(finishLimit);
-        while (!isIdle() && requestDispatcher.clock().instant().isBefore(limit)) {
+        Instant drainDeadline = requestDispatcher.clock().instant().plus(timeout);
+        while (!isIdle() && requestDispatcher.clock().instant().isBefore(drainDeadline)) {
             Thread.sleep(10);
         }
         close();
@@ -158,7 +160,7 @@
         transport.close();
         requestDispatcher.close();
         controlDispatcher.close();
-        LOG.log(Level.INFO, "proxy " + settings.proxyId() + " has ended");
+        LOG.log(Level.INFO, "proxy " + settings.proxyId() + " has stopped");
     }
 
     private boolean isReady() {
@@ -169,7 +171,7 @@
         return statements.inProgress() == 0 && peerService.inProgress() == 0 && openTransactions == 0;
     }
 
-    /** Port 0 takes a free one. */
+    /** The configured endpoint with the port that was bound, which differs when the setting has port 0. */
     private static Endpoint boundEndpoint(Endpoint setting, int port) {
         return setting.toBuilder().setPort(port).build();
     }
@@ -194,7 +196,7 @@
                 .build();
     }
 
-    /** On the control thread: hands a new view to the requests' thread, and confirms it once it is acted on. */
+    /** Called on the "control" thread: applies a new view on the "requests" thread, then confirms it to control. */
     private void onView(ViewSnapshot view) {
         requestDispatcher.execute(() -> {
             databases.view(view);
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxySettings.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxySettings.java
@@ -8,21 +8,21 @@
 import org.hornbeamspread.transport.AddressTranslator;
 
 /**
- * The proxy's checked settings.
+ * The proxy's validated settings.
  *
- * @param proxyId unique among all proxies
- * @param peerEndpoint where other proxies reach this one
- * @param httpEndpoint where callers reach this one
- * @param failureDomain where this instance is
- * @param region where this instance is
+ * @param proxyId the id of this proxy, unique among all proxies
+ * @param peerEndpoint the endpoint that other proxies connect to
+ * @param httpEndpoint the endpoint that callers connect to
+ * @param failureDomain the failure domain of this instance
+ * @param region the region of this instance
  * @param control peer endpoints of the control members
- * @param translator maps announced addresses
- * @param drainGraceMs how long requests are accepted after SIGTERM
- * @param idleTransactionMs how long a transaction may be idle
- * @param maxRequests requests in progress at once
- * @param networkThreads threads of the peer transport
- * @param slotOrder who gets a database's next slot
- * @param clusterId the system that this proxy belongs to
+ * @param translator maps announced addresses to reachable ones
+ * @param drainGraceMs how long requests are still accepted after SIGTERM
+ * @param idleTransactionMs the idle time after which an interactive transaction is closed
+ * @param maxRequests the maximum number of requests in progress
+ * @param networkThreads the number of threads of the peer transport
+ * @param slotOrder the scheduling policy for a database's slots
+ * @param clusterId the cluster that this proxy belongs to
  */
 record ProxySettings(
         String proxyId,
@@ -54,11 +54,11 @@
         checkRange("--network-threads", networkThreads, 1, MAX_THREADS);
         control = List.copyOf(control);
         if (control.isEmpty()) {
-            throw refused("--control names no endpoint");
+            throw refused("--control must list at least one endpoint");
         }
     }
 
-    /** Checks options. Fails with INVALID_SETTING. */
+    /** Validates command-line options. Fails with INVALID_SETTING. */
     static ProxySettings of(ProxyOptions options) {
         return new ProxySettings(
                 options.proxyId,
@@ -78,13 +78,13 @@
 
     private static void checkName(String flag, String value) {
         if (value.isBlank() || value.indexOf(':') >= 0) {
-            throw refused(flag + " must be given and have no colon");
+            throw refused(flag + " is required and must not contain a colon");
         }
     }
 
     private static void checkRange(String flag, long value, long min, long max) {
         if (value < min || value > max) {
-            throw refused(flag + " must be " + min + " to " + max);
+            throw refused(flag + " must be from " + min + " to " + max);
         }
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/QueueLimits.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/QueueLimits.java
@@ -7,12 +7,13 @@
 import org.hornbeamspread.protocol.schema.RankDefinition;
 
 /**
- * How long a request of each rank may wait for a slot.
+ * The longest time that a request of each rank may wait for a slot.
  *
- * <p>In a flood a queue is always as long as its limit allows. A limit at the request's timeout would serve everybody
- * late; a limit at the rank's target as well, since the statement and its acknowledgement come on top. Half of the
- * target leaves them the other half, and who can't start by then is refused, not run, while there is still time to go
- * elsewhere.
+ * <p>Under overload a queue always grows to its limit. With a limit equal to the request's timeout, every request would
+ * be answered late. A limit equal to the rank's latency target would also be too long, because the execution of the
+ * statement and its acknowledgement take additional time. The limit is therefore half of the target, which leaves the
+ * other half for execution and acknowledgement. A request that can't start within the limit is refused without being
+ * run, while the caller still has time to use another proxy.
  */
 record QueueLimits(Map<String, Duration> maxWaitByRank) {
     private static final int TARGET_DIVISOR = 2;
@@ -22,7 +23,7 @@
         maxWaitByRank = Map.copyOf(maxWaitByRank);
     }
 
-    /** The limits of a configuration's ranks. */
+    /** The limits for the ranks of a configuration. */
     static QueueLimits of(Configuration configuration) {
         return new QueueLimits(configuration.getRanksList().stream()
                 .filter(rank -> rank.getTargetMs() != 0)
@@ -32,7 +33,7 @@
                                 .dividedBy(TARGET_DIVISOR))));
     }
 
-    /** The limit of a rank; a day for one without a target. */
+    /** The limit for a rank; one day for a rank without a latency target. */
     Duration maxWait(String rank) {
         return maxWaitByRank.getOrDefault(rank, MAX_WAIT_WITHOUT_TARGET);
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
@@ -24,8 +24,9 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * Reads: chooses a database by {@link ReadRouter}, runs the statements there, and checks the state that was really read
- * against the session's position and the allowance before it answers. Owned by the dispatcher's thread.
+ * Executes reads. {@link ReadRouter} selects the database. After execution, the position of the state that was read is
+ * validated against the session's position and the staleness allowance before the response is sent. Confined to the
+ * dispatcher's thread.
  */
 final class ReadPath {
     private static final Duration MAX_CATCH_UP_WAIT = Duration.ofMillis(20);
@@ -63,29 +64,29 @@
         this.region = settings.region();
     }
 
-    /** A read that may take several attempts. */
+    /** Creates a read, which may take several attempts. */
     Read read(StatementRequest request) {
         return new Read(request);
     }
 
-    /** One read: what its attempts have in common. */
+    /** The state that the attempts of one read share. */
     final class Read {
         private final StatementRequest request;
         private final Set<String> failedDatabases = new HashSet<>();
 
-        /** The position that must have been applied; empty until the primary was asked for it. */
+        /** The position that a database must have applied; empty until it has been requested from the primary. */
         private Optional<LogPosition> minPosition;
 
         private Read(StatementRequest request) {
             this.request = request;
-            boolean lostToken = request.request().getSessionToken().isEmpty()
+            boolean sessionWithoutToken = request.request().getSessionToken().isEmpty()
                     && !request.request().getSessionId().isEmpty();
-            this.minPosition = lostToken
+            this.minPosition = sessionWithoutToken
                     ? Optional.empty()
                     : request.sessionToken().positionOf(request.group()).map(SessionPosition::minReadPosition);
         }
 
-        /** Makes one attempt. Completes on the dispatcher's thread. */
+        /** Executes one attempt. Completes on the dispatcher's thread. */
         CompletableFuture<ExecuteResponse> attempt() {
             if (minPosition.isPresent()) {
                 return route(minPosition.get(), true);
@@ -111,7 +112,7 @@
                 return execute(view, group.get(), primary.databaseId());
             }
             if (decision instanceof ReadDecision.WaitForReplica wait) {
-                return awaitReplica(wait, position).thenCompose(nothing -> route(position, false));
+                return awaitReplica(wait, position).thenCompose(ignored -> route(position, false));
             }
             failedDatabases.clear();
             return failed(((ReadDecision.Refuse) decision).type(), request.group());
@@ -135,7 +136,7 @@
         private CompletableFuture<ExecuteResponse> execute(ViewSnapshot view, GroupView group, String databaseId) {
             DatabaseEntry database = view.database(databaseId).orElseThrow();
             Instant sentAt = dispatcher.clock().instant();
-            boolean provenPrimary = databaseId.equals(group.getPrimaryId())
+            boolean primaryUnderLease = databaseId.equals(group.getPrimaryId())
                     && publisher.current().isFreshAt(sentAt);
             CompletableFuture<StatementsExecuted> answer =
                     executor.execute(view, database, attemptContext(sentAt), request.statements(0));
@@ -144,11 +145,15 @@
                     failedDatabases.add(databaseId);
                     throw FailureException.of(error);
                 }
-                return toResponse(group, databaseId, executed, provenPrimary ? Optional.of(sentAt) : Optional.empty());
+                return toResponse(
+                        group, databaseId, executed, primaryUnderLease ? Optional.of(sentAt) : Optional.empty());
             });
         }
 
-        /** Half the time left, so that a database that does not answer leaves time for another one. */
+        /**
+         * The deadline of an attempt is after half of the remaining time, but at least {@link #MIN_ATTEMPT_TIME}, so that a
+         * database that does not respond leaves time for an attempt at another one.
+         */
         private RequestContext attemptContext(Instant now) {
             Duration remaining = Duration.between(now, request.context().deadline());
             Duration half = remaining.dividedBy(2);
@@ -161,20 +166,22 @@
         }
 
         private ExecuteResponse toResponse(
-                GroupView group, String databaseId, StatementsExecuted executed, Optional<Instant> askedPrimaryAt) {
+                GroupView group, String databaseId, StatementsExecuted executed, Optional<Instant> sentToPrimaryAt) {
             LogPosition state = Envelopes.position(executed.getPosition());
             if (!state.covers(minPosition.orElseThrow())) {
                 failedDatabases.add(databaseId);
-                throw new FailureException(FailureType.NO_REPLICA_IN_TIME, databaseId + " is behind the session");
+                throw new FailureException(
+                        FailureType.NO_REPLICA_IN_TIME, databaseId + " has not applied the required position");
             }
-            boolean isPrimary = askedPrimaryAt.isPresent() && executed.getTerm() == group.getTerm();
+            boolean isPrimary = sentToPrimaryAt.isPresent() && executed.getTerm() == group.getTerm();
             Instant now = dispatcher.clock().instant();
-            Optional<Duration> age = isPrimary
-                    ? Optional.of(Duration.between(askedPrimaryAt.get(), now))
+            Optional<Duration> staleness = isPrimary
+                    ? Optional.of(Duration.between(sentToPrimaryAt.get(), now))
                     : databases.group(group.getGroup()).age().upperBound(state, now);
-            if (!isPrimary && (age.isEmpty() || age.get().compareTo(request.stalenessAllowance()) > 0)) {
+            if (!isPrimary && (staleness.isEmpty() || staleness.get().compareTo(request.stalenessAllowance()) > 0)) {
                 failedDatabases.add(databaseId);
-                throw new FailureException(FailureType.NO_REPLICA_IN_TIME, databaseId + " may be too old");
+                throw new FailureException(
+                        FailureType.NO_REPLICA_IN_TIME, databaseId + " may exceed the staleness allowance");
             }
             boolean fromReplica = !databaseId.equals(group.getPrimaryId());
             metrics.readServed(fromReplica);
@@ -186,21 +193,24 @@
                             .encode())
                     .setDatabaseId(databaseId)
                     .setFromReplica(fromReplica)
-                    .setAgeBoundMs((int) age.orElseThrow().toMillis())
+                    .setAgeBoundMs((int) staleness.orElseThrow().toMillis())
                     .build();
         }
 
-        /** Without a fresh lease the primary may have been replaced; it then counts as a replica of a proven age. */
+        /**
+         * The databases of a group as candidates. Without a valid lease the primary may have been replaced; it is then
+         * treated as a replica, whose staleness must be bounded.
+         */
         private List<ReadCandidate> candidates(GroupView group) {
             GroupState state = databases.group(group.getGroup());
             Instant now = dispatcher.clock().instant();
-            boolean leaseFresh = publisher.current().isFreshAt(now);
+            boolean leaseValid = publisher.current().isFreshAt(now);
             List<ReadCandidate> candidates = new ArrayList<>();
             for (DatabaseEntry database : group.getDatabasesList()) {
                 LogPosition applied = state.applied(database.getDatabaseId());
                 candidates.add(new ReadCandidate(
                         database.getDatabaseId(),
-                        leaseFresh && database.getDatabaseId().equals(group.getPrimaryId()),
+                        leaseValid && database.getDatabaseId().equals(group.getPrimaryId()),
                         isUsable(database),
                         Proximity.of(failureDomain, region, database.getFailureDomain(), database.getRegion()),
                         applied,
--- a/proxy/src/main/java/org/hornbeamspread/proxy/RelayClient.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/RelayClient.java
@@ -24,13 +24,16 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * The connections to other proxies, over which statements are relayed to the holder of a database. One connection for
- * each proxy carries all relayed statements; answers are matched by request id. Owned by the dispatcher's thread.
+ * Relays statements to the proxies that hold the databases. All statements for one proxy share one connection, and
+ * responses are matched to requests by request id. Confined to the dispatcher's thread.
  */
 final class RelayClient {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
-    /** Given to the holder's refusal to come back: it proves that the statement did not run. */
+    /**
+     * The holder's deadline is earlier by this margin, so that its refusal arrives in time. The refusal proves that the
+     * statement did not run.
+     */
     private static final Duration RESPONSE_MARGIN = Duration.ofMillis(10);
 
     private final Dispatcher dispatcher;
@@ -46,19 +49,19 @@
         this.metrics = metrics;
     }
 
-    /** Runs statements at the holder of a database. Completes on the dispatcher's thread. */
+    /** Executes statements through the holder of a database. Completes on the dispatcher's thread. */
     CompletableFuture<StatementsExecuted> execute(
             Optional<ProxyEntry> holder,
             boolean otherRegion,
             DatabaseEntry database,
-            RequestContext order,
+            RequestContext context,
             ExecuteStatements statements) {
         if (holder.isEmpty()) {
             return CompletableFuture.failedFuture(
                     new FailureException(FailureType.DATABASE_UNREACHABLE, "the holder is not in the view"));
         }
         return connection(holder.get().getPeer())
-                .thenCompose(peer -> send(peer, otherRegion, database, order, statements))
+                .thenCompose(peer -> send(peer, otherRegion, database, context, statements))
                 .thenApply(RelayClient::executed);
     }
 
@@ -66,10 +69,10 @@
             PeerConnection peer,
             boolean otherRegion,
             DatabaseEntry database,
-            RequestContext order,
+            RequestContext context,
             ExecuteStatements statements) {
         Instant now = dispatcher.clock().instant();
-        Duration remaining = Duration.between(now, order.deadline());
+        Duration remaining = Duration.between(now, context.deadline());
         if (remaining.compareTo(RESPONSE_MARGIN) <= 0) {
             return CompletableFuture.failedFuture(
                     new FailureException(FailureType.DEADLINE_BEFORE_START, database.getDatabaseId()));
@@ -78,8 +81,8 @@
                 .setRelayExecute(RelayExecute.newBuilder()
                         .setDatabaseId(database.getDatabaseId())
                         .setHolderEpoch(database.getHolderEpoch())
-                        .setRank(order.rank())
-                        .setCallerId(order.callerId())
+                        .setRank(context.rank())
+                        .setCallerId(context.callerId())
                         .setTimeoutMs((int) remaining.minus(RESPONSE_MARGIN).toMillis())
                         .setExecute(statements))
                 .build();
@@ -100,25 +103,25 @@
     }
 
     private CompletableFuture<PeerConnection> connection(Endpoint endpoint) {
-        CompletableFuture<PeerConnection> known = connections.get(endpoint);
-        if (known != null && isUsable(known)) {
-            return known;
+        CompletableFuture<PeerConnection> existing = connections.get(endpoint);
+        if (existing != null && isUsable(existing)) {
+            return existing;
         }
-        CompletableFuture<PeerConnection> opened = new CompletableFuture<>();
-        connections.put(endpoint, opened);
+        CompletableFuture<PeerConnection> connecting = new CompletableFuture<>();
+        connections.put(endpoint, connecting);
         Futures.start(() -> transport.connect(endpoint, CONNECT_TIMEOUT, handler))
                 .whenCompleteAsync(
                         (connection, error) -> {
                             if (error != null) {
-                                connections.remove(endpoint, opened);
-                                opened.completeExceptionally(new FailureException(
-                                        FailureType.DATABASE_UNREACHABLE, "the holder can't be reached"));
+                                connections.remove(endpoint, connecting);
+                                connecting.completeExceptionally(new FailureException(
+                                        FailureType.DATABASE_UNREACHABLE, "can't connect to the holder"));
                             } else {
-                                opened.complete(connection);
+                                connecting.complete(connection);
                             }
                         },
                         dispatcher);
-        return opened;
+        return connecting;
     }
 
     private static boolean isUsable(CompletableFuture<PeerConnection> connection) {
@@ -138,12 +141,13 @@
         return switch (failure.type()) {
             case REQUEST_TIMEOUT -> new FailureException(FailureType.TIMEOUT_AFTER_SEND, "relayed");
             case CONNECTION_LOST -> new FailureException(FailureType.CONNECTION_LOST_AFTER_SEND, "relayed");
-            case CONNECTION_REFUSED -> new FailureException(FailureType.DATABASE_UNREACHABLE, "the holder is gone");
+            case CONNECTION_REFUSED ->
+                new FailureException(FailureType.DATABASE_UNREACHABLE, "the holder refused the connection");
             default -> failure;
         };
     }
 
-    /** Answers nothing: other proxies send requests to the peer endpoint, not over these connections. */
+    /** Refuses every request: other proxies send requests to the peer endpoint, not over these connections. */
     static PeerHandler refuseRequests() {
         return new PeerHandler() {
             @Override
--- a/proxy/src/main/java/org/hornbeamspread/proxy/RetryLoop.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/RetryLoop.java
@@ -13,15 +13,16 @@
 import org.hornbeamspread.core.retry.RetryPolicy;
 
 /**
- * Repeats attempts until one succeeds, the policy or the budget says no, or the deadline comes. Once an attempt ended
- * as unknown, no later refusal turns the outcome into "not run": the earlier attempt may still have run, or may run
- * yet. A proxy that is cut off from control refuses after the first attempt, so that the caller can go elsewhere while
- * there is time. Owned by the dispatcher's thread.
+ * Repeats the attempts of a request until one succeeds, the retry policy or the retry budget allows no further attempt,
+ * or the deadline expires. Once an attempt has ended with an unknown outcome, no later refusal changes the outcome to
+ * "not run", because the earlier attempt may have run or may still run. A proxy that is isolated from control does not
+ * retry an attempt that was not run, so that the caller still has time to use another proxy. Confined to the
+ * dispatcher's thread.
  */
 final class RetryLoop {
     private static final RetryPolicy POLICY = new RetryPolicy(Duration.ofMillis(5), Duration.ofMillis(50));
 
-    /** How long after the deadline an attempt may still tell its own outcome. */
+    /** How long after the deadline the outcome of the last attempt is still accepted. */
     private static final Duration RESPONSE_MARGIN = Duration.ofMillis(20);
 
     private final Dispatcher dispatcher;
@@ -35,17 +36,17 @@
         this.metrics = metrics;
     }
 
-    /** Runs attempts of one request. */
+    /** Executes one request with retries. */
     <T> CompletableFuture<T> run(StatementRequest request, Supplier<CompletableFuture<T>> attempt) {
         budget.recordRequest(request.context().callerId(), request.context().rank());
-        RetriedRequest<T> run = new RetriedRequest<>(request, attempt);
+        RetriedRequest<T> retried = new RetriedRequest<>(request, attempt);
         Dispatcher.Timer timer = dispatcher.schedule(
                 Duration.between(dispatcher.clock().instant(), request.context().deadline())
                         .plus(RESPONSE_MARGIN),
-                run::expire);
-        run.result.whenComplete((value, error) -> timer.cancel());
-        run.startAttempt();
-        return run.result;
+                retried::expire);
+        retried.result.whenComplete((value, error) -> timer.cancel());
+        retried.startAttempt();
+        return retried.result;
     }
 
     private final class RetriedRequest<T> {
@@ -71,7 +72,7 @@
             });
         }
 
-        /** Ends a request whose attempt has not ended by its deadline. */
+        /** Fails a request whose last attempt has not ended by the deadline plus the margin. */
         void expire() {
             fail(new FailureException(FailureType.TIMEOUT_AFTER_SEND, "attempt " + attempts));
         }
@@ -85,18 +86,19 @@
             }
             Instant now = dispatcher.clock().instant();
             Duration remaining = Duration.between(now, request.context().deadline());
-            Optional<Duration> pause = POLICY.nextBackoff(failure.type(), request.kind(), attempts, remaining);
-            if (pause.isEmpty() || (failure.type().effect() == Effect.NOT_RUN && isolatedFromControl.getAsBoolean())) {
+            Optional<Duration> backoff = POLICY.nextBackoff(failure.type(), request.kind(), attempts, remaining);
+            if (backoff.isEmpty()
+                    || (failure.type().effect() == Effect.NOT_RUN && isolatedFromControl.getAsBoolean())) {
                 fail(failure);
                 return;
             }
-            Optional<FailureException> spent = spendRetryBudget(failure);
-            if (spent.isPresent()) {
-                fail(spent.get());
+            Optional<FailureException> refusal = spendRetryBudget(failure);
+            if (refusal.isPresent()) {
+                fail(refusal.get());
                 return;
             }
             metrics.retried(failure.type());
-            dispatcher.schedule(pause.get(), this::startAttempt);
+            dispatcher.schedule(backoff.get(), this::startAttempt);
         }
 
         private Optional<FailureException> spendRetryBudget(FailureException failure) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/SchedulerFactory.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/SchedulerFactory.java
@@ -4,8 +4,8 @@
 import org.hornbeamspread.protocol.schema.Configuration;
 import org.hornbeamspread.protocol.schema.DatabaseEntry;
 
-/** Makes the scheduler of a database that this proxy takes up. */
+/** Creates the slot scheduler of a database when this proxy becomes its holder. */
 interface SchedulerFactory {
-    /** A scheduler for a database's slots and the ranks of a configuration. */
+    /** Creates a scheduler for a database's slots and the ranks of a configuration. */
     SlotScheduler create(Configuration configuration, DatabaseEntry database);
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/SlotOrder.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/SlotOrder.java
@@ -14,23 +14,23 @@
 import org.hornbeamspread.protocol.schema.Configuration;
 import org.hornbeamspread.protocol.schema.RankDefinition;
 
-/** Who gets a database's next slot. */
+/** The scheduling policy that assigns a database's slots to waiting requests. */
 enum SlotOrder {
-    /** By worth, with a guaranteed share for each rank. */
+    /** Priority by the rank's worth, with a guaranteed share of the slot time for each rank. */
     RANK {
         @Override
         SlotScheduler scheduler(Configuration configuration, int slots, Instant now) {
             return new RankScheduler(slots, settings(configuration), now);
         }
     },
-    /** By worth alone. */
+    /** Strict priority by the rank's worth, without guaranteed shares. */
     STRICT {
         @Override
         SlotScheduler scheduler(Configuration configuration, int slots, Instant now) {
             return new StrictPriorityScheduler(slots, settings(configuration));
         }
     },
-    /** In order of arrival. */
+    /** First in, first out, for all ranks. */
     FIFO {
         @Override
         SlotScheduler scheduler(Configuration configuration, int slots, Instant now) {
@@ -38,9 +38,10 @@
         }
     };
 
+    /** Maximum number of waiting requests: for each rank, or for all ranks together with {@link #FIFO}. */
     private static final int QUEUE_LIMIT = 1_000;
 
-    /** The order of a setting's text. Fails with INVALID_SETTING. */
+    /** Parses the value of --slot-order. Fails with INVALID_SETTING. */
     static SlotOrder parse(String text) {
         return Arrays.stream(values())
                 .filter(order -> order.name().toLowerCase(Locale.ROOT).equals(text))
@@ -49,7 +50,7 @@
                         new FailureException(FailureType.INVALID_SETTING, "--slot-order must be rank, strict or fifo"));
     }
 
-    /** A scheduler of one database's slots. */
+    /** Creates a scheduler for the slots of one database. */
     abstract SlotScheduler scheduler(Configuration configuration, int slots, Instant now);
 
     private static List<RankSettings> settings(Configuration configuration) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/SlotQueue.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/SlotQueue.java
@@ -11,7 +11,10 @@
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** Runs work when a scheduler gives it a slot of one database. Owned by the dispatcher's thread. */
+/**
+ * Queues tasks for the slots of one database, and starts each task when the scheduler assigns a slot to it. Confined to
+ * the dispatcher's thread.
+ */
 final class SlotQueue {
     private final Dispatcher dispatcher;
     private final SlotScheduler scheduler;
@@ -27,80 +30,84 @@
     }
 
     /**
-     * Takes a slot, runs something, and gives the slot back when its future ends. Without a slot in time it fails with
-     * DEADLINE_BEFORE_START, QUEUE_FULL or WRONG_HOLDER, and nothing was run.
+     * Runs a task in a slot, which is released when the task's future completes. When the task is not started, fails with
+     * DEADLINE_BEFORE_START if no slot was free in time, with QUEUE_FULL, or with WRONG_HOLDER if this queue is closed;
+     * nothing has been run then.
      */
-    <T> CompletableFuture<T> run(RequestContext order, Supplier<CompletableFuture<T>> body) {
+    <T> CompletableFuture<T> run(RequestContext context, Supplier<CompletableFuture<T>> task) {
         if (closed) {
-            return CompletableFuture.failedFuture(new FailureException(FailureType.WRONG_HOLDER, "no longer held"));
+            return CompletableFuture.failedFuture(
+                    new FailureException(FailureType.WRONG_HOLDER, "the queue of the database is closed"));
         }
         Instant now = dispatcher.clock().instant();
-        SlotRequest request = new SlotRequest(nextRequestId++, order.rank(), now, startBy(order, now));
-        QueuedTask<T> work = new QueuedTask<>(request, body);
-        waiting.put(request.requestId(), work);
+        SlotRequest request = new SlotRequest(nextRequestId++, context.rank(), now, startBy(context, now));
+        QueuedTask<T> queued = new QueuedTask<>(request, task);
+        waiting.put(request.requestId(), queued);
         Optional<FailureException> refusal = scheduler.offer(request);
         if (refusal.isPresent()) {
             waiting.remove(request.requestId());
-            work.result.completeExceptionally(refusal.get());
-            return work.result;
+            queued.result.completeExceptionally(refusal.get());
+            return queued.result;
         }
         startQueued();
-        return work.result;
+        return queued.result;
     }
 
-    /** Refuses what can't start in time any more. Called every now and then. */
+    /** Refuses the waiting tasks that can no longer start in time. Must be called periodically. */
     void expire() {
-        for (SlotRequest late : scheduler.removeExpired(dispatcher.clock().instant())) {
-            QueuedTask<?> work = waiting.remove(late.requestId());
-            if (work != null) {
-                work.result.completeExceptionally(new FailureException(FailureType.DEADLINE_BEFORE_START, late.rank()));
+        for (SlotRequest expired : scheduler.removeExpired(dispatcher.clock().instant())) {
+            QueuedTask<?> queued = waiting.remove(expired.requestId());
+            if (queued != null) {
+                queued.result.completeExceptionally(
+                        new FailureException(FailureType.DEADLINE_BEFORE_START, expired.rank()));
             }
         }
     }
 
-    /** Refuses what waits; what runs ends by itself. */
+    /** Refuses new and waiting tasks; running tasks are left to complete. */
     void close() {
         closed = true;
-        for (QueuedTask<?> work : Map.copyOf(waiting).values()) {
-            if (scheduler.cancel(work.request)) {
-                waiting.remove(work.request.requestId());
-                work.result.completeExceptionally(new FailureException(FailureType.WRONG_HOLDER, "no longer held"));
+        for (QueuedTask<?> queued : Map.copyOf(waiting).values()) {
+            if (scheduler.cancel(queued.request)) {
+                waiting.remove(queued.request.requestId());
+                queued.result.completeExceptionally(
+                        new FailureException(FailureType.WRONG_HOLDER, "the queue of the database is closed"));
             }
         }
     }
 
-    /** Statements that wait or run. */
+    /** The number of statements that are waiting or running. */
     int outstandingStatements() {
         return scheduler.waitingRequests() + scheduler.slotsInUse();
     }
 
-    private Instant startBy(RequestContext order, Instant now) {
-        Instant byDeadline = order.startBy(now);
-        Instant byRank = now.plus(limits.maxWait(order.rank()));
-        return byRank.isBefore(byDeadline) ? byRank : byDeadline;
+    private Instant startBy(RequestContext context, Instant now) {
+        Instant startByDeadline = context.startBy(now);
+        Instant startByRankLimit = now.plus(limits.maxWait(context.rank()));
+        return startByRankLimit.isBefore(startByDeadline) ? startByRankLimit : startByDeadline;
     }
 
     private void startQueued() {
         Optional<SlotRequest> next = scheduler.poll(dispatcher.clock().instant());
         while (next.isPresent()) {
-            QueuedTask<?> work = waiting.remove(next.get().requestId());
-            start(work);
+            QueuedTask<?> queued = waiting.remove(next.get().requestId());
+            start(queued);
             next = scheduler.poll(dispatcher.clock().instant());
         }
     }
 
-    private <T> void start(QueuedTask<T> work) {
+    private <T> void start(QueuedTask<T> queued) {
         CompletableFuture<T> running;
-        if (dispatcher.clock().instant().isBefore(work.request.startBy())) {
-            running = Futures.start(work.task);
+        if (dispatcher.clock().instant().isBefore(queued.request.startBy())) {
+            running = Futures.start(queued.task);
         } else {
             running = CompletableFuture.failedFuture(
-                    new FailureException(FailureType.DEADLINE_BEFORE_START, work.request.rank()));
+                    new FailureException(FailureType.DEADLINE_BEFORE_START, queued.request.rank()));
         }
         running.whenCompleteAsync(
                 (value, error) -> {
-                    scheduler.complete(work.request, dispatcher.clock().instant());
-                    Futures.complete(work.result, value, error);
+                    scheduler.complete(queued.request, dispatcher.clock().instant());
+                    Futures.complete(queued.result, value, error);
                     startQueued();
                 },
                 dispatcher);
@@ -111,9 +118,9 @@
         private final Supplier<CompletableFuture<T>> task;
         private final CompletableFuture<T> result = new CompletableFuture<>();
 
-        QueuedTask(SlotRequest request, Supplier<CompletableFuture<T>> body) {
+        QueuedTask(SlotRequest request, Supplier<CompletableFuture<T>> task) {
             this.request = request;
-            this.task = body;
+            this.task = task;
         }
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/StatementRequest.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/StatementRequest.java
@@ -12,14 +12,14 @@
 import org.hornbeamspread.protocol.schema.ServiceDefinition;
 
 /**
- * A checked request to execute statements.
+ * A validated request to execute statements.
  *
- * @param request as it arrived
+ * @param request the request as received
  * @param group the database group that its routing key maps to
- * @param token what the session has seen
- * @param kind what a second execution would do
- * @param allowance how old a read may be; zero for the primary only
- * @param order on whose behalf, and until when
+ * @param sessionToken the positions that the session has read and written, by group
+ * @param kind the kind of the statements, which determines whether an attempt may be repeated
+ * @param stalenessAllowance the maximum staleness of a read; zero allows only the primary
+ * @param context the rank, caller and deadline of the request
  */
 record StatementRequest(
         ExecuteRequest request,
@@ -33,7 +33,7 @@
     private static final int MAX_IDEMPOTENCY_KEY_CHARACTERS = 256;
 
     /**
-     * Checks a request against a view. Fails with NO_VIEW, INVALID_REQUEST, INVALID_TOKEN, UNKNOWN_SERVICE,
+     * Validates a request against a view. Fails with NO_VIEW, INVALID_REQUEST, INVALID_TOKEN, UNKNOWN_SERVICE,
      * UNKNOWN_RANK, UNKNOWN_GROUP or KEY_REQUIRED.
      */
     static StatementRequest of(ExecuteRequest request, ViewSnapshot view, Instant now) {
@@ -53,10 +53,10 @@
                 new RequestContext(request.getRank(), request.getCallerId(), now.plusMillis(timeoutMs)));
     }
 
-    /** The service of a request. */
+    /** The definition of a service. Fails with NO_VIEW or UNKNOWN_SERVICE. */
     static ServiceDefinition service(ViewSnapshot view, String name) {
         if (!view.isConfigured()) {
-            throw new FailureException(FailureType.NO_VIEW, "not configured");
+            throw new FailureException(FailureType.NO_VIEW, "no configuration has been received from control");
         }
         return view.service(name).orElseThrow(() -> new FailureException(FailureType.UNKNOWN_SERVICE, name));
     }
@@ -75,7 +75,7 @@
         return timeoutMs == 0 ? DEFAULT_TIMEOUT_MS : timeoutMs;
     }
 
-    /** The statements as a database takes them, at a term; term 0 for reads. */
+    /** The statements in the message format for databases, at the given term; reads have term 0. */
     ExecuteStatements statements(long term) {
         return ExecuteStatements.newBuilder()
                 .setTerm(term)
--- a/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
@@ -19,8 +19,8 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * The RPCs for callers. Requests come in on HTTP threads, are counted against the limit of requests in progress, and
- * run on the dispatcher's thread. Every failure is an answer with its type and effect.
+ * The RPCs for callers. Requests arrive on HTTP threads, count towards the limit of requests in progress, and run on the
+ * dispatcher's thread. Every failure is returned as a response with the failure's type and effect.
  */
 final class StatementsService {
     private static final String SERVICE = "hornbeamspread.Statements/";
@@ -56,7 +56,7 @@
         this.settings = settings;
     }
 
-    /** The methods to serve. */
+    /** The RPC methods of this service. */
     List<RpcMethod<?, ?>> methods() {
         EndRequest end = EndRequest.getDefaultInstance();
         return List.of(
@@ -71,7 +71,7 @@
                 new RpcMethod<>(SERVICE + "Rollback", end, this::rollback, ExecuteResponse::getFailure));
     }
 
-    /** Requests in progress. */
+    /** The number of requests in progress. */
     int inProgress() {
         return inProgress.get();
     }
@@ -81,7 +81,7 @@
         closed = true;
     }
 
-    /** Runs statements; from any thread. */
+    /** Executes statements. Safe for any thread. */
     CompletableFuture<ExecuteResponse> execute(ExecuteRequest request) {
         Instant arrivedAt = dispatcher.clock().instant();
         String rank = rankLabel(request.getRank());
@@ -91,14 +91,14 @@
                     ExecuteResponse response = error == null
                             ? answer
                             : failure(request.getSessionToken(), rank, FailureException.of(error));
-                    Duration taken =
+                    Duration elapsed =
                             Duration.between(arrivedAt, dispatcher.clock().instant());
-                    metrics.answered(kind, rank, response.getEffect().name(), taken);
+                    metrics.answered(kind, rank, response.getEffect().name(), elapsed);
                     return withProxyId(response);
                 });
     }
 
-    /** Begins a transaction; from any thread. */
+    /** Begins a transaction. Safe for any thread. */
     CompletableFuture<BeginResponse> begin(BeginRequest request) {
         Instant arrivedAt = dispatcher.clock().instant();
         return admit(() -> transactions.begin(request, arrivedAt), true).handle((answer, error) -> {
@@ -132,22 +132,25 @@
         if (!request.getTransactionId().isEmpty()) {
             return transactions.execute(request);
         }
-        StatementRequest checked =
+        StatementRequest validated =
                 StatementRequest.of(request, publisher.current().view(), arrivedAt);
-        if (checked.kind() == StatementKind.READ) {
-            return retries.run(checked, reads.read(checked)::attempt);
+        if (validated.kind() == StatementKind.READ) {
+            return retries.run(validated, reads.read(validated)::attempt);
         }
-        return retries.run(checked, () -> writes.attempt(checked));
+        return retries.run(validated, () -> writes.attempt(validated));
     }
 
-    /** Runs work on the dispatcher's thread. A drained proxy takes nothing new, but lets open transactions end. */
-    private <T> CompletableFuture<T> admit(Supplier<CompletableFuture<T>> work, boolean startsWork) {
+    /**
+     * Admits a request and runs it on the dispatcher's thread. After {@link #close}, requests that start new work are
+     * refused, while open transactions may still end.
+     */
+    private <T> CompletableFuture<T> admit(Supplier<CompletableFuture<T>> work, boolean startsNewWork) {
         CompletableFuture<T> result = new CompletableFuture<>();
         metrics.setRequestsInProgress(inProgress.incrementAndGet());
-        if (closed && startsWork) {
+        if (closed && startsNewWork) {
             result.completeExceptionally(new FailureException(FailureType.DRAINING, settings.proxyId()));
         } else if (inProgress.get() > settings.maxRequests()) {
-            result.completeExceptionally(new FailureException(FailureType.RING_FULL, "too many requests"));
+            result.completeExceptionally(new FailureException(FailureType.RING_FULL, "too many requests in progress"));
         } else if (!dispatcher.tryExecute(
                 () -> Futures.start(work).whenComplete((answer, error) -> Futures.complete(result, answer, error)))) {
             result.completeExceptionally(new FailureException(FailureType.RING_FULL, "requests"));
@@ -164,14 +167,14 @@
                 .build();
     }
 
-    /** Names the proxy that answered; a passed-on answer keeps its own. */
+    /** Adds this proxy's id to a response; a relayed response keeps the id of the proxy that created it. */
     private ExecuteResponse withProxyId(ExecuteResponse response) {
         return response.getProxyId().isEmpty()
                 ? response.toBuilder().setProxyId(settings.proxyId()).build()
                 : response;
     }
 
-    /** Callers must not make new time series. */
+    /** The metric label of a rank. Unknown ranks share one label, so that callers can't create new time series. */
     private String rankLabel(String rank) {
         return publisher.current().view().rank(rank).isPresent() ? rank : UNKNOWN_RANK_LABEL;
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ViewPublisher.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ViewPublisher.java
@@ -5,9 +5,9 @@
 import java.time.Instant;
 import org.hornbeamspread.protocol.schema.ViewLease;
 
-/** Holds the leased view that everything in this proxy acts on. One thread writes it, any thread reads it. */
+/** Publishes the current leased view to all components of the proxy. One thread writes it, any thread may read it. */
 final class ViewPublisher {
-    /** Longer than a change of control's leader takes. */
+    /** Longer than a leader change of control takes. */
     private static final Duration ISOLATION_THRESHOLD = Duration.ofSeconds(1);
 
     private final Clock clock;
@@ -21,21 +21,22 @@
         return current;
     }
 
-    /** Whether the view may be trusted now. */
+    /** Whether the lease on the view is valid now. */
     boolean isFresh() {
         return current.isFreshAt(clock.instant());
     }
 
-    /** Whether the lease ran out so long ago that waiting for control is not worth a request's time. */
+    /** Whether the lease expired so long ago that a request should fail at once instead of waiting for control. */
     boolean isIsolatedFromControl() {
         return !current.isFreshAt(clock.instant().minus(ISOLATION_THRESHOLD));
     }
 
     /**
-     * Takes an answer of control in. An answer of an earlier leader changes nothing and renews nothing.
+     * Applies a lease granted by control. A lease from an earlier leader term is ignored: it changes neither the view nor
+     * the end of the lease.
      *
-     * @param sentAt when the renewal was sent
-     * @return whether there is a new snapshot to act on
+     * @param sentAt the time when the renewal request was sent
+     * @return whether the view has changed
      */
     boolean apply(ViewLease lease, Instant sentAt) {
         LeasedView before = current;
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ViewSnapshot.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ViewSnapshot.java
@@ -14,11 +14,11 @@
 import org.hornbeamspread.protocol.schema.ViewLease;
 
 /**
- * What control told this proxy about the system, at one version. Immutable; a newer one is made by {@link #apply}.
- * Terms of groups and the configuration's version only move forward, whatever an answer says.
+ * An immutable snapshot of the system's state as received from control, at one version. {@link #apply} creates a newer
+ * one. The terms of groups and the configuration's version never decrease, whatever a lease contains.
  */
 final class ViewSnapshot {
-    /** What a proxy knows before control's first answer. */
+    /** The snapshot before the first lease from control. */
     static final ViewSnapshot NONE = new ViewSnapshot(0, 0, Configuration.getDefaultInstance(), Map.of(), Map.of());
 
     private final long leaderTerm;
@@ -51,26 +51,27 @@
                         .forEach(database -> databases.put(database.getDatabaseId(), database)));
     }
 
-    /** This snapshot with an answer of control taken in; itself when the answer brings nothing new. */
+    /** This snapshot updated by a lease from control; this same object when the lease contains no change. */
     ViewSnapshot apply(ViewLease lease) {
         if (lease.getLeaderTerm() < leaderTerm || isUnchangedBy(lease)) {
             return this;
         }
         Map<String, GroupView> nextGroups = new HashMap<>(lease.getFull() ? Map.of() : groups);
         for (GroupView group : lease.getGroupsList()) {
-            GroupView known = groups.get(group.getGroup());
-            nextGroups.put(group.getGroup(), known != null && known.getTerm() > group.getTerm() ? known : group);
+            GroupView current = groups.get(group.getGroup());
+            nextGroups.put(group.getGroup(), current != null && current.getTerm() > group.getTerm() ? current : group);
         }
         lease.getRemovedGroupsList().forEach(nextGroups::remove);
         Map<String, ProxyEntry> nextProxies = new HashMap<>();
         if (lease.getProxiesChanged() || lease.getFull()) {
             lease.getProxiesList().forEach(proxy -> nextProxies.put(proxy.getProxyId(), proxy));
         }
-        boolean newer = lease.hasConfiguration() && lease.getConfiguration().getVersion() >= configuration.getVersion();
+        boolean configurationUpdated =
+                lease.hasConfiguration() && lease.getConfiguration().getVersion() >= configuration.getVersion();
         return new ViewSnapshot(
                 lease.getLeaderTerm(),
                 lease.getViewVersion(),
-                newer ? lease.getConfiguration() : configuration,
+                configurationUpdated ? lease.getConfiguration() : configuration,
                 nextGroups,
                 nextProxies.isEmpty() ? proxies : nextProxies);
     }
@@ -121,7 +122,7 @@
         return configuration;
     }
 
-    /** How many databases a group is declared to have; at least as many as the view lists. */
+    /** The configured number of databases of a group, or the number that the view lists if that is larger. */
     int groupSize(GroupView group) {
         GroupDefinition definition = groupDefinitions.get(group.getGroup());
         return Math.max(definition == null ? 0 : definition.getDatabases(), group.getDatabasesCount());
--- a/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
@@ -17,19 +17,20 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * One attempt of a write.
+ * Executes write attempts.
  *
- * <p>The write is sent to the primary of a leased view, at the view's term; the database refuses another term. Once the
- * primary has committed it, the attempt waits until a majority holds it ({@link
- * org.hornbeamspread.core.acknowledgement.QuorumTracker}). Then, with no step in between, it checks that the lease is
- * fresh <em>now</em> and that the leased view still has the term, and answers. A proxy that slept anywhere on the way,
- * also between the majority and the answer, finds its lease run out; it waits for a new lease, and acknowledges
- * only if that one still has the term. Owned by the dispatcher's thread.
+ * <p>A write is sent to the primary of a leased view, at the view's term; the database refuses any other term. Once the
+ * primary has committed the write, the attempt waits until a majority of the group holds it ({@link
+ * org.hornbeamspread.core.acknowledgement.QuorumTracker}). The attempt then checks that the lease is valid <em>now</em>
+ * and that the leased view still has the term, and responds with no step in between. If the process was paused
+ * beyond the end of the lease at any point, also between the majority and the response, this check finds the lease
+ * expired. The attempt then waits for a new lease, and acknowledges the write only if the leased view still has the term
+ * then. Confined to the dispatcher's thread.
  */
 final class WritePath {
     private static final Duration LEASE_CHECK_INTERVAL = Duration.ofMillis(5);
 
-    /** A departing primary still takes writes for this long, so that a planned promotion leaves no gap. */
+    /** How long a departing primary still accepts writes, so that a planned promotion causes no unavailability. */
     private static final Duration DEPARTURE_GRACE_PERIOD = Duration.ofSeconds(2);
 
     private final Dispatcher dispatcher;
@@ -38,7 +39,7 @@
     private final DatabaseExecutor executor;
     private final InFlight inFlight;
 
-    /** When a database was first seen departing, by id. */
+    /** The time of the first view in which a database was departing, by database id. */
     private final Map<String, Instant> departingSince = new HashMap<>();
 
     WritePath(
@@ -54,7 +55,7 @@
         this.inFlight = inFlight;
     }
 
-    /** Follows a new view. */
+    /** Updates the departure times from a new view. */
     void applyView(ViewSnapshot view) {
         for (DatabaseEntry database : view.databases()) {
             if (database.getDeparting()) {
@@ -66,7 +67,7 @@
         }
     }
 
-    /** Makes one attempt. Completes on the dispatcher's thread. */
+    /** Executes one attempt. Completes on the dispatcher's thread. */
     CompletableFuture<ExecuteResponse> attempt(StatementRequest request) {
         LeasedView leased = publisher.current();
         GroupView group;
@@ -86,7 +87,7 @@
                 .thenApply(position -> response(request, group, result, position)));
     }
 
-    /** The group when this proxy may send writes to it. Fails with VIEW_EXPIRED or NO_PRIMARY, not run. */
+    /** The view of a group to which this proxy may send writes. Fails with VIEW_EXPIRED or NO_PRIMARY; nothing has run. */
     GroupView writableGroup(LeasedView leased, String name) {
         GroupView group = leased.view()
                 .group(name)
@@ -100,19 +101,19 @@
         return group;
     }
 
-    /** The primary's entry. Fails with NO_PRIMARY, or DEPARTING once the grace is over. */
+    /** The primary's entry. Fails with NO_PRIMARY, or with DEPARTING after the grace period. */
     DatabaseEntry primary(ViewSnapshot view, GroupView group) {
         DatabaseEntry primary = view.database(group.getPrimaryId())
                 .orElseThrow(() -> new FailureException(FailureType.NO_PRIMARY, group.getGroup()));
-        Instant since = departingSince.get(primary.getDatabaseId());
-        if (since != null && !dispatcher.clock().instant().isBefore(since.plus(DEPARTURE_GRACE_PERIOD))) {
+        Instant departingAt = departingSince.get(primary.getDatabaseId());
+        if (departingAt != null && !dispatcher.clock().instant().isBefore(departingAt.plus(DEPARTURE_GRACE_PERIOD))) {
             throw new FailureException(FailureType.DEPARTING, primary.getDatabaseId());
         }
         return primary;
     }
 
-    /** Completes with the write's position when it may be acknowledged; until then nobody may be told of it. */
-    CompletableFuture<LogPosition> acknowledge(GroupView group, StatementsExecuted executed, RequestContext order) {
+    /** Completes with the write's position once the write may be acknowledged; no response may be sent before that. */
+    CompletableFuture<LogPosition> acknowledge(GroupView group, StatementsExecuted executed, RequestContext context) {
         LogPosition position = Envelopes.position(executed.getPosition());
         CompletableFuture<LogPosition> result = new CompletableFuture<>();
         if (executed.getTerm() != group.getTerm()) {
@@ -121,44 +122,45 @@
             return result;
         }
         GroupState state = databases.group(group.getGroup());
-        CompletableFuture<Void> held = state.quorum().awaitQuorum(group.getTerm(), position, group.getPrimaryId());
-        Dispatcher.Timer timer = dispatcher.schedule(remaining(order), () -> {
-            state.quorum().cancel(held);
+        CompletableFuture<Void> quorumReached =
+                state.quorum().awaitQuorum(group.getTerm(), position, group.getPrimaryId());
+        Dispatcher.Timer timer = dispatcher.schedule(remaining(context), () -> {
+            state.quorum().cancel(quorumReached);
             result.completeExceptionally(new FailureException(FailureType.NO_QUORUM_IN_TIME, group.getGroup()));
         });
-        held.whenComplete((nothing, error) -> {
+        quorumReached.whenComplete((ignored, error) -> {
             timer.cancel();
             if (error != null) {
                 result.completeExceptionally(FailureException.of(error));
             } else {
-                completeUnderLease(group, position, order, result);
+                completeUnderLease(group, position, context, result);
             }
         });
         return result;
     }
 
     private void completeUnderLease(
-            GroupView group, LogPosition position, RequestContext order, CompletableFuture<LogPosition> result) {
+            GroupView group, LogPosition position, RequestContext context, CompletableFuture<LogPosition> result) {
         Instant now = dispatcher.clock().instant();
         LeasedView leased = publisher.current();
         if (leased.allowsWrite(group.getGroup(), group.getTerm(), now)) {
             result.complete(position);
             return;
         }
-        long termNow =
+        long currentTerm =
                 leased.view().group(group.getGroup()).map(GroupView::getTerm).orElse(Long.MAX_VALUE);
-        if (termNow != group.getTerm()) {
+        if (currentTerm != group.getTerm()) {
             result.completeExceptionally(new FailureException(
-                    FailureType.TERM_CHANGED_AFTER_SEND, "term " + group.getTerm() + ", now " + termNow));
-        } else if (!now.isBefore(order.deadline())) {
+                    FailureType.TERM_CHANGED_AFTER_SEND, "term " + group.getTerm() + ", current term " + currentTerm));
+        } else if (!now.isBefore(context.deadline())) {
             result.completeExceptionally(new FailureException(FailureType.LEASE_LOST_AFTER_SEND, group.getGroup()));
         } else {
-            dispatcher.schedule(LEASE_CHECK_INTERVAL, () -> completeUnderLease(group, position, order, result));
+            dispatcher.schedule(LEASE_CHECK_INTERVAL, () -> completeUnderLease(group, position, context, result));
         }
     }
 
-    private Duration remaining(RequestContext order) {
-        Duration remaining = Duration.between(dispatcher.clock().instant(), order.deadline());
+    private Duration remaining(RequestContext context) {
+        Duration remaining = Duration.between(dispatcher.clock().instant(), context.deadline());
         return remaining.isNegative() ? Duration.ZERO : remaining;
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/package-info.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/package-info.java
@@ -1,2 +1,2 @@
-/** The proxy daemon: adapters around the decisions of {@code core}. */
+/** The proxy daemon: adapters around the decision logic of {@code core}. */
 package org.hornbeamspread.proxy;
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ProxyServerTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ProxyServerTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Single statements through whole proxies. */
+/**
+ * Executes single statements through two complete proxies. Guards against writes that are acknowledged before a replica
+ * holds them, and against reads that miss the session's own writes.
+ */
 final class ProxyServerTest {
     private final TestBed bed = new TestBed(new MonotonicClock());
 
@@ -87,12 +90,12 @@
     @Test
     void keyedWriteIsRetriedAtTheNewHolder() {
         CompletableFuture<ExecuteResponse> write = bed.execute("p2", TestBed.write("key-1"));
-        FakeDatabase.Call lost = bed.primary.next();
+        FakeDatabase.Call firstCall = bed.primary.next();
         bed.publish(1, "p2", 2);
-        FakeDatabase.Call again = bed.primary.next();
-        assertThat(again.request().getExecuteStatements())
-                .isEqualTo(lost.request().getExecuteStatements());
-        again.executed(1, 6, "done");
+        FakeDatabase.Call retry = bed.primary.next();
+        assertThat(retry.request().getExecuteStatements())
+                .isEqualTo(firstCall.request().getExecuteStatements());
+        retry.executed(1, 6, "done");
         bed.sameRegionReplica.moveTo(1, 6);
         assertThat(write.join().getEffect()).isEqualTo(Effect.DONE);
     }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/RetryLoopTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/RetryLoopTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The outcome of a request whose attempts end one after another as listed. */
+/**
+ * Checks the outcome of a request whose attempts end as listed. Guards against a write that is reported as not run
+ * although an earlier attempt with an unknown outcome may have run.
+ */
 final class RetryLoopTest {
     private final ManualDispatcher dispatcher = new ManualDispatcher();
     private boolean isolatedFromControl;
@@ -36,21 +39,21 @@
         "TIMEOUT_AFTER_SEND TIMEOUT_AFTER_SEND DONE, READ, TIMEOUT_AFTER_SEND, 2",
     })
     void unknownOutcomeIsNeverReportedAsNotRun(String attempts, StatementKind kind, String outcome, int attemptsMade) {
-        Iterator<String> ends = Arrays.asList(attempts.split(" ", -1)).iterator();
-        int[] made = {0};
+        Iterator<String> outcomes = Arrays.asList(attempts.split(" ", -1)).iterator();
+        int[] attemptCount = {0};
         CompletableFuture<String> result = retries.run(request(kind), () -> {
-            made[0]++;
-            return attemptOutcome(ends.next());
+            attemptCount[0]++;
+            return attemptOutcome(outcomes.next());
         });
         dispatcher.advance(Duration.ofMillis(500));
         assertThat(result.exceptionally(
                                 error -> FailureException.of(error).type().name())
                         .join())
                 .isEqualTo(outcome);
-        assertThat(made[0]).isEqualTo(attemptsMade);
+        assertThat(attemptCount[0]).isEqualTo(attemptsMade);
     }
 
-    /** An unknown outcome is still worth other attempts: only they can resolve it. */
+    /** An isolated proxy still retries after an unknown outcome, because only another attempt can resolve it. */
     @ParameterizedTest
     @CsvSource({
         "VIEW_EXPIRED DONE, false, DONE, 2",
@@ -60,8 +63,8 @@
         "TIMEOUT_AFTER_SEND VIEW_EXPIRED DONE, true, TIMEOUT_AFTER_SEND, 2",
     })
     void isolatedProxyDoesNotRetryAfterAnAttemptThatDidNotRun(
-            String attempts, boolean isCutOff, String outcome, int attemptsMade) {
-        isolatedFromControl = isCutOff;
+            String attempts, boolean isIsolated, String outcome, int attemptsMade) {
+        isolatedFromControl = isIsolated;
         unknownOutcomeIsNeverReportedAsNotRun(attempts, StatementKind.READ, outcome, attemptsMade);
     }
 
--- a/proxy/src/test/java/org/hornbeamspread/proxy/SlotQueueTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/SlotQueueTest.java
@@ -15,12 +15,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Guards against requests that wait so long for a slot that their response comes after the rank's target. */
 final class SlotQueueTest {
     private static final int QUEUE_LIMIT = 10;
 
     private final ManualDispatcher dispatcher = new ManualDispatcher();
 
-    /** The caller's timeout is 2 s, and the only slot stays taken. */
+    /** The request's timeout is 2 s, and the only slot is never released. A target of 0 means no target. */
     @ParameterizedTest
     @CsvSource({"300, 149, false", "300, 151, true", "0, 1900, false", "0, 1990, true", "60000, 1990, true"})
     void requestIsRefusedAfterHalfItsRanksTargetOrAtItsLatestStart(int targetMs, int waitedMs, boolean refused) {
--- a/proxy/src/test/java/org/hornbeamspread/proxy/TestBed.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/TestBed.java
@@ -15,7 +15,10 @@
 import org.hornbeamspread.transport.AddressTranslator;
 import org.hornbeamspread.transport.PeerTransport;
 
-/** Two whole proxies, p1 in bole and p2 in sabian, between a scripted control and three scripted databases. */
+/**
+ * Two complete proxies, p1 in failure domain bole and p2 in failure domain sabian, with a fake control and three fake
+ * databases.
+ */
 final class TestBed implements AutoCloseable {
     static final int IDLE_TRANSACTION_MS = 60_000;
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
@@ -29,7 +32,7 @@
     final ProxyServer second;
     private final RpcClient client = new RpcClient();
 
-    /** All logs end at (1, 5), and p1 holds every database. */
+    /** Starts with all logs at position (term 1, index 5) and p1 as the holder of every database. */
     TestBed(Clock clock) {
         first = proxy("p1", "bole", "addis", clock);
         second = proxy("p2", "sabian", "dire-dawa", clock);
@@ -58,7 +61,7 @@
                 "p2");
     }
 
-    /** Until the proxy may serve a position from a replica. */
+    /** Blocks until the proxy may serve reads at a position from a replica. */
     static void awaitReadableAt(ProxyServer proxy, String databaseId, LogPosition position) {
         proxy.awaitApplied(TestViews.GROUP, "a", position).join();
         proxy.awaitApplied(TestViews.GROUP, databaseId, position).join();
--- a/proxy/src/test/java/org/hornbeamspread/proxy/TestViews.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/TestViews.java
@@ -12,7 +12,7 @@
 import org.hornbeamspread.protocol.schema.ServiceDefinition;
 import org.hornbeamspread.protocol.schema.ViewLease;
 
-/** Views of one service with one group of three databases a, b and c, whose primary is a. */
+/** Creates views of one service with one group of three databases: primary a, and replicas b and c. */
 final class TestViews {
     static final String GROUP = "g1";
     static final Map<String, String> FAILURE_DOMAINS = Map.of("a", "bole", "b", "piassa", "c", "sabian");
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ViewPublisherTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ViewPublisherTest.java
@@ -10,6 +10,7 @@
 import org.hornbeamspread.protocol.schema.ViewLease;
 import org.junit.jupiter.api.Test;
 
+/** Guards against a delayed or outdated lease that moves the view back or extends the time in which writes are allowed. */
 final class ViewPublisherTest {
     private final ManualClock clock = new ManualClock();
     private final ViewPublisher publisher = new ViewPublisher(clock);
@@ -26,10 +27,10 @@
     @Test
     void groupTermsAndConfigurationVersionNeverDecrease() {
         publisher.apply(lease(1, 7, 3).build(), clock.instant());
-        ViewLease older = lease(2, 1, 2)
+        ViewLease outdated = lease(2, 1, 2)
                 .setConfiguration(Configuration.newBuilder().setVersion(0))
                 .build();
-        publisher.apply(older, clock.instant());
+        publisher.apply(outdated, clock.instant());
         assertThat(term()).isEqualTo(3);
         assertThat(publisher.current().view().configurationVersion()).isEqualTo(1);
     }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
@@ -28,7 +28,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Writes against a paused clock, with the database's answer, the reports and the lease under the test's control. */
+/**
+ * Runs writes on a manual clock; the test controls the database's response, the position reports and the lease. Guards
+ * against a write that is acknowledged without a majority, or under an expired lease after another primary was promoted.
+ */
 final class WritePathTest {
     private static final Duration LEASE = Duration.ofSeconds(1);
 
@@ -69,15 +72,15 @@
                 .isEqualTo(7);
     }
 
-    /** The proxy is stopped at a point on the way, and wakes after its lease: it must not acknowledge. */
+    /** The proxy is paused during a write and resumes after its lease expired: it must not acknowledge the write. */
     @ParameterizedTest
     @ValueSource(strings = {"before the answer", "before the majority", "between the majority and the answer"})
-    void pausedProxyDoesNotAcknowledgeAfterItsLeaseExpired(String frozen) {
+    void pausedProxyDoesNotAcknowledgeAfterItsLeaseExpired(String pausePoint) {
         CompletableFuture<ExecuteResponse> write = write("key-1");
-        pauseIf(frozen.equals("before the answer"));
+        pauseIf(pausePoint.equals("before the answer"));
         answers.get(0).complete(executed(2, 7));
-        pauseIf(frozen.equals("before the majority"));
-        pauseIf(frozen.equals("between the majority and the answer"));
+        pauseIf(pausePoint.equals("before the majority"));
+        pauseIf(pausePoint.equals("between the majority and the answer"));
         report("b", 7);
         dispatcher.run();
         assertThat(write.isDone()).isFalse();
@@ -118,12 +121,12 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"a keyed write is given up for a resend, key-1, true", "a write without a key is not, '', false"})
-    void newTermFailsPendingKeyedWritesAtOnce(String name, String key, boolean givenUp) {
+    @CsvSource({"a keyed write can be retried at once, key-1, true", "a write without a key waits, '', false"})
+    void newTermFailsPendingKeyedWritesAtOnce(String name, String key, boolean failsAtOnce) {
         CompletableFuture<ExecuteResponse> write = write(key);
         renewView(3, true);
         inFlight.view(publisher.current().view());
-        assertThat(write.isDone()).isEqualTo(givenUp);
+        assertThat(write.isDone()).isEqualTo(failsAtOnce);
         answers.get(0).complete(executed(2, 7));
         assertThat(failureOf(write)).isEqualTo(FailureType.TERM_CHANGED_AFTER_SEND);
     }
@@ -150,8 +153,8 @@
         assertThat(sent).hasSize(1);
     }
 
-    private void pauseIf(boolean here) {
-        if (here) {
+    private void pauseIf(boolean condition) {
+        if (condition) {
             dispatcher.sleep(LEASE);
         }
     }
@@ -169,7 +172,7 @@
     }
 
     private CompletableFuture<StatementsExecuted> executeAtDatabase(
-            ViewSnapshot view, DatabaseEntry database, RequestContext order, ExecuteStatements statements) {
+            ViewSnapshot view, DatabaseEntry database, RequestContext context, ExecuteStatements statements) {
         sent.add(statements);
         answers.add(new CompletableFuture<>());
         return answers.get(answers.size() - 1);
