--- a/proxy/src/test/java/org/hornbeamspread/proxy/SlotQueueTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/SlotQueueTest.java
@@ -29,8 +29,8 @@
                 .addRanks(RankDefinition.newBuilder().setName("urgent").setTargetMs(targetMs))
                 .build();
         SlotQueue queue = new SlotQueue(dispatcher, new FifoScheduler(1, QUEUE_LIMIT), QueueLimits.of(configuration));
-        queue.run(order(), CompletableFuture::new);
-        CompletableFuture<String> waiting = queue.run(order(), () -> CompletableFuture.completedFuture("ran"));
+        queue.run(requestContext(), CompletableFuture::new);
+        CompletableFuture<String> waiting = queue.run(requestContext(), () -> CompletableFuture.completedFuture("ran"));
         dispatcher.advance(Duration.ofMillis(waitedMs));
         queue.expire();
         assertThat(waiting.isDone()).isEqualTo(refused);
@@ -47,7 +47,7 @@
         assertThat(limits.maxWait(rank)).isEqualTo(Duration.ofMillis(maxWaitMs));
     }
 
-    private RequestContext order() {
+    private RequestContext requestContext() {
         return new RequestContext(
                 "urgent", "agent-7", dispatcher.clock().instant().plusSeconds(2));
     }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
@@ -41,8 +41,8 @@
     private final Databases databases =
             new Databases(dispatcher, transport, publisher, new ProxyMetrics(new PrometheusRegistry()), "addis");
     private final InFlight inFlight = new InFlight();
-    private final List<ExecuteStatements> sent = new ArrayList<>();
-    private final List<CompletableFuture<StatementsExecuted>> answers = new ArrayList<>();
+    private final List<ExecuteStatements> sentStatements = new ArrayList<>();
+    private final List<CompletableFuture<StatementsExecuted>> databaseResponses = new ArrayList<>();
     private final WritePath writes = new WritePath(dispatcher, publisher, databases, this::executeAtDatabase, inFlight);
     private long version;
     private boolean departing;
@@ -61,7 +61,7 @@
     @Test
     void writeIsAcknowledgedOnceAMajorityHoldsIt() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
-        answers.get(0).complete(executed(2, 7));
+        databaseResponses.get(0).complete(executed(2, 7));
         assertThat(write.isDone()).isFalse();
         report("b", 6);
         assertThat(write.isDone()).isFalse();
@@ -78,7 +78,7 @@
     void pausedProxyDoesNotAcknowledgeAfterItsLeaseExpired(String pausePoint) {
         CompletableFuture<ExecuteResponse> write = write("key-1");
         pauseIf(pausePoint.equals("before the answer"));
-        answers.get(0).complete(executed(2, 7));
+        databaseResponses.get(0).complete(executed(2, 7));
         pauseIf(pausePoint.equals("before the majority"));
         pauseIf(pausePoint.equals("between the majority and the answer"));
         report("b", 7);
@@ -92,7 +92,7 @@
     @Test
     void writeIsAcknowledgedAfterLeaseRenewalAtTheSameTerm() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
-        answers.get(0).complete(executed(2, 7));
+        databaseResponses.get(0).complete(executed(2, 7));
         dispatcher.sleep(LEASE);
         report("b", 7);
         assertThat(write.isDone()).isFalse();
@@ -104,7 +104,7 @@
     @Test
     void outcomeIsUnknownWhenTheLeaseIsNotRenewed() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
-        answers.get(0).complete(executed(2, 7));
+        databaseResponses.get(0).complete(executed(2, 7));
         dispatcher.sleep(LEASE);
         report("b", 7);
         dispatcher.advance(Duration.ofSeconds(2));
@@ -117,7 +117,7 @@
         assertThat(failureOf(write("key-1"))).isEqualTo(FailureType.VIEW_EXPIRED);
         renewView(2, false);
         assertThat(failureOf(write("key-1"))).isEqualTo(FailureType.NO_PRIMARY);
-        assertThat(sent).isEmpty();
+        assertThat(sentStatements).isEmpty();
     }
 
     @ParameterizedTest
@@ -127,14 +127,14 @@
         renewView(3, true);
         inFlight.view(publisher.current().view());
         assertThat(write.isDone()).isEqualTo(failsAtOnce);
-        answers.get(0).complete(executed(2, 7));
+        databaseResponses.get(0).complete(executed(2, 7));
         assertThat(failureOf(write)).isEqualTo(FailureType.TERM_CHANGED_AFTER_SEND);
     }
 
     @Test
     void outcomeIsUnknownWithoutAMajorityBeforeTheDeadline() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
-        answers.get(0).complete(executed(2, 7));
+        databaseResponses.get(0).complete(executed(2, 7));
         dispatcher.advance(Duration.ofMillis(1_999));
         assertThat(write.isDone()).isFalse();
         dispatcher.advance(Duration.ofMillis(1));
@@ -150,7 +150,7 @@
         assertThat(write("key-1").isDone()).isFalse();
         dispatcher.sleep(Duration.ofMillis(1));
         assertThat(failureOf(write("key-2"))).isEqualTo(FailureType.DEPARTING);
-        assertThat(sent).hasSize(1);
+        assertThat(sentStatements).hasSize(1);
     }
 
     private void pauseIf(boolean condition) {
@@ -173,9 +173,9 @@
 
     private CompletableFuture<StatementsExecuted> executeAtDatabase(
             ViewSnapshot view, DatabaseEntry database, RequestContext context, ExecuteStatements statements) {
-        sent.add(statements);
-        answers.add(new CompletableFuture<>());
-        return answers.get(answers.size() - 1);
+        sentStatements.add(statements);
+        databaseResponses.add(new CompletableFuture<>());
+        return databaseResponses.get(databaseResponses.size() - 1);
     }
 
     private void renewView(long term, boolean writable) {
