--- a/proxy/src/main/java/org/hornbeamspread/proxy/RelayClient.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/RelayClient.java
@@ -142,7 +142,7 @@
             case REQUEST_TIMEOUT -> new FailureException(FailureType.TIMEOUT_AFTER_SEND, "relayed");
             case CONNECTION_LOST -> new FailureException(FailureType.CONNECTION_LOST_AFTER_SEND, "relayed");
             case CONNECTION_REFUSED ->
-                new FailureException(FailureType.DATABASE_UNREACHABLE, "the holder refused the connection");
+                new FailureException(FailureType.DATABASE_UNREACHABLE, "the connection to the holder is closed");
             default -> failure;
         };
     }
