--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
@@ -125,7 +125,7 @@
     }
 
     /** Requests the position of a group's primary, from which the staleness of the replicas is bounded. */
-    CompletableFuture<LogPosition> primaryPosition(String group) {
+    CompletableFuture<LogPosition> requestPrimaryPosition(String group) {
         return CompletableFuture.supplyAsync(() -> databases.askPrimary(group), requestDispatcher)
                 .thenCompose(future -> future);
     }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/TestBed.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/TestBed.java
@@ -65,7 +65,7 @@
     static void awaitReadableAt(ProxyServer proxy, String databaseId, LogPosition position) {
         proxy.awaitApplied(TestViews.GROUP, "a", position).join();
         proxy.awaitApplied(TestViews.GROUP, databaseId, position).join();
-        proxy.primaryPosition(TestViews.GROUP).join();
+        proxy.requestPrimaryPosition(TestViews.GROUP).join();
     }
 
     CompletableFuture<ExecuteResponse> execute(String proxyId, ExecuteRequest request) {
