--- a/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
@@ -151,8 +151,8 @@
         }
 
         /**
-         * The deadline of an attempt is after half of the remaining time, but at least {@link #MIN_ATTEMPT_TIME}, so that a
-         * database that does not respond leaves time for an attempt at another one.
+         * An attempt may take half of the remaining time, so that a database that does not respond leaves time for an attempt
+         * at another one. The time is at least {@link #MIN_ATTEMPT_TIME}, and never extends past the request's deadline.
          */
         private RequestContext attemptContext(Instant now) {
             Duration remaining = Duration.between(now, request.context().deadline());
