--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyMetrics.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyMetrics.java
@@ -7,27 +7,29 @@
 import java.time.Duration;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** The proxy's counters. Safe for any thread. */
+/** The proxy's metrics. Safe for any thread. */
 final class ProxyMetrics {
     private static final double NANOS_PER_SECOND = 1e9;
 
     private final Counter refusals;
     private final Counter retries;
-    private final Counter statements;
+    private final Counter responses;
     private final Counter reads;
     private final Counter peerBytes;
-    private final Gauge requests;
-    private final Gauge queue;
-    private final Gauge connections;
+    private final Gauge requestsInProgress;
+    private final Gauge databaseStatements;
+    private final Gauge databaseConnections;
     private final Histogram latency;
 
     ProxyMetrics(PrometheusRegistry registry) {
-        refusals = counter(registry, "hornbeamspread_refusals_total", "Failed answers by type", "type", "rank");
-        retries = counter(registry, "hornbeamspread_retries_total", "Further attempts by the failure before", "type");
-        statements = counter(
+        refusals = counter(
+                registry, "hornbeamspread_refusals_total", "Failed responses by failure type and rank", "type", "rank");
+        retries = counter(
+                registry, "hornbeamspread_retries_total", "Retries by failure type of the previous attempt", "type");
+        responses = counter(
                 registry,
                 "hornbeamspread_requests_total",
-                "Answers by kind, rank and effect",
+                "Responses by kind, rank and effect",
                 "kind",
                 "rank",
                 "effect");
@@ -38,23 +40,23 @@
                 "Bytes of messages sent and received, by purpose",
                 "purpose",
                 "other_region");
-        requests = Gauge.builder()
+        requestsInProgress = Gauge.builder()
                 .name("hornbeamspread_requests_in_progress")
                 .help("Requests in progress")
                 .register(registry);
-        queue = Gauge.builder()
+        databaseStatements = Gauge.builder()
                 .name("hornbeamspread_database_statements")
-                .help("Statements that wait or run at a held database")
+                .help("Statements queued or running at a held database")
                 .labelNames("database")
                 .register(registry);
-        connections = Gauge.builder()
+        databaseConnections = Gauge.builder()
                 .name("hornbeamspread_database_connections")
-                .help("Connections open to a held database")
+                .help("Open connections to a held database")
                 .labelNames("database")
                 .register(registry);
         latency = Histogram.builder()
                 .name("hornbeamspread_request_seconds")
-                .help("Time to answer, by rank")
+                .help("Response time in seconds, by rank")
                 .labelNames("rank")
                 .classicOnly()
                 .classicUpperBounds(0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1, 2, 5, 10)
@@ -73,31 +75,31 @@
         retries.labelValues(type.name()).inc();
     }
 
-    void answered(String kind, String rank, String effect, Duration taken) {
-        statements.labelValues(kind, rank, effect).inc();
-        latency.labelValues(rank).observe(taken.toNanos() / NANOS_PER_SECOND);
+    void answered(String kind, String rank, String effect, Duration elapsed) {
+        responses.labelValues(kind, rank, effect).inc();
+        latency.labelValues(rank).observe(elapsed.toNanos() / NANOS_PER_SECOND);
     }
 
     void readServed(boolean fromReplica) {
         reads.labelValues(fromReplica ? "replica" : "primary").inc();
     }
 
-    /** Bytes of a relayed statement or its answer. */
-    void relayed(boolean otherRegion, int bytes) {
+    /** Counts the bytes of a relayed statement or of its response. */
+    void countStatementBytes(boolean otherRegion, int bytes) {
         peerBytes.labelValues("statements", Boolean.toString(otherRegion)).inc(bytes);
     }
 
-    /** Bytes of a position report or of a question for one. */
-    void reported(boolean otherRegion, int bytes) {
+    /** Counts the bytes of a position report or of a request for one. */
+    void countReportBytes(boolean otherRegion, int bytes) {
         peerBytes.labelValues("reports", Boolean.toString(otherRegion)).inc(bytes);
     }
 
-    void inProgress(int count) {
-        requests.set(count);
+    void setRequestsInProgress(int count) {
+        requestsInProgress.set(count);
     }
 
-    void held(String databaseId, int waiting, int open) {
-        queue.labelValues(databaseId).set(waiting);
-        connections.labelValues(databaseId).set(open);
+    void setDatabaseUsage(String databaseId, int statements, int openConnections) {
+        databaseStatements.labelValues(databaseId).set(statements);
+        databaseConnections.labelValues(databaseId).set(openConnections);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
@@ -19,8 +19,9 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * Puts the proxy's parts together. Two duties have a thread each: "requests" owns everything that a request touches,
- * "control" keeps the view leased however busy the other is.
+ * Wires up and runs the components of the proxy. Two dispatchers have a thread each: all state of request processing is
+ * confined to the "requests" thread, and the "control" thread renews the view lease independently of the load on the
+ * "requests" thread.
  */
 final class ProxyServer implements AutoCloseable {
     private static final Logger LOG = System.getLogger(ProxyServer.class.getName());
@@ -29,8 +30,8 @@
 
     private final ProxySettings settings;
     private final long incarnation;
-    private final DutyDispatcher requests;
-    private final DutyDispatcher control;
+    private final DutyDispatcher requestDispatcher;
+    private final DutyDispatcher controlDispatcher;
     private final PeerTransport transport;
     private final ViewPublisher publisher;
     private final Databases databases;
@@ -40,15 +41,15 @@
     private final Transactions transactions;
     private final StatementsService statements;
     private final ControlLink controlLink;
-    private final PeerService peers;
+    private final PeerService peerService;
     private final ProxyMetrics metrics;
     private final PrometheusRegistry registry = new PrometheusRegistry();
 
-    /** The view that the requests' thread acts on: what renewals confirm. */
-    private volatile ViewSnapshot confirmed = ViewSnapshot.NONE;
+    /** The view that the "requests" thread has applied; lease renewals confirm its version. */
+    private volatile ViewSnapshot appliedView = ViewSnapshot.NONE;
 
     private volatile List<DatabaseObservation> observations = List.of();
-    private volatile List<HeldDatabase> holdings = List.of();
+    private volatile List<HeldDatabase> heldEntries = List.of();
     private volatile int openTransactions;
     private volatile boolean draining;
 
@@ -61,46 +62,47 @@
     ProxyServer(ProxySettings settings, Clock clock) {
         this.settings = settings;
         this.incarnation = clock.millis();
-        this.requests = new DutyDispatcher("requests", clock);
-        this.control = new DutyDispatcher("control", clock);
+        this.requestDispatcher = new DutyDispatcher("requests", clock);
+        this.controlDispatcher = new DutyDispatcher("control", clock);
         this.transport = new PeerTransport(settings.networkThreads(), settings.translator());
         this.publisher = new ViewPublisher(clock);
         this.metrics = new ProxyMetrics(registry);
-        this.databases = new Databases(requests, transport, publisher, metrics, settings.region());
+        this.databases = new Databases(requestDispatcher, transport, publisher, metrics, settings.region());
         this.held = new HeldDatabases(
-                requests,
+                requestDispatcher,
                 transport,
                 publisher,
                 databases,
                 (configuration, database) -> settings.slotOrder()
                         .scheduler(configuration, Math.max(1, database.getSlots()), clock.instant()),
                 settings.proxyId());
-        this.peers = new PeerService(requests, held, databases);
-        databases.onReport(peers::report);
-        RelayLinks relays = new RelayLinks(requests, transport, RelayLinks.refuseRequests(), metrics);
-        DatabaseExecutor executor = new HolderExecutor(settings.proxyId(), settings.region(), held, relays);
+        this.peerService = new PeerService(requestDispatcher, held, databases);
+        databases.onReport(peerService::forwardReport);
+        RelayClient relayClient = new RelayClient(requestDispatcher, transport, RelayClient.refuseRequests(), metrics);
+        DatabaseExecutor executor = new HolderExecutor(settings.proxyId(), settings.region(), held, relayClient);
         this.inFlight = new InFlight();
-        this.writes = new WritePath(requests, publisher, databases, executor, inFlight);
-        ReadPath reads = new ReadPath(requests, publisher, databases, held, executor, inFlight, metrics, settings);
-        this.transactions = new Transactions(requests, publisher, held, writes, settings, incarnation);
+        this.writes = new WritePath(requestDispatcher, publisher, databases, executor, inFlight);
+        ReadPath reads =
+                new ReadPath(requestDispatcher, publisher, databases, held, executor, inFlight, metrics, settings);
+        this.transactions = new Transactions(requestDispatcher, publisher, held, writes, settings, incarnation);
         this.statements = new StatementsService(
-                requests,
+                requestDispatcher,
                 publisher,
                 writes,
                 reads,
-                new TransactionService(requests, publisher, transactions, settings, incarnation),
-                new RetryLoop(requests, metrics, publisher::isCutOff),
+                new TransactionService(requestDispatcher, publisher, transactions, settings, incarnation),
+                new RetryLoop(requestDispatcher, metrics, publisher::isIsolatedFromControl),
                 metrics,
                 settings);
-        this.controlLink =
-                new ControlLink(control, transport, settings.control(), publisher, this::renewal, this::onView);
+        this.controlLink = new ControlLink(
+                controlDispatcher, transport, settings.control(), publisher, this::renewalRequest, this::onView);
     }
 
-    /** Starts to serve. */
+    /** Opens the endpoints and starts the background tasks. */
     void start() {
-        peerServer = transport.listen(settings.peerEndpoint(), peers).join();
+        peerServer = transport.listen(settings.peerEndpoint(), peerService).join();
         http = new RpcServer(settings.httpEndpoint(), statements.methods(), this::isReady, registry);
-        requests.execute(() -> {
+        requestDispatcher.execute(() -> {
             databases.start();
             held.start();
             transactions.start();
@@ -108,7 +110,7 @@
             updateGauges();
         });
         controlLink.start();
-        LOG.log(Level.INFO, "proxy " + settings.proxyId() + " serves on port " + http.port());
+        LOG.log(Level.INFO, "proxy " + settings.proxyId() + " is listening for HTTP on port " + http.port());
     }
 
     /** The port of the HTTP endpoint. */
@@ -116,30 +118,31 @@
         return http.port();
     }
 
-    /** Completes once this proxy has seen a database apply a position. */
+    /** Completes once a position report shows that a database has applied a position. */
     CompletableFuture<Void> awaitApplied(String group, String databaseId, LogPosition position) {
-        return CompletableFuture.supplyAsync(() -> databases.group(group), requests)
+        return CompletableFuture.supplyAsync(() -> databases.group(group), requestDispatcher)
                 .thenCompose(state -> state.awaitApplied(databaseId, position));
     }
 
-    /** Asks a group's primary for its position, which proves the age of the replicas. */
-    CompletableFuture<LogPosition> askPrimary(String group) {
-        return CompletableFuture.supplyAsync(() -> databases.askPrimary(group), requests)
-                .thenCompose(position -> position);
+    /** Requests the position of a group's primary, from which the staleness of the replicas is bounded. */
+    CompletableFuture<LogPosition> requestPrimaryPosition(String group) {
+        return CompletableFuture.supplyAsync(() -> databases.askPrimary(group), requestDispatcher)
+                .thenCompose(future -> future);
     }
 
     /**
-     * Ends in good order: not ready at once, requests accepted for the grace time, then those in progress finished. Other
-     * proxies take over what this one holds meanwhile. Blocks.
+     * Shuts down gracefully: reports not ready at once, accepts requests for the grace period, then waits until those in
+     * progress have finished or the timeout expires. Meanwhile other proxies take over the databases that this proxy
+     * holds. Blocks the calling thread.
      */
-    void drain(Duration finishLimit) throws InterruptedException {
-        LOG.log(Level.INFO, "proxy " + settings.proxyId() + " drains");
+    void drain(Duration timeout) throws InterruptedException {
+        LOG.log(Level.INFO, "proxy " + settings.proxyId() + " is draining");
         draining = true;
         controlLink.renewNow();
         Thread.sleep(settings.drainGraceMs());
         statements.close();
-        Instant limit = requests.clock().instant().plus(finishLimit);
-        while (!isIdle() && requests.clock().instant().isBefore(limit)) {
+        Instant drainDeadline = requestDispatcher.clock().instant().plus(timeout);
+        while (!isIdle() && requestDispatcher.clock().instant().isBefore(drainDeadline)) {
             Thread.sleep(10);
         }
         close();
@@ -155,9 +158,9 @@
             peerServer.close();
         }
         transport.close();
-        requests.close();
-        control.close();
-        LOG.log(Level.INFO, "proxy " + settings.proxyId() + " has ended");
+        requestDispatcher.close();
+        controlDispatcher.close();
+        LOG.log(Level.INFO, "proxy " + settings.proxyId() + " has stopped");
     }
 
     private boolean isReady() {
@@ -165,57 +168,59 @@
     }
 
     private boolean isIdle() {
-        return statements.inProgress() == 0 && peers.inProgress() == 0 && openTransactions == 0;
+        return statements.inProgress() == 0 && peerService.inProgress() == 0 && openTransactions == 0;
     }
 
-    /** Port 0 takes a free one. */
-    private static Endpoint bound(Endpoint setting, int port) {
+    /** The configured endpoint with the port that was bound, which differs when the setting has port 0. */
+    private static Endpoint boundEndpoint(Endpoint setting, int port) {
         return setting.toBuilder().setPort(port).build();
     }
 
-    private RenewView renewal() {
-        ViewSnapshot view = confirmed;
+    private RenewView renewalRequest() {
+        ViewSnapshot view = appliedView;
         return RenewView.newBuilder()
                 .setProxy(ProxyEntry.newBuilder()
                         .setProxyId(settings.proxyId())
                         .setFailureDomain(settings.failureDomain())
                         .setRegion(settings.region())
-                        .setPeer(bound(settings.peerEndpoint(), peerServer.port()))
-                        .setHttp(bound(settings.httpEndpoint(), http.port()))
+                        .setPeer(boundEndpoint(settings.peerEndpoint(), peerServer.port()))
+                        .setHttp(boundEndpoint(settings.httpEndpoint(), http.port()))
                         .setConfigurationVersion(view.configurationVersion())
                         .setDraining(draining)
                         .setIncarnation(incarnation))
                 .setLeaderTerm(view.leaderTerm())
                 .setViewVersion(view.version())
                 .addAllObservations(observations)
-                .addAllHeld(holdings)
+                .addAllHeld(heldEntries)
                 .setClusterId(settings.clusterId())
                 .build();
     }
 
-    /** On the control thread: hands a new view to the requests' thread, and confirms it once it is acted on. */
+    /** Called on the "control" thread: applies a new view on the "requests" thread, then confirms it to control. */
     private void onView(ViewSnapshot view) {
-        requests.execute(() -> {
+        requestDispatcher.execute(() -> {
             databases.view(view);
-            writes.view(view);
+            writes.applyView(view);
             inFlight.view(view);
             held.view(view);
-            holdings = held.wire();
-            confirmed = view;
+            heldEntries = held.wire();
+            appliedView = view;
             controlLink.renewNow();
         });
     }
 
     private void observe() {
-        observations = databases.observations(confirmed);
+        observations = databases.observations(appliedView);
         openTransactions = transactions.openTransactions();
-        requests.schedule(OBSERVATION_INTERVAL, this::observe);
+        requestDispatcher.schedule(OBSERVATION_INTERVAL, this::observe);
     }
 
     private void updateGauges() {
         held.all()
-                .forEach((id, database) -> metrics.held(
-                        id, database.queue().statements(), database.pool().openConnections()));
-        requests.schedule(GAUGE_INTERVAL, this::updateGauges);
+                .forEach((id, database) -> metrics.setDatabaseUsage(
+                        id,
+                        database.queue().outstandingStatements(),
+                        database.pool().openConnections()));
+        requestDispatcher.schedule(GAUGE_INTERVAL, this::updateGauges);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
@@ -24,13 +24,14 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * Reads: chooses a database by {@link ReadRouter}, runs the statements there, and checks the state that was really read
- * against the session's position and the allowance before it answers. Owned by the dispatcher's thread.
+ * Executes reads. {@link ReadRouter} selects the database. After execution, the position of the state that was read is
+ * validated against the session's position and the staleness allowance before the response is sent. Confined to the
+ * dispatcher's thread.
  */
 final class ReadPath {
-    private static final Duration CATCH_UP_WAIT = Duration.ofMillis(20);
-    private static final Duration REGION_ROUND_TRIP = Duration.ofMillis(16);
-    private static final Duration MIN_ATTEMPT = Duration.ofMillis(250);
+    private static final Duration MAX_CATCH_UP_WAIT = Duration.ofMillis(20);
+    private static final Duration CROSS_REGION_ROUND_TRIP = Duration.ofMillis(16);
+    private static final Duration MIN_ATTEMPT_TIME = Duration.ofMillis(250);
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
@@ -41,7 +42,7 @@
     private final ProxyMetrics metrics;
     private final String failureDomain;
     private final String region;
-    private final ReadRouter router = new ReadRouter(CATCH_UP_WAIT, REGION_ROUND_TRIP);
+    private final ReadRouter router = new ReadRouter(MAX_CATCH_UP_WAIT, CROSS_REGION_ROUND_TRIP);
 
     ReadPath(
             Dispatcher dispatcher,
@@ -63,35 +64,35 @@
         this.region = settings.region();
     }
 
-    /** A read that may take several attempts. */
+    /** Creates a read, which may take several attempts. */
     Read read(StatementRequest request) {
         return new Read(request);
     }
 
-    /** One read: what its attempts have in common. */
+    /** The state that the attempts of one read share. */
     final class Read {
         private final StatementRequest request;
         private final Set<String> failedDatabases = new HashSet<>();
 
-        /** The position that must have been applied; empty until the primary was asked for it. */
-        private Optional<LogPosition> floor;
+        /** The position that a database must have applied; empty until it has been requested from the primary. */
+        private Optional<LogPosition> minPosition;
 
         private Read(StatementRequest request) {
             this.request = request;
-            boolean lostToken = request.request().getSessionToken().isEmpty()
+            boolean sessionWithoutToken = request.request().getSessionToken().isEmpty()
                     && !request.request().getSessionId().isEmpty();
-            this.floor = lostToken
+            this.minPosition = sessionWithoutToken
                     ? Optional.empty()
-                    : request.token().positionOf(request.group()).map(SessionPosition::minReadPosition);
+                    : request.sessionToken().positionOf(request.group()).map(SessionPosition::minReadPosition);
         }
 
-        /** Makes one attempt. Completes on the dispatcher's thread. */
+        /** Executes one attempt. Completes on the dispatcher's thread. */
         CompletableFuture<ExecuteResponse> attempt() {
-            if (floor.isPresent()) {
-                return route(floor.get(), true);
+            if (minPosition.isPresent()) {
+                return route(minPosition.get(), true);
             }
             return databases.askPrimary(request.group()).thenCompose(position -> {
-                floor = Optional.of(position);
+                minPosition = Optional.of(position);
                 return route(position, true);
             });
         }
@@ -102,7 +103,8 @@
             if (group.isEmpty()) {
                 return failed(FailureType.NO_PRIMARY, request.group() + " is not in the view");
             }
-            ReadDecision decision = router.decide(candidates(group.get()), position, request.allowance(), mayWait);
+            ReadDecision decision =
+                    router.decide(candidates(group.get()), position, request.stalenessAllowance(), mayWait);
             if (decision instanceof ReadDecision.Replica replica) {
                 return execute(view, group.get(), replica.databaseId());
             }
@@ -110,7 +112,7 @@
                 return execute(view, group.get(), primary.databaseId());
             }
             if (decision instanceof ReadDecision.WaitForReplica wait) {
-                return awaitReplica(wait, position).thenCompose(nothing -> route(position, false));
+                return awaitReplica(wait, position).thenCompose(ignored -> route(position, false));
             }
             failedDatabases.clear();
             return failed(((ReadDecision.Refuse) decision).type(), request.group());
@@ -134,70 +136,81 @@
         private CompletableFuture<ExecuteResponse> execute(ViewSnapshot view, GroupView group, String databaseId) {
             DatabaseEntry database = view.database(databaseId).orElseThrow();
             Instant sentAt = dispatcher.clock().instant();
-            boolean provenPrimary = databaseId.equals(group.getPrimaryId())
+            boolean primaryUnderLease = databaseId.equals(group.getPrimaryId())
                     && publisher.current().isFreshAt(sentAt);
             CompletableFuture<StatementsExecuted> answer =
-                    executor.execute(view, database, attemptOrder(sentAt), request.statements(0));
+                    executor.execute(view, database, attemptContext(sentAt), request.statements(0));
             return inFlight.watch(group.getGroup(), 0, database, answer).handle((executed, error) -> {
                 if (error != null) {
                     failedDatabases.add(databaseId);
                     throw FailureException.of(error);
                 }
-                return answer(group, databaseId, executed, provenPrimary ? Optional.of(sentAt) : Optional.empty());
+                return toResponse(
+                        group, databaseId, executed, primaryUnderLease ? Optional.of(sentAt) : Optional.empty());
             });
         }
 
-        /** Half the time left, so that a database that does not answer leaves time for another one. */
-        private WorkOrder attemptOrder(Instant now) {
-            Duration remaining = Duration.between(now, request.order().deadline());
+        /**
+         * An attempt may take half of the remaining time, so that a database that does not respond leaves time for an attempt
+         * at another one. The time is at least {@link #MIN_ATTEMPT_TIME}, and never extends past the request's deadline.
+         */
+        private RequestContext attemptContext(Instant now) {
+            Duration remaining = Duration.between(now, request.context().deadline());
             Duration half = remaining.dividedBy(2);
-            Duration limit = half.compareTo(MIN_ATTEMPT) > 0 ? half : MIN_ATTEMPT;
+            Duration limit = half.compareTo(MIN_ATTEMPT_TIME) > 0 ? half : MIN_ATTEMPT_TIME;
             Instant deadline = limit.compareTo(remaining) < 0
                     ? now.plus(limit)
-                    : request.order().deadline();
-            return new WorkOrder(request.order().rank(), request.order().callerId(), deadline);
+                    : request.context().deadline();
+            return new RequestContext(
+                    request.context().rank(), request.context().callerId(), deadline);
         }
 
-        private ExecuteResponse answer(
-                GroupView group, String databaseId, StatementsExecuted executed, Optional<Instant> askedPrimaryAt) {
+        private ExecuteResponse toResponse(
+                GroupView group, String databaseId, StatementsExecuted executed, Optional<Instant> sentToPrimaryAt) {
             LogPosition state = Envelopes.position(executed.getPosition());
-            if (!state.covers(floor.orElseThrow())) {
+            if (!state.covers(minPosition.orElseThrow())) {
                 failedDatabases.add(databaseId);
-                throw new FailureException(FailureType.NO_REPLICA_IN_TIME, databaseId + " is behind the session");
+                throw new FailureException(
+                        FailureType.NO_REPLICA_IN_TIME, databaseId + " has not applied the required position");
             }
-            boolean isPrimary = askedPrimaryAt.isPresent() && executed.getTerm() == group.getTerm();
+            boolean isPrimary = sentToPrimaryAt.isPresent() && executed.getTerm() == group.getTerm();
             Instant now = dispatcher.clock().instant();
-            Optional<Duration> age = isPrimary
-                    ? Optional.of(Duration.between(askedPrimaryAt.get(), now))
+            Optional<Duration> staleness = isPrimary
+                    ? Optional.of(Duration.between(sentToPrimaryAt.get(), now))
                     : databases.group(group.getGroup()).age().upperBound(state, now);
-            if (!isPrimary && (age.isEmpty() || age.get().compareTo(request.allowance()) > 0)) {
+            if (!isPrimary && (staleness.isEmpty() || staleness.get().compareTo(request.stalenessAllowance()) > 0)) {
                 failedDatabases.add(databaseId);
-                throw new FailureException(FailureType.NO_REPLICA_IN_TIME, databaseId + " may be too old");
+                throw new FailureException(
+                        FailureType.NO_REPLICA_IN_TIME, databaseId + " may exceed the staleness allowance");
             }
             boolean fromReplica = !databaseId.equals(group.getPrimaryId());
             metrics.readServed(fromReplica);
             return ExecuteResponse.newBuilder()
                     .setEffect(Effect.DONE)
                     .addAllResults(executed.getResultsList())
-                    .setSessionToken(
-                            request.token().withRead(group.getGroup(), state).encode())
+                    .setSessionToken(request.sessionToken()
+                            .withRead(group.getGroup(), state)
+                            .encode())
                     .setDatabaseId(databaseId)
                     .setFromReplica(fromReplica)
-                    .setAgeBoundMs((int) age.orElseThrow().toMillis())
+                    .setAgeBoundMs((int) staleness.orElseThrow().toMillis())
                     .build();
         }
 
-        /** Without a fresh lease the primary may have been replaced; it then counts as a replica of a proven age. */
+        /**
+         * The databases of a group as candidates. Without a valid lease the primary may have been replaced; it is then
+         * treated as a replica, whose staleness must be bounded.
+         */
         private List<ReadCandidate> candidates(GroupView group) {
             GroupState state = databases.group(group.getGroup());
             Instant now = dispatcher.clock().instant();
-            boolean leaseFresh = publisher.current().isFreshAt(now);
+            boolean leaseValid = publisher.current().isFreshAt(now);
             List<ReadCandidate> candidates = new ArrayList<>();
             for (DatabaseEntry database : group.getDatabasesList()) {
                 LogPosition applied = state.applied(database.getDatabaseId());
                 candidates.add(new ReadCandidate(
                         database.getDatabaseId(),
-                        leaseFresh && database.getDatabaseId().equals(group.getPrimaryId()),
+                        leaseValid && database.getDatabaseId().equals(group.getPrimaryId()),
                         isUsable(database),
                         Proximity.of(failureDomain, region, database.getFailureDomain(), database.getRegion()),
                         applied,
--- a/proxy/src/main/java/org/hornbeamspread/proxy/StatementRequest.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/StatementRequest.java
@@ -12,28 +12,28 @@
 import org.hornbeamspread.protocol.schema.ServiceDefinition;
 
 /**
- * A checked request to execute statements.
+ * A validated request to execute statements.
  *
- * @param request as it arrived
+ * @param request the request as received
  * @param group the database group that its routing key maps to
- * @param token what the session has seen
- * @param kind what a second execution would do
- * @param allowance how old a read may be; zero for the primary only
- * @param order on whose behalf, and until when
+ * @param sessionToken the positions that the session has read and written, by group
+ * @param kind the kind of the statements, which determines whether an attempt may be repeated
+ * @param stalenessAllowance the maximum staleness of a read; zero allows only the primary
+ * @param context the rank, caller and deadline of the request
  */
 record StatementRequest(
         ExecuteRequest request,
         String group,
-        SessionToken token,
+        SessionToken sessionToken,
         StatementKind kind,
-        Duration allowance,
-        WorkOrder order) {
-    private static final int FALLBACK_TIMEOUT_MS = 2_000;
+        Duration stalenessAllowance,
+        RequestContext context) {
+    private static final int DEFAULT_TIMEOUT_MS = 2_000;
     private static final int MAX_TIMEOUT_MS = 60_000;
-    private static final int MAX_KEY_CHARACTERS = 256;
+    private static final int MAX_IDEMPOTENCY_KEY_CHARACTERS = 256;
 
     /**
-     * Checks a request against a view. Fails with NO_VIEW, INVALID_REQUEST, INVALID_TOKEN, UNKNOWN_SERVICE,
+     * Validates a request against a view. Fails with NO_VIEW, INVALID_REQUEST, INVALID_TOKEN, UNKNOWN_SERVICE,
      * UNKNOWN_RANK, UNKNOWN_GROUP or KEY_REQUIRED.
      */
     static StatementRequest of(ExecuteRequest request, ViewSnapshot view, Instant now) {
@@ -49,14 +49,14 @@
                 GroupRouting.groupOf(service.getGroupsList(), request.getRoutingKey()),
                 SessionToken.decode(request.getSessionToken()),
                 kind,
-                allowance(request, service),
-                new WorkOrder(request.getRank(), request.getCallerId(), now.plusMillis(timeoutMs)));
+                effectiveStalenessAllowance(request, service),
+                new RequestContext(request.getRank(), request.getCallerId(), now.plusMillis(timeoutMs)));
     }
 
-    /** The service of a request. */
+    /** The definition of a service. Fails with NO_VIEW or UNKNOWN_SERVICE. */
     static ServiceDefinition service(ViewSnapshot view, String name) {
         if (!view.isConfigured()) {
-            throw new FailureException(FailureType.NO_VIEW, "not configured");
+            throw new FailureException(FailureType.NO_VIEW, "no configuration has been received from control");
         }
         return view.service(name).orElseThrow(() -> new FailureException(FailureType.UNKNOWN_SERVICE, name));
     }
@@ -72,10 +72,10 @@
         if (timeoutMs < 0 || timeoutMs > MAX_TIMEOUT_MS) {
             throw new FailureException(FailureType.INVALID_REQUEST, "timeout_ms above " + MAX_TIMEOUT_MS);
         }
-        return timeoutMs == 0 ? FALLBACK_TIMEOUT_MS : timeoutMs;
+        return timeoutMs == 0 ? DEFAULT_TIMEOUT_MS : timeoutMs;
     }
 
-    /** The statements as a database takes them, at a term; term 0 for reads. */
+    /** The statements in the message format for databases, at the given term; reads have term 0. */
     ExecuteStatements statements(long term) {
         return ExecuteStatements.newBuilder()
                 .setTerm(term)
@@ -90,7 +90,7 @@
             return StatementKind.READ;
         }
         String key = request.getIdempotencyKey();
-        if (key.length() > MAX_KEY_CHARACTERS) {
+        if (key.length() > MAX_IDEMPOTENCY_KEY_CHARACTERS) {
             throw new FailureException(FailureType.INVALID_REQUEST, "the idempotency key is too long");
         }
         if (key.isEmpty() && request.getNonRepeatable()) {
@@ -99,7 +99,7 @@
         return key.isEmpty() ? StatementKind.UNKEYED_WRITE : StatementKind.KEYED_WRITE;
     }
 
-    private static Duration allowance(ExecuteRequest request, ServiceDefinition service) {
+    private static Duration effectiveStalenessAllowance(ExecuteRequest request, ServiceDefinition service) {
         long serviceMs = Integer.toUnsignedLong(service.getStalenessAllowanceMs());
         long requestMs = Integer.toUnsignedLong(request.getStalenessAllowanceMs());
         return Duration.ofMillis(requestMs == 0 ? serviceMs : Math.min(serviceMs, requestMs));
--- a/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
@@ -19,12 +19,12 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * The RPCs for callers. Requests come in on HTTP threads, are counted against the limit of requests in progress, and
- * run on the dispatcher's thread. Every failure is an answer with its type and effect.
+ * The RPCs for callers. Requests arrive on HTTP threads, count towards the limit of requests in progress, and run on the
+ * dispatcher's thread. Every failure is returned as a response with the failure's type and effect.
  */
 final class StatementsService {
     private static final String SERVICE = "hornbeamspread.Statements/";
-    private static final String NO_RANK = "unknown";
+    private static final String UNKNOWN_RANK_LABEL = "unknown";
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
@@ -56,7 +56,7 @@
         this.settings = settings;
     }
 
-    /** The methods to serve. */
+    /** The RPC methods of this service. */
     List<RpcMethod<?, ?>> methods() {
         EndRequest end = EndRequest.getDefaultInstance();
         return List.of(
@@ -71,7 +71,7 @@
                 new RpcMethod<>(SERVICE + "Rollback", end, this::rollback, ExecuteResponse::getFailure));
     }
 
-    /** Requests in progress. */
+    /** The number of requests in progress. */
     int inProgress() {
         return inProgress.get();
     }
@@ -81,24 +81,24 @@
         closed = true;
     }
 
-    /** Runs statements; from any thread. */
+    /** Executes statements. Safe for any thread. */
     CompletableFuture<ExecuteResponse> execute(ExecuteRequest request) {
         Instant arrivedAt = dispatcher.clock().instant();
-        String rank = knownRank(request.getRank());
+        String rank = rankLabel(request.getRank());
         String kind = request.getReadOnly() ? "read" : "write";
         return admit(() -> run(request, arrivedAt), request.getTransactionId().isEmpty())
                 .handle((answer, error) -> {
                     ExecuteResponse response = error == null
                             ? answer
                             : failure(request.getSessionToken(), rank, FailureException.of(error));
-                    Duration taken =
+                    Duration elapsed =
                             Duration.between(arrivedAt, dispatcher.clock().instant());
-                    metrics.answered(kind, rank, response.getEffect().name(), taken);
-                    return signed(response);
+                    metrics.answered(kind, rank, response.getEffect().name(), elapsed);
+                    return withProxyId(response);
                 });
     }
 
-    /** Begins a transaction; from any thread. */
+    /** Begins a transaction. Safe for any thread. */
     CompletableFuture<BeginResponse> begin(BeginRequest request) {
         Instant arrivedAt = dispatcher.clock().instant();
         return admit(() -> transactions.begin(request, arrivedAt), true).handle((answer, error) -> {
@@ -106,7 +106,7 @@
                 return answer;
             }
             FailureException failure = FailureException.of(error);
-            metrics.refused(failure.type(), knownRank(request.getRank()));
+            metrics.refused(failure.type(), rankLabel(request.getRank()));
             return TransactionService.failed(failure);
         });
     }
@@ -122,37 +122,40 @@
     private CompletableFuture<ExecuteResponse> end(
             EndRequest request, Function<EndRequest, CompletableFuture<ExecuteResponse>> method) {
         return admit(() -> method.apply(request), false)
-                .handle((answer, error) -> signed(
+                .handle((answer, error) -> withProxyId(
                         error == null
                                 ? answer
-                                : failure(request.getSessionToken(), NO_RANK, FailureException.of(error))));
+                                : failure(request.getSessionToken(), UNKNOWN_RANK_LABEL, FailureException.of(error))));
     }
 
     private CompletableFuture<ExecuteResponse> run(ExecuteRequest request, Instant arrivedAt) {
         if (!request.getTransactionId().isEmpty()) {
             return transactions.execute(request);
         }
-        StatementRequest checked =
+        StatementRequest validated =
                 StatementRequest.of(request, publisher.current().view(), arrivedAt);
-        if (checked.kind() == StatementKind.READ) {
-            return retries.run(checked, reads.read(checked)::attempt);
+        if (validated.kind() == StatementKind.READ) {
+            return retries.run(validated, reads.read(validated)::attempt);
         }
-        return retries.run(checked, () -> writes.attempt(checked));
+        return retries.run(validated, () -> writes.attempt(validated));
     }
 
-    /** Runs work on the dispatcher's thread. A drained proxy takes nothing new, but lets open transactions end. */
-    private <T> CompletableFuture<T> admit(Supplier<CompletableFuture<T>> work, boolean startsWork) {
+    /**
+     * Admits a request and runs it on the dispatcher's thread. After {@link #close}, requests that start new work are
+     * refused, while open transactions may still end.
+     */
+    private <T> CompletableFuture<T> admit(Supplier<CompletableFuture<T>> work, boolean startsNewWork) {
         CompletableFuture<T> result = new CompletableFuture<>();
-        metrics.inProgress(inProgress.incrementAndGet());
-        if (closed && startsWork) {
+        metrics.setRequestsInProgress(inProgress.incrementAndGet());
+        if (closed && startsNewWork) {
             result.completeExceptionally(new FailureException(FailureType.DRAINING, settings.proxyId()));
         } else if (inProgress.get() > settings.maxRequests()) {
-            result.completeExceptionally(new FailureException(FailureType.RING_FULL, "too many requests"));
+            result.completeExceptionally(new FailureException(FailureType.RING_FULL, "too many requests in progress"));
         } else if (!dispatcher.tryExecute(
                 () -> Futures.start(work).whenComplete((answer, error) -> Futures.complete(result, answer, error)))) {
             result.completeExceptionally(new FailureException(FailureType.RING_FULL, "requests"));
         }
-        return result.whenComplete((answer, error) -> metrics.inProgress(inProgress.decrementAndGet()));
+        return result.whenComplete((answer, error) -> metrics.setRequestsInProgress(inProgress.decrementAndGet()));
     }
 
     private ExecuteResponse failure(String token, String rank, FailureException failure) {
@@ -164,15 +167,15 @@
                 .build();
     }
 
-    /** Names the proxy that answered; a passed-on answer keeps its own. */
-    private ExecuteResponse signed(ExecuteResponse response) {
+    /** Adds this proxy's id to a response; a relayed response keeps the id of the proxy that created it. */
+    private ExecuteResponse withProxyId(ExecuteResponse response) {
         return response.getProxyId().isEmpty()
                 ? response.toBuilder().setProxyId(settings.proxyId()).build()
                 : response;
     }
 
-    /** Callers must not make new time series. */
-    private String knownRank(String rank) {
-        return publisher.current().view().rank(rank).isPresent() ? rank : NO_RANK;
+    /** The metric label of a rank. Unknown ranks share one label, so that callers can't create new time series. */
+    private String rankLabel(String rank) {
+        return publisher.current().view().rank(rank).isPresent() ? rank : UNKNOWN_RANK_LABEL;
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/RetryLoopTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/RetryLoopTest.java
@@ -15,12 +15,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The outcome of a request whose attempts end one after another as listed. */
+/**
+ * Checks the outcome of a request whose attempts end as listed. Guards against a write that is reported as not run
+ * although an earlier attempt with an unknown outcome may have run.
+ */
 final class RetryLoopTest {
     private final ManualDispatcher dispatcher = new ManualDispatcher();
-    private boolean cutOff;
+    private boolean isolatedFromControl;
     private final RetryLoop retries =
-            new RetryLoop(dispatcher, new ProxyMetrics(new PrometheusRegistry()), () -> cutOff);
+            new RetryLoop(dispatcher, new ProxyMetrics(new PrometheusRegistry()), () -> isolatedFromControl);
 
     @ParameterizedTest
     @CsvSource({
@@ -35,23 +38,22 @@
         "CONNECTION_LIMIT CONNECTION_LIMIT DONE, READ, RETRY_BUDGET_SPENT, 2",
         "TIMEOUT_AFTER_SEND TIMEOUT_AFTER_SEND DONE, READ, TIMEOUT_AFTER_SEND, 2",
     })
-    void noLaterRefusalTurnsAnUnknownOutcomeIntoNotRun(
-            String attempts, StatementKind kind, String outcome, int attemptsMade) {
-        Iterator<String> ends = Arrays.asList(attempts.split(" ", -1)).iterator();
-        int[] made = {0};
+    void unknownOutcomeIsNeverReportedAsNotRun(String attempts, StatementKind kind, String outcome, int attemptsMade) {
+        Iterator<String> outcomes = Arrays.asList(attempts.split(" ", -1)).iterator();
+        int[] attemptCount = {0};
         CompletableFuture<String> result = retries.run(request(kind), () -> {
-            made[0]++;
-            return end(ends.next());
+            attemptCount[0]++;
+            return attemptOutcome(outcomes.next());
         });
         dispatcher.advance(Duration.ofMillis(500));
         assertThat(result.exceptionally(
                                 error -> FailureException.of(error).type().name())
                         .join())
                 .isEqualTo(outcome);
-        assertThat(made[0]).isEqualTo(attemptsMade);
+        assertThat(attemptCount[0]).isEqualTo(attemptsMade);
     }
 
-    /** An unknown outcome is still worth other attempts: only they can resolve it. */
+    /** An isolated proxy still retries after an unknown outcome, because only another attempt can resolve it. */
     @ParameterizedTest
     @CsvSource({
         "VIEW_EXPIRED DONE, false, DONE, 2",
@@ -60,12 +62,13 @@
         "TIMEOUT_AFTER_SEND DONE, true, DONE, 2",
         "TIMEOUT_AFTER_SEND VIEW_EXPIRED DONE, true, TIMEOUT_AFTER_SEND, 2",
     })
-    void aProxyThatIsCutOffRefusesAtOnce(String attempts, boolean isCutOff, String outcome, int attemptsMade) {
-        cutOff = isCutOff;
-        noLaterRefusalTurnsAnUnknownOutcomeIntoNotRun(attempts, StatementKind.READ, outcome, attemptsMade);
+    void isolatedProxyDoesNotRetryAfterAnAttemptThatDidNotRun(
+            String attempts, boolean isIsolated, String outcome, int attemptsMade) {
+        isolatedFromControl = isIsolated;
+        unknownOutcomeIsNeverReportedAsNotRun(attempts, StatementKind.READ, outcome, attemptsMade);
     }
 
-    private static CompletableFuture<String> end(String name) {
+    private static CompletableFuture<String> attemptOutcome(String name) {
         return "DONE".equals(name)
                 ? CompletableFuture.completedFuture(name)
                 : CompletableFuture.failedFuture(new FailureException(FailureType.valueOf(name), ""));
@@ -78,6 +81,7 @@
                 SessionToken.EMPTY,
                 kind,
                 Duration.ZERO,
-                new WorkOrder("urgent", "agent-7", dispatcher.clock().instant().plusSeconds(1)));
+                new RequestContext(
+                        "urgent", "agent-7", dispatcher.clock().instant().plusSeconds(1)));
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ViewPublisherTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ViewPublisherTest.java
@@ -10,12 +10,13 @@
 import org.hornbeamspread.protocol.schema.ViewLease;
 import org.junit.jupiter.api.Test;
 
+/** Guards against a delayed or outdated lease that moves the view back or extends the time in which writes are allowed. */
 final class ViewPublisherTest {
     private final ManualClock clock = new ManualClock();
     private final ViewPublisher publisher = new ViewPublisher(clock);
 
     @Test
-    void anAnswerOfAnEarlierLeaderChangesNothingAndRenewsNothing() {
+    void leaseFromAnEarlierLeaderTermIsIgnored() {
         publisher.apply(lease(2, 7, 3).build(), clock.instant());
         clock.advance(Duration.ofSeconds(1));
         assertThat(publisher.apply(lease(1, 9, 4).build(), clock.instant())).isFalse();
@@ -24,18 +25,18 @@
     }
 
     @Test
-    void termsAndTheConfigurationOnlyMoveForward() {
+    void groupTermsAndConfigurationVersionNeverDecrease() {
         publisher.apply(lease(1, 7, 3).build(), clock.instant());
-        ViewLease older = lease(2, 1, 2)
+        ViewLease outdated = lease(2, 1, 2)
                 .setConfiguration(Configuration.newBuilder().setVersion(0))
                 .build();
-        publisher.apply(older, clock.instant());
+        publisher.apply(outdated, clock.instant());
         assertThat(term()).isEqualTo(3);
         assertThat(publisher.current().view().configurationVersion()).isEqualTo(1);
     }
 
     @Test
-    void aDeltaKeepsWhatItDoesNotName() {
+    void deltaKeepsEntriesThatItDoesNotMention() {
         publisher.apply(lease(1, 7, 3).build(), clock.instant());
         ViewLease delta = ViewLease.newBuilder()
                 .setLeaderTerm(1)
@@ -53,7 +54,7 @@
     }
 
     @Test
-    void aWriteIsAllowedOnlyAtTheViewsTermWhileItIsWritableAndTheLeaseFresh() {
+    void writeIsAllowedOnlyAtTheViewsTermUnderAValidLease() {
         publisher.apply(lease(1, 7, 3).build(), clock.instant());
         Instant now = clock.instant();
         LeasedView leased = publisher.current();
--- a/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
@@ -28,7 +28,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Writes against a paused clock, with the database's answer, the reports and the lease under the test's control. */
+/**
+ * Runs writes on a manual clock; the test controls the database's response, the position reports and the lease. Guards
+ * against a write that is acknowledged without a majority, or under an expired lease after another primary was promoted.
+ */
 final class WritePathTest {
     private static final Duration LEASE = Duration.ofSeconds(1);
 
@@ -38,15 +41,15 @@
     private final Databases databases =
             new Databases(dispatcher, transport, publisher, new ProxyMetrics(new PrometheusRegistry()), "addis");
     private final InFlight inFlight = new InFlight();
-    private final List<ExecuteStatements> sent = new ArrayList<>();
-    private final List<CompletableFuture<StatementsExecuted>> answers = new ArrayList<>();
+    private final List<ExecuteStatements> sentStatements = new ArrayList<>();
+    private final List<CompletableFuture<StatementsExecuted>> databaseResponses = new ArrayList<>();
     private final WritePath writes = new WritePath(dispatcher, publisher, databases, this::executeAtDatabase, inFlight);
     private long version;
     private boolean departing;
 
     @BeforeEach
     void grantFirstLease() {
-        view(2, true);
+        renewView(2, true);
         report("a", 5);
     }
 
@@ -56,9 +59,9 @@
     }
 
     @Test
-    void aWriteIsAnsweredOnceTwoDatabasesHoldIt() {
+    void writeIsAcknowledgedOnceAMajorityHoldsIt() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
-        answers.get(0).complete(executed(2, 7));
+        databaseResponses.get(0).complete(executed(2, 7));
         assertThat(write.isDone()).isFalse();
         report("b", 6);
         assertThat(write.isDone()).isFalse();
@@ -69,39 +72,39 @@
                 .isEqualTo(7);
     }
 
-    /** The proxy is stopped at a point on the way, and wakes after its lease: it must not acknowledge. */
+    /** The proxy is paused during a write and resumes after its lease expired: it must not acknowledge the write. */
     @ParameterizedTest
     @ValueSource(strings = {"before the answer", "before the majority", "between the majority and the answer"})
-    void aProxyThatSleptThroughItsLeaseDoesNotAcknowledge(String frozen) {
+    void pausedProxyDoesNotAcknowledgeAfterItsLeaseExpired(String pausePoint) {
         CompletableFuture<ExecuteResponse> write = write("key-1");
-        freezeIf(frozen.equals("before the answer"));
-        answers.get(0).complete(executed(2, 7));
-        freezeIf(frozen.equals("before the majority"));
-        freezeIf(frozen.equals("between the majority and the answer"));
+        pauseIf(pausePoint.equals("before the answer"));
+        databaseResponses.get(0).complete(executed(2, 7));
+        pauseIf(pausePoint.equals("before the majority"));
+        pauseIf(pausePoint.equals("between the majority and the answer"));
         report("b", 7);
         dispatcher.run();
         assertThat(write.isDone()).isFalse();
-        view(3, true);
+        renewView(3, true);
         dispatcher.advance(Duration.ofMillis(10));
         assertThat(failureOf(write)).isEqualTo(FailureType.TERM_CHANGED_AFTER_SEND);
     }
 
     @Test
-    void aLeaseThatIsRenewedAtTheSameTermLetsTheWriteThrough() {
+    void writeIsAcknowledgedAfterLeaseRenewalAtTheSameTerm() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
-        answers.get(0).complete(executed(2, 7));
+        databaseResponses.get(0).complete(executed(2, 7));
         dispatcher.sleep(LEASE);
         report("b", 7);
         assertThat(write.isDone()).isFalse();
-        view(2, true);
+        renewView(2, true);
         dispatcher.advance(Duration.ofMillis(10));
         assertThat(write.join().getReplayed()).isFalse();
     }
 
     @Test
-    void aLeaseThatIsNeverRenewedLeavesTheOutcomeUnknown() {
+    void outcomeIsUnknownWhenTheLeaseIsNotRenewed() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
-        answers.get(0).complete(executed(2, 7));
+        databaseResponses.get(0).complete(executed(2, 7));
         dispatcher.sleep(LEASE);
         report("b", 7);
         dispatcher.advance(Duration.ofSeconds(2));
@@ -109,29 +112,29 @@
     }
 
     @Test
-    void nothingIsSentWithoutAFreshLeaseOrAWritablePrimary() {
+    void writeIsNotSentWithoutAValidLeaseAndAWritablePrimary() {
         dispatcher.sleep(LEASE);
         assertThat(failureOf(write("key-1"))).isEqualTo(FailureType.VIEW_EXPIRED);
-        view(2, false);
+        renewView(2, false);
         assertThat(failureOf(write("key-1"))).isEqualTo(FailureType.NO_PRIMARY);
-        assertThat(sent).isEmpty();
+        assertThat(sentStatements).isEmpty();
     }
 
     @ParameterizedTest
-    @CsvSource({"a keyed write is given up for a resend, key-1, true", "a write without a key is not, '', false"})
-    void aNewTermOvertakesAnAttemptThatWaits(String name, String key, boolean givenUp) {
+    @CsvSource({"a keyed write can be retried at once, key-1, true", "a write without a key waits, '', false"})
+    void newTermFailsPendingKeyedWritesAtOnce(String name, String key, boolean failsAtOnce) {
         CompletableFuture<ExecuteResponse> write = write(key);
-        view(3, true);
+        renewView(3, true);
         inFlight.view(publisher.current().view());
-        assertThat(write.isDone()).isEqualTo(givenUp);
-        answers.get(0).complete(executed(2, 7));
+        assertThat(write.isDone()).isEqualTo(failsAtOnce);
+        databaseResponses.get(0).complete(executed(2, 7));
         assertThat(failureOf(write)).isEqualTo(FailureType.TERM_CHANGED_AFTER_SEND);
     }
 
     @Test
-    void withoutAMajorityInTimeTheOutcomeIsUnknown() {
+    void outcomeIsUnknownWithoutAMajorityBeforeTheDeadline() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
-        answers.get(0).complete(executed(2, 7));
+        databaseResponses.get(0).complete(executed(2, 7));
         dispatcher.advance(Duration.ofMillis(1_999));
         assertThat(write.isDone()).isFalse();
         dispatcher.advance(Duration.ofMillis(1));
@@ -139,19 +142,19 @@
     }
 
     @Test
-    void aDepartingPrimaryTakesWritesForAShortWhileOnly() {
+    void departingPrimaryAcceptsWritesOnlyDuringTheGracePeriod() {
         departing = true;
-        view(2, true);
+        renewView(2, true);
         dispatcher.sleep(Duration.ofMillis(1_999));
-        view(2, true);
+        renewView(2, true);
         assertThat(write("key-1").isDone()).isFalse();
         dispatcher.sleep(Duration.ofMillis(1));
         assertThat(failureOf(write("key-2"))).isEqualTo(FailureType.DEPARTING);
-        assertThat(sent).hasSize(1);
+        assertThat(sentStatements).hasSize(1);
     }
 
-    private void freezeIf(boolean here) {
-        if (here) {
+    private void pauseIf(boolean condition) {
+        if (condition) {
             dispatcher.sleep(LEASE);
         }
     }
@@ -169,15 +172,15 @@
     }
 
     private CompletableFuture<StatementsExecuted> executeAtDatabase(
-            ViewSnapshot view, DatabaseEntry database, WorkOrder order, ExecuteStatements statements) {
-        sent.add(statements);
-        answers.add(new CompletableFuture<>());
-        return answers.get(answers.size() - 1);
+            ViewSnapshot view, DatabaseEntry database, RequestContext context, ExecuteStatements statements) {
+        sentStatements.add(statements);
+        databaseResponses.add(new CompletableFuture<>());
+        return databaseResponses.get(databaseResponses.size() - 1);
     }
 
-    private void view(long term, boolean writable) {
+    private void renewView(long term, boolean writable) {
         version++;
-        List<DatabaseEntry> entries = TestViews.DOMAINS.keySet().stream()
+        List<DatabaseEntry> entries = TestViews.FAILURE_DOMAINS.keySet().stream()
                 .map(id -> TestViews.database(id, Endpoint.getDefaultInstance(), "p1", 1).toBuilder()
                         .setDeparting(departing)
                         .build())
@@ -187,7 +190,7 @@
                 dispatcher.clock().instant());
         ViewSnapshot view = publisher.current().view();
         databases.group(TestViews.GROUP).view(view.group(TestViews.GROUP).orElseThrow(), 3);
-        writes.view(view);
+        writes.applyView(view);
     }
 
     private void report(String id, long index) {
