--- a/proxy/src/main/java/org/hornbeamspread/proxy/Databases.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ClusterMonitor.java
@@ -24,19 +24,19 @@
  * All databases of the view, as this proxy sees them: one administrative connection each, and the state of their
  * groups. Owned by the dispatcher's thread.
  */
-final class Databases {
-    private static final Duration QUESTION_INTERVAL = Duration.ofMillis(100);
+final class ClusterMonitor {
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
 
     private final Dispatcher dispatcher;
     private final PeerTransport transport;
     private final ViewPublisher publisher;
     private final ProxyMetrics metrics;
     private final String region;
-    private final Map<String, DatabaseLink> links = new HashMap<>();
-    private final Map<String, GroupState> groups = new HashMap<>();
+    private final Map<String, DatabaseMonitor> monitors = new HashMap<>();
+    private final Map<String, GroupReplicationState> groups = new HashMap<>();
     private Consumer<PositionReport> listener = report -> {};
 
-    Databases(
+    ClusterMonitor(
             Dispatcher dispatcher,
             PeerTransport transport,
             ViewPublisher publisher,
@@ -50,26 +50,26 @@
     }
 
     /** Sets who else is told of each report. */
-    void onReport(Consumer<PositionReport> reportListener) {
+    void setReportListener(Consumer<PositionReport> reportListener) {
         listener = reportListener;
     }
 
     /** Starts to ask the primaries for their positions. */
     void start() {
-        dispatcher.schedule(QUESTION_INTERVAL, this::askPrimaries);
+        dispatcher.schedule(POLL_INTERVAL, this::pollPrimaries);
     }
 
     /** Follows a new view. */
-    void view(ViewSnapshot view) {
+    void updateView(ViewSnapshot view) {
         for (GroupView group : view.groups()) {
-            GroupState state = group(group.getGroup());
-            state.view(group, view.groupDatabases(group));
+            GroupReplicationState state = groupState(group.getGroup());
+            state.updateView(group, view.groupDatabases(group));
             for (DatabaseEntry entry : group.getDatabasesList()) {
-                links.computeIfAbsent(entry.getDatabaseId(), id -> link(state, entry))
-                        .update(entry);
+                monitors.computeIfAbsent(entry.getDatabaseId(), id -> monitor(state, entry))
+                        .updateEndpoint(entry);
             }
         }
-        links.entrySet().removeIf(link -> {
+        monitors.entrySet().removeIf(link -> {
             boolean gone = view.database(link.getKey()).isEmpty();
             if (gone) {
                 link.getValue().close();
@@ -79,26 +79,26 @@
     }
 
     /** The state of a group; a new one when it was not seen before. */
-    GroupState group(String name) {
-        return groups.computeIfAbsent(name, id -> new GroupState());
+    GroupReplicationState groupState(String name) {
+        return groups.computeIfAbsent(name, id -> new GroupReplicationState());
     }
 
-    Optional<DatabaseLink> link(String databaseId) {
-        return Optional.ofNullable(links.get(databaseId));
+    Optional<DatabaseMonitor> monitor(String databaseId) {
+        return Optional.ofNullable(monitors.get(databaseId));
     }
 
     /** What control wants to know of each database. */
     List<DatabaseObservation> observations(ViewSnapshot view) {
         List<DatabaseObservation> observations = new ArrayList<>();
         for (DatabaseEntry entry : view.databases()) {
-            DatabaseLink link = links.get(entry.getDatabaseId());
+            DatabaseMonitor link = monitors.get(entry.getDatabaseId());
             if (link != null) {
                 observations.add(DatabaseObservation.newBuilder()
                         .setDatabaseId(entry.getDatabaseId())
                         .setIncarnation(entry.getIncarnation())
                         .setReachable(link.isConnected())
-                        .setSilentMs(
-                                (int) Math.min(Integer.MAX_VALUE, link.silence().toMillis()))
+                        .setSilentMs((int) Math.min(
+                                Integer.MAX_VALUE, link.timeSinceLastReport().toMillis()))
                         .build());
             }
         }
@@ -109,7 +109,7 @@
      * The primary's position at a moment after this call, proven to be of the group's current primary. Fails with
      * NO_PRIMARY, VIEW_EXPIRED or DATABASE_UNREACHABLE.
      */
-    CompletableFuture<LogPosition> askPrimary(String groupName) {
+    CompletableFuture<LogPosition> requestPrimaryPosition(String groupName) {
         Instant askedAt = dispatcher.clock().instant();
         LeasedView leased = publisher.current();
         Optional<GroupView> group = leased.view().group(groupName);
@@ -119,44 +119,44 @@
         if (!leased.isFreshAt(askedAt)) {
             return failed(FailureType.VIEW_EXPIRED, groupName);
         }
-        DatabaseLink link = links.get(group.get().getPrimaryId());
+        DatabaseMonitor link = monitors.get(group.get().getPrimaryId());
         if (link == null) {
             return failed(FailureType.DATABASE_UNREACHABLE, group.get().getPrimaryId());
         }
         long term = group.get().getTerm();
-        return link.askPosition().thenApply(report -> sampled(groupName, term, askedAt, report));
+        return link.requestPosition().thenApply(report -> addPrimarySample(groupName, term, askedAt, report));
     }
 
-    private DatabaseLink link(GroupState state, DatabaseEntry entry) {
+    private DatabaseMonitor monitor(GroupReplicationState state, DatabaseEntry entry) {
         boolean otherRegion = !entry.getRegion().equals(region);
-        return new DatabaseLink(
+        return new DatabaseMonitor(
                 dispatcher,
                 transport,
                 entry,
-                report -> reported(state, report),
+                report -> handleReport(state, report),
                 bytes -> metrics.reported(otherRegion, bytes));
     }
 
-    private void reported(GroupState state, PositionReport report) {
-        state.report(report, dispatcher.clock().instant());
+    private void handleReport(GroupReplicationState state, PositionReport report) {
+        state.onReport(report, dispatcher.clock().instant());
         listener.accept(report);
     }
 
-    private LogPosition sampled(String groupName, long term, Instant askedAt, PositionReport report) {
+    private LogPosition addPrimarySample(String groupName, long term, Instant askedAt, PositionReport report) {
         if (report.getRole() != DatabaseRole.PRIMARY || report.getTerm() != term) {
             throw new FailureException(FailureType.NOT_PRIMARY, report.getDatabaseId());
         }
         LogPosition position = Envelopes.position(report.getSynced());
-        group(groupName).sample(askedAt, position);
+        groupState(groupName).addPrimarySample(askedAt, position);
         return position;
     }
 
-    private void askPrimaries() {
-        links.values().forEach(DatabaseLink::check);
+    private void pollPrimaries() {
+        monitors.values().forEach(DatabaseMonitor::checkConnection);
         for (GroupView group : publisher.current().view().groups()) {
-            askPrimary(group.getGroup()).exceptionally(error -> LogPosition.NONE);
+            requestPrimaryPosition(group.getGroup()).exceptionally(error -> LogPosition.NONE);
         }
-        dispatcher.schedule(QUESTION_INTERVAL, this::askPrimaries);
+        dispatcher.schedule(POLL_INTERVAL, this::pollPrimaries);
     }
 
     private static <T> CompletableFuture<T> failed(FailureType type, String detail) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ConnectionPool.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ConnectionPool.java
@@ -36,8 +36,8 @@
 
     private final Deque<PeerConnection> idle = new ArrayDeque<>();
     private final Set<PeerConnection> inUse = Collections.newSetFromMap(new IdentityHashMap<>());
-    private final Deque<CompletableFuture<PeerConnection>> waiting = new ArrayDeque<>();
-    private int opening;
+    private final Deque<CompletableFuture<PeerConnection>> pendingAcquires = new ArrayDeque<>();
+    private int openingCount;
     private boolean closed;
 
     ConnectionPool(
@@ -50,10 +50,10 @@
     }
 
     /** Opens connections ahead of need. */
-    void warm(int connections) {
+    void warmUp(int connections) {
         idle.removeIf(connection -> !connection.isOpen());
-        while (!closed && openConnections() + opening < Math.min(connections, maxConnections)) {
-            open();
+        while (!closed && openConnectionCount() + openingCount < Math.min(connections, maxConnections)) {
+            openConnection();
         }
     }
 
@@ -64,8 +64,8 @@
             user.completeExceptionally(new FailureException(FailureType.WRONG_HOLDER, "no longer held"));
             return user;
         }
-        waiting.addLast(user);
-        serve();
+        pendingAcquires.addLast(user);
+        servePendingAcquires();
         return user;
     }
 
@@ -79,14 +79,14 @@
         } else {
             idle.addFirst(connection);
         }
-        serve();
+        servePendingAcquires();
     }
 
     /** Closes a connection that may carry a late answer or an open transaction. */
     void discard(PeerConnection connection) {
         connection.close();
         inUse.remove(connection);
-        serve();
+        servePendingAcquires();
     }
 
     /** Closes what nobody uses. */
@@ -99,42 +99,44 @@
     void close() {
         closed = true;
         closeIdle();
-        while (!waiting.isEmpty()) {
-            waiting.pollFirst().completeExceptionally(new FailureException(FailureType.WRONG_HOLDER, "no longer held"));
+        while (!pendingAcquires.isEmpty()) {
+            pendingAcquires
+                    .pollFirst()
+                    .completeExceptionally(new FailureException(FailureType.WRONG_HOLDER, "no longer held"));
         }
     }
 
     /** Connections that are open, in use or idle. */
-    int openConnections() {
+    int openConnectionCount() {
         return idle.size() + inUse.size();
     }
 
-    private void serve() {
-        while (!waiting.isEmpty() && !idle.isEmpty()) {
+    private void servePendingAcquires() {
+        while (!pendingAcquires.isEmpty() && !idle.isEmpty()) {
             PeerConnection connection = idle.pollFirst();
             if (connection.isOpen()) {
                 inUse.add(connection);
-                waiting.pollFirst().complete(connection);
+                pendingAcquires.pollFirst().complete(connection);
             }
         }
-        while (opening < waiting.size() && openConnections() + opening < maxConnections) {
-            open();
+        while (openingCount < pendingAcquires.size() && openConnectionCount() + openingCount < maxConnections) {
+            openConnection();
         }
     }
 
-    private void open() {
-        opening++;
-        Futures.start(() -> transport.connect(endpoint, OPEN_TIMEOUT, new NoPushes()))
-                .thenCompose(this::introduce)
+    private void openConnection() {
+        openingCount++;
+        Futures.start(() -> transport.connect(endpoint, OPEN_TIMEOUT, new RejectingHandler()))
+                .thenCompose(this::handshake)
                 .whenCompleteAsync(
                         (connection, error) -> {
-                            opening--;
-                            opened(connection, error);
+                            openingCount--;
+                            onOpenCompleted(connection, error);
                         },
                         dispatcher);
     }
 
-    private CompletableFuture<PeerConnection> introduce(PeerConnection connection) {
+    private CompletableFuture<PeerConnection> handshake(PeerConnection connection) {
         Envelope connect = Envelope.newBuilder()
                 .setConnect(Connect.newBuilder().setClientId(clientId))
                 .build();
@@ -147,27 +149,27 @@
         });
     }
 
-    private void opened(PeerConnection connection, Throwable error) {
+    private void onOpenCompleted(PeerConnection connection, Throwable error) {
         if (error != null) {
-            if (!waiting.isEmpty()) {
-                waiting.pollFirst().completeExceptionally(notOpened(FailureException.of(error)));
+            if (!pendingAcquires.isEmpty()) {
+                pendingAcquires.pollFirst().completeExceptionally(openFailure(FailureException.of(error)));
             }
         } else if (closed) {
             connection.close();
         } else {
             idle.addLast(connection);
         }
-        serve();
+        servePendingAcquires();
     }
 
-    private static FailureException notOpened(FailureException cause) {
+    private static FailureException openFailure(FailureException cause) {
         return cause.type() == FailureType.CONNECTION_LIMIT
                 ? cause
                 : new FailureException(FailureType.DATABASE_UNREACHABLE, cause.type() + " " + cause.detail());
     }
 
     /** Databases push nothing on these connections. */
-    private static final class NoPushes implements PeerHandler {
+    private static final class RejectingHandler implements PeerHandler {
         @Override
         public void onRequest(PeerConnection peer, Envelope request, Consumer<Envelope> answer) {
             answer.accept(Envelopes.failureEnvelope(new FailureException(
--- a/proxy/src/main/java/org/hornbeamspread/proxy/DatabaseLink.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/DatabaseMonitor.java
@@ -22,17 +22,17 @@
  * The administrative connection to one database: its position reports, and questions for its position. It counts
  * against no limit of the database. All state belongs to the dispatcher's thread.
  */
-final class DatabaseLink {
+final class DatabaseMonitor {
     private static final int HEARTBEAT_MS = 100;
-    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(500);
-    private static final Duration RECONNECT_PAUSE = Duration.ofMillis(100);
-    private static final Duration SILENT_CONNECTION = Duration.ofSeconds(1);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(500);
+    private static final Duration RECONNECT_BACKOFF = Duration.ofMillis(100);
+    private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(1);
 
     private final Dispatcher dispatcher;
     private final PeerTransport transport;
     private final String databaseId;
     private final Consumer<PositionReport> onReport;
-    private final IntConsumer onBytes;
+    private final IntConsumer onBytesTransferred;
 
     private Endpoint endpoint;
 
@@ -45,11 +45,11 @@
     private Optional<PositionReport> lastReport = Optional.empty();
 
     /** Waiting for an answer to a question that is not sent yet; null while there is no such question. */
-    private CompletableFuture<PositionReport> nextQuestion;
+    private CompletableFuture<PositionReport> queuedRequest;
 
-    private boolean questionInFlight;
+    private boolean requestInFlight;
 
-    DatabaseLink(
+    DatabaseMonitor(
             Dispatcher dispatcher,
             PeerTransport transport,
             DatabaseEntry entry,
@@ -60,12 +60,12 @@
         this.databaseId = entry.getDatabaseId();
         this.endpoint = entry.getEndpoint();
         this.onReport = onReport;
-        this.onBytes = onBytes;
+        this.onBytesTransferred = onBytes;
         this.lastReportAt = dispatcher.clock().instant();
     }
 
     /** Follows the database to the endpoint that the view names. */
-    void update(DatabaseEntry entry) {
+    void updateEndpoint(DatabaseEntry entry) {
         if (!entry.getEndpoint().equals(endpoint)) {
             endpoint = entry.getEndpoint();
             disconnect();
@@ -79,15 +79,15 @@
     }
 
     /** Connects again where needed, and gives up a connection that has fallen silent. Called every now and then. */
-    void check() {
-        if (connection != null && silence().compareTo(SILENT_CONNECTION) > 0) {
+    void checkConnection() {
+        if (connection != null && timeSinceLastReport().compareTo(SILENCE_TIMEOUT) > 0) {
             disconnect();
         }
         connect();
     }
 
     /** How long the database has said nothing. */
-    Duration silence() {
+    Duration timeSinceLastReport() {
         return Duration.between(lastReportAt, dispatcher.clock().instant());
     }
 
@@ -104,41 +104,41 @@
      * Asks the database for its position. The answer is of a moment after this call; questions that arrive while one
      * is in flight share the next one.
      */
-    CompletableFuture<PositionReport> askPosition() {
-        if (nextQuestion == null) {
-            nextQuestion = new CompletableFuture<>();
+    CompletableFuture<PositionReport> requestPosition() {
+        if (queuedRequest == null) {
+            queuedRequest = new CompletableFuture<>();
         }
-        CompletableFuture<PositionReport> mine = nextQuestion;
-        sendQuestion();
+        CompletableFuture<PositionReport> mine = queuedRequest;
+        sendQueuedRequest();
         return mine;
     }
 
-    private void sendQuestion() {
-        if (questionInFlight || nextQuestion == null) {
+    private void sendQueuedRequest() {
+        if (requestInFlight || queuedRequest == null) {
             return;
         }
-        CompletableFuture<PositionReport> question = nextQuestion;
-        nextQuestion = null;
+        CompletableFuture<PositionReport> question = queuedRequest;
+        queuedRequest = null;
         if (!isConnected()) {
             question.completeExceptionally(new FailureException(FailureType.DATABASE_UNREACHABLE, databaseId));
             return;
         }
-        questionInFlight = true;
-        onBytes.accept(subscribe().getSerializedSize());
+        requestInFlight = true;
+        onBytesTransferred.accept(subscribeRequest().getSerializedSize());
         connection
-                .request(subscribe(), ANSWER_TIMEOUT)
+                .request(subscribeRequest(), RESPONSE_TIMEOUT)
                 .whenCompleteAsync(
                         (answer, error) -> {
-                            questionInFlight = false;
+                            requestInFlight = false;
                             if (error != null) {
                                 question.completeExceptionally(
                                         new FailureException(FailureType.DATABASE_UNREACHABLE, databaseId));
                             } else {
                                 PositionReport report = answer.getSubscribed().getReport();
-                                reported(report);
+                                handleReport(report);
                                 question.complete(report);
                             }
-                            sendQuestion();
+                            sendQueuedRequest();
                         },
                         dispatcher);
     }
@@ -149,27 +149,27 @@
         }
         connecting = true;
         Endpoint wanted = endpoint;
-        Futures.start(() -> transport.connect(wanted, ANSWER_TIMEOUT, new Reports()))
+        Futures.start(() -> transport.connect(wanted, RESPONSE_TIMEOUT, new ReportHandler()))
                 .whenCompleteAsync(
                         (opened, error) -> {
                             connecting = false;
                             if (error == null) {
-                                connected(opened, wanted);
+                                onConnected(opened, wanted);
                             } else if (!closed) {
-                                dispatcher.schedule(RECONNECT_PAUSE, this::connect);
+                                dispatcher.schedule(RECONNECT_BACKOFF, this::connect);
                             }
                         },
                         dispatcher);
     }
 
-    private void connected(PeerConnection opened, Endpoint wanted) {
+    private void onConnected(PeerConnection opened, Endpoint wanted) {
         if (closed || !wanted.equals(endpoint)) {
             opened.close();
             return;
         }
         connection = opened;
         lastReportAt = dispatcher.clock().instant();
-        askPosition().exceptionally(error -> PositionReport.getDefaultInstance());
+        requestPosition().exceptionally(error -> PositionReport.getDefaultInstance());
     }
 
     private void disconnect() {
@@ -179,24 +179,24 @@
         }
     }
 
-    private void reported(PositionReport report) {
+    private void handleReport(PositionReport report) {
         if (!report.getDatabaseId().equals(databaseId)) {
             return;
         }
         lastReportAt = dispatcher.clock().instant();
         lastReport = Optional.of(report);
-        onBytes.accept(report.getSerializedSize());
+        onBytesTransferred.accept(report.getSerializedSize());
         onReport.accept(report);
     }
 
-    private static Envelope subscribe() {
+    private static Envelope subscribeRequest() {
         return Envelope.newBuilder()
                 .setSubscribe(Subscribe.newBuilder().setHeartbeatMs(HEARTBEAT_MS))
                 .build();
     }
 
     /** Pushed reports; a report that finds the ring half full is dropped, since a newer one follows. */
-    private final class Reports implements PeerHandler {
+    private final class ReportHandler implements PeerHandler {
         @Override
         public void onRequest(PeerConnection peer, Envelope request, Consumer<Envelope> answer) {
             answer.accept(Envelopes.failureEnvelope(new FailureException(
@@ -206,7 +206,7 @@
         @Override
         public void onPush(PeerConnection peer, Envelope push) {
             if (push.hasPositionReport()) {
-                dispatcher.tryExecute(() -> reported(push.getPositionReport()));
+                dispatcher.tryExecute(() -> handleReport(push.getPositionReport()));
             }
         }
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/GroupState.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/GroupReplicationState.java
@@ -21,17 +21,17 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /** What this proxy has seen of one group: who holds what, and how old the replicas are. Owned by one thread. */
-final class GroupState {
-    private static final int MAX_AGE_SAMPLES = 128;
+final class GroupReplicationState {
+    private static final int MAX_STALENESS_SAMPLES = 128;
 
     private final QuorumTracker quorum = new QuorumTracker();
-    private final ReplicaStaleness age = new ReplicaStaleness(MAX_AGE_SAMPLES);
-    private final Map<String, LogPosition> applied = new HashMap<>();
+    private final ReplicaStaleness staleness = new ReplicaStaleness(MAX_STALENESS_SAMPLES);
+    private final Map<String, LogPosition> appliedPositions = new HashMap<>();
     private final Map<String, ReplicationLag> lags = new HashMap<>();
-    private final List<AppliedWait> waits = new ArrayList<>();
+    private final List<AppliedWait> appliedWaits = new ArrayList<>();
 
     /** Takes the group's state from a view. */
-    void view(GroupView group, int groupDatabases) {
+    void updateView(GroupView group, int groupDatabases) {
         Set<String> trusted = new HashSet<>();
         for (DatabaseEntry database : group.getDatabasesList()) {
             if (database.getTrusted()) {
@@ -42,7 +42,7 @@
     }
 
     /** Takes a database's report in. */
-    void report(PositionReport report, Instant now) {
+    void onReport(PositionReport report, Instant now) {
         LogPosition synced = Envelopes.position(report.getSynced());
         LogPosition appliedNow = Envelopes.position(report.getApplied());
         quorum.onReport(new LogStatusReport(
@@ -52,46 +52,46 @@
                 report.getFollowedTerm(),
                 report.getTrusted(),
                 synced));
-        applied.put(report.getDatabaseId(), appliedNow);
+        appliedPositions.put(report.getDatabaseId(), appliedNow);
         if (report.getRole() == DatabaseRole.PRIMARY) {
             lags.values().forEach(lag -> lag.recordPrimaryPosition(synced, now));
         } else {
             lags.computeIfAbsent(report.getDatabaseId(), id -> new ReplicationLag())
                     .recordReplicaPosition(appliedNow, now);
         }
-        endWaits(report.getDatabaseId(), appliedNow);
+        completeAppliedWaits(report.getDatabaseId(), appliedNow);
     }
 
     /** Adds the primary's answer to a question that was asked under a fresh lease. */
-    void sample(Instant askedAt, LogPosition primaryPosition) {
-        age.addSample(askedAt, primaryPosition);
+    void addPrimarySample(Instant askedAt, LogPosition primaryPosition) {
+        staleness.addSample(askedAt, primaryPosition);
     }
 
     /** Completes when a database reports that it has applied a position. */
     CompletableFuture<Void> awaitApplied(String databaseId, LogPosition position) {
-        if (applied(databaseId).covers(position)) {
+        if (appliedPosition(databaseId).covers(position)) {
             return CompletableFuture.completedFuture(null);
         }
         AppliedWait wait = new AppliedWait(databaseId, position, new CompletableFuture<>());
-        waits.add(wait);
-        return wait.done;
+        appliedWaits.add(wait);
+        return wait.completion;
     }
 
     /** Forgets a wait that nobody needs any more. */
-    void forgetApplied(CompletableFuture<Void> wait) {
-        waits.removeIf(entry -> entry.done == wait);
+    void cancelAwaitApplied(CompletableFuture<Void> wait) {
+        appliedWaits.removeIf(entry -> entry.completion == wait);
     }
 
     QuorumTracker quorum() {
         return quorum;
     }
 
-    ReplicaStaleness age() {
-        return age;
+    ReplicaStaleness staleness() {
+        return staleness;
     }
 
-    LogPosition applied(String databaseId) {
-        return applied.getOrDefault(databaseId, LogPosition.NONE);
+    LogPosition appliedPosition(String databaseId) {
+        return appliedPositions.getOrDefault(databaseId, LogPosition.NONE);
     }
 
     /** The estimate of a replica's lag. */
@@ -99,17 +99,17 @@
         return lags.computeIfAbsent(databaseId, id -> new ReplicationLag());
     }
 
-    private void endWaits(String databaseId, LogPosition appliedNow) {
+    private void completeAppliedWaits(String databaseId, LogPosition appliedNow) {
         List<AppliedWait> ended = new ArrayList<>();
-        for (Iterator<AppliedWait> all = waits.iterator(); all.hasNext(); ) {
+        for (Iterator<AppliedWait> all = appliedWaits.iterator(); all.hasNext(); ) {
             AppliedWait wait = all.next();
             if (wait.databaseId.equals(databaseId) && appliedNow.covers(wait.position)) {
                 all.remove();
                 ended.add(wait);
             }
         }
-        ended.forEach(wait -> wait.done.complete(null));
+        ended.forEach(wait -> wait.completion.complete(null));
     }
 
-    private record AppliedWait(String databaseId, LogPosition position, CompletableFuture<Void> done) {}
+    private record AppliedWait(String databaseId, LogPosition position, CompletableFuture<Void> completion) {}
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabase.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabase.java
@@ -27,7 +27,7 @@
     private final SlotQueue queue;
 
     /** The database is departing and not a primary: what is idle is closed and nothing is opened ahead. */
-    private boolean retired;
+    private boolean draining;
 
     HeldDatabase(
             Dispatcher dispatcher,
@@ -41,7 +41,7 @@
         this.pool = new ConnectionPool(
                 dispatcher, transport, entry.getEndpoint(), proxyId, Math.max(1, entry.getConnectionLimit()));
         this.queue = new SlotQueue(dispatcher, scheduler, limits);
-        pool.warm(entry.getSlots());
+        pool.warmUp(entry.getSlots());
     }
 
     long holderEpoch() {
@@ -49,7 +49,7 @@
     }
 
     /** Whether an entry names the same endpoint and limits. */
-    boolean isFor(DatabaseEntry other) {
+    boolean hasSameEndpointAndLimits(DatabaseEntry other) {
         return other.getEndpoint().equals(entry.getEndpoint())
                 && other.getSlots() == entry.getSlots()
                 && other.getConnectionLimit() == entry.getConnectionLimit();
@@ -67,7 +67,7 @@
     CompletableFuture<StatementsExecuted> execute(WorkOrder order, ExecuteStatements statements) {
         Envelope request =
                 Envelope.newBuilder().setExecuteStatements(statements).build();
-        return queue.run(order, () -> onConnection(order, connection -> send(connection, request, order)))
+        return queue.run(order, () -> withConnection(order, connection -> send(connection, request, order)))
                 .thenApply(Envelope::getStatementsExecuted);
     }
 
@@ -80,7 +80,7 @@
         }
         return connection.request(request, remaining).handle((answer, error) -> {
             if (error != null) {
-                throw new CompletionException(afterSend(FailureException.of(error)));
+                throw new CompletionException(toAfterSendFailure(FailureException.of(error)));
             }
             return answer;
         });
@@ -93,28 +93,28 @@
     }
 
     /** Sets whether the database is departing and not a primary any more. */
-    void retire(boolean on) {
-        retired = on;
+    void setDraining(boolean on) {
+        draining = on;
     }
 
     /** Refuses what can't start any more, and replaces broken connections. Called every now and then. */
-    void check() {
+    void runMaintenance() {
         queue.expire();
-        if (retired) {
+        if (draining) {
             pool.closeIdle();
         } else {
-            pool.warm(entry.getSlots());
+            pool.warmUp(entry.getSlots());
         }
     }
 
     /** Whether an answer on the connection may still come, so that it can't be used for anything else. */
-    static boolean leavesAnswerOpen(FailureException failure) {
+    static boolean mayReceiveLateResponse(FailureException failure) {
         return failure.type() == FailureType.TIMEOUT_AFTER_SEND
                 || failure.type() == FailureType.CONNECTION_LOST_AFTER_SEND
                 || failure.type() == FailureType.INTERNAL;
     }
 
-    private CompletableFuture<Envelope> onConnection(
+    private CompletableFuture<Envelope> withConnection(
             WorkOrder order, Function<PeerConnection, CompletableFuture<Envelope>> use) {
         CompletableFuture<Envelope> result = new CompletableFuture<>();
         Instant now = dispatcher.clock().instant();
@@ -131,13 +131,14 @@
             } else {
                 use.apply(connection)
                         .whenCompleteAsync(
-                                (answer, failure) -> settle(connection, result, answer, failure), dispatcher);
+                                (answer, failure) -> finishAndReturnConnection(connection, result, answer, failure),
+                                dispatcher);
             }
         });
         return result;
     }
 
-    private void settle(
+    private void finishAndReturnConnection(
             PeerConnection connection, CompletableFuture<Envelope> result, Envelope answer, Throwable error) {
         if (error == null) {
             pool.release(connection);
@@ -145,7 +146,7 @@
             return;
         }
         FailureException failure = FailureException.of(error);
-        if (leavesAnswerOpen(failure)) {
+        if (mayReceiveLateResponse(failure)) {
             pool.discard(connection);
         } else {
             pool.release(connection);
@@ -153,7 +154,7 @@
         result.completeExceptionally(failure);
     }
 
-    private FailureException afterSend(FailureException failure) {
+    private FailureException toAfterSendFailure(FailureException failure) {
         return switch (failure.type()) {
             case REQUEST_TIMEOUT -> new FailureException(FailureType.TIMEOUT_AFTER_SEND, entry.getDatabaseId());
             case CONNECTION_LOST -> new FailureException(FailureType.CONNECTION_LOST_AFTER_SEND, entry.getDatabaseId());
--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
@@ -20,19 +20,19 @@
 /**
  * The databases whose slots and connections this proxy holds.
  *
- * <p>{@link HoldingRule} says when work may start. Connections of a database that is no longer held are closed when idle
+ * <p>{@link HolderAdmissionRule} says when work may start. Connections of a database that is no longer held are closed when idle
  * at once, and otherwise when what runs on them has ended.
  *
  * <p>Owned by the dispatcher's thread.
  */
 final class HeldDatabases {
-    private static final Duration FOREVER = Duration.ofDays(1);
-    private static final Duration CHECK_INTERVAL = Duration.ofMillis(20);
+    private static final Duration NO_REPORT_AGE = Duration.ofDays(1);
+    private static final Duration MAINTENANCE_INTERVAL = Duration.ofMillis(20);
 
     private final Dispatcher dispatcher;
     private final PeerTransport transport;
     private final ViewPublisher publisher;
-    private final Databases databases;
+    private final ClusterMonitor databases;
     private final SchedulerFactory schedulers;
     private final String proxyId;
     private final Map<String, HeldDatabase> held = new HashMap<>();
@@ -44,7 +44,7 @@
             Dispatcher dispatcher,
             PeerTransport transport,
             ViewPublisher publisher,
-            Databases databases,
+            ClusterMonitor databases,
             SchedulerFactory schedulers,
             String proxyId) {
         this.dispatcher = dispatcher;
@@ -56,18 +56,18 @@
     }
 
     void start() {
-        dispatcher.schedule(CHECK_INTERVAL, this::check);
+        dispatcher.schedule(MAINTENANCE_INTERVAL, this::runMaintenance);
     }
 
     /** Takes up what the view gives this proxy and lets go of the rest. */
-    void view(ViewSnapshot view) {
+    void updateView(ViewSnapshot view) {
         List<RankDefinition> ranksNow = view.configuration().getRanksList();
         boolean sameRanks = ranksNow.equals(ranks);
         ranks = ranksNow;
         held.entrySet().removeIf(entry -> {
             boolean lost = !sameRanks
                     || view.database(entry.getKey())
-                            .filter(database -> isSameHolding(database, entry.getValue()))
+                            .filter(database -> isStillHeld(database, entry.getValue()))
                             .isEmpty();
             if (lost) {
                 entry.getValue().close();
@@ -77,8 +77,8 @@
         for (GroupView group : view.groups()) {
             for (DatabaseEntry database : group.getDatabasesList()) {
                 if (database.getHolderProxyId().equals(proxyId)) {
-                    held.computeIfAbsent(database.getDatabaseId(), id -> take(view, database))
-                            .retire(database.getDeparting()
+                    held.computeIfAbsent(database.getDatabaseId(), id -> createHeldDatabase(view, database))
+                            .setDraining(database.getDeparting()
                                     && !database.getDatabaseId().equals(group.getPrimaryId()));
                 }
             }
@@ -88,7 +88,7 @@
     /** Runs statements at a database that this proxy holds at an epoch. Fails with WRONG_HOLDER, not run. */
     CompletableFuture<StatementsExecuted> execute(
             String databaseId, long holderEpoch, WorkOrder order, ExecuteStatements statements) {
-        Optional<HeldDatabase> database = usable(databaseId, holderEpoch, statements.getReadOnly());
+        Optional<HeldDatabase> database = findUsable(databaseId, holderEpoch, statements.getReadOnly());
         if (database.isEmpty()) {
             return CompletableFuture.failedFuture(new FailureException(FailureType.WRONG_HOLDER, databaseId));
         }
@@ -96,7 +96,7 @@
     }
 
     /** A database that this proxy may use now. */
-    Optional<HeldDatabase> usable(String databaseId, long holderEpoch, boolean readOnly) {
+    Optional<HeldDatabase> findUsable(String databaseId, long holderEpoch, boolean readOnly) {
         HeldDatabase database = held.get(databaseId);
         if (database == null || database.holderEpoch() != holderEpoch) {
             return Optional.empty();
@@ -107,12 +107,12 @@
     /** Whether a read may be sent: to another holder always, to this one while it may use the database. */
     boolean mayRead(DatabaseEntry database) {
         return !database.getHolderProxyId().equals(proxyId)
-                || usable(database.getDatabaseId(), database.getHolderEpoch(), true)
+                || findUsable(database.getDatabaseId(), database.getHolderEpoch(), true)
                         .isPresent();
     }
 
     /** Statements that wait or run at a held database. */
-    int waitingStatements(String databaseId) {
+    int pendingStatements(String databaseId) {
         HeldDatabase database = held.get(databaseId);
         return database == null ? 0 : database.queue().statements();
     }
@@ -122,7 +122,7 @@
     }
 
     /** What control is told of the holdings. */
-    List<org.hornbeamspread.protocol.schema.HeldDatabase> wire() {
+    List<org.hornbeamspread.protocol.schema.HeldDatabase> toProto() {
         return held.entrySet().stream()
                 .map(entry -> org.hornbeamspread.protocol.schema.HeldDatabase.newBuilder()
                         .setDatabaseId(entry.getKey())
@@ -131,32 +131,32 @@
                 .toList();
     }
 
-    private HeldDatabase take(ViewSnapshot view, DatabaseEntry database) {
+    private HeldDatabase createHeldDatabase(ViewSnapshot view, DatabaseEntry database) {
         SlotScheduler scheduler = schedulers.create(view.configuration(), database);
         QueueLimits limits = QueueLimits.of(view.configuration());
         return new HeldDatabase(dispatcher, transport, database, scheduler, limits, proxyId);
     }
 
     private boolean mayStart(String databaseId, HeldDatabase database, boolean readOnly) {
-        Optional<DatabaseLink> link = databases.link(databaseId).filter(DatabaseLink::isConnected);
-        Optional<PositionReport> report = link.flatMap(DatabaseLink::lastReport);
-        return HoldingRule.mayStart(
+        Optional<DatabaseMonitor> link = databases.monitor(databaseId).filter(DatabaseMonitor::isConnected);
+        Optional<PositionReport> report = link.flatMap(DatabaseMonitor::lastReport);
+        return HolderAdmissionRule.mayStart(
                 publisher.isFresh(),
                 readOnly,
-                link.map(DatabaseLink::silence).orElse(FOREVER),
+                link.map(DatabaseMonitor::timeSinceLastReport).orElse(NO_REPORT_AGE),
                 report.map(PositionReport::getConnections).orElse(Integer.MAX_VALUE),
-                database.pool().openConnections());
+                database.pool().openConnectionCount());
     }
 
     /** A database that restarted elsewhere needs new connections also when the holder stays. */
-    private boolean isSameHolding(DatabaseEntry database, HeldDatabase holding) {
+    private boolean isStillHeld(DatabaseEntry database, HeldDatabase holding) {
         return database.getHolderProxyId().equals(proxyId)
                 && database.getHolderEpoch() == holding.holderEpoch()
-                && holding.isFor(database);
+                && holding.hasSameEndpointAndLimits(database);
     }
 
-    private void check() {
-        held.values().forEach(HeldDatabase::check);
-        dispatcher.schedule(CHECK_INTERVAL, this::check);
+    private void runMaintenance() {
+        held.values().forEach(HeldDatabase::runMaintenance);
+        dispatcher.schedule(MAINTENANCE_INTERVAL, this::runMaintenance);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/HoldingRule.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HolderAdmissionRule.java
@@ -11,11 +11,11 @@
  * #REPORT_MAX_AGE}, counts no connection besides this proxy's: then nobody else can use a slot. A proxy that is cut off
  * together with a database thus goes on serving reads, and one that was replaced stops within a report.
  */
-final class HoldingRule {
+final class HolderAdmissionRule {
     /** The oldest report that proves who is connected. */
-    static final Duration REPORT_MAX_AGE = Duration.ofMillis(300);
+    static final Duration MAX_REPORT_AGE = Duration.ofMillis(300);
 
-    private HoldingRule() {}
+    private HolderAdmissionRule() {}
 
     /**
      * Whether work may start.
@@ -31,6 +31,6 @@
         if (leaseFresh) {
             return true;
         }
-        return readOnly && reportAge.compareTo(REPORT_MAX_AGE) <= 0 && reportedConnections <= ownConnections;
+        return readOnly && reportAge.compareTo(MAX_REPORT_AGE) <= 0 && reportedConnections <= ownConnections;
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/InFlight.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/InFlightAttempts.java
@@ -16,7 +16,7 @@
  * sent to, its answer may never come; the attempt is given up as unknown, so that a statement that may be sent again is
  * sent to the new one at once and not at its deadline. Owned by the dispatcher's thread.
  */
-final class InFlight {
+final class InFlightAttempts {
     private final Set<Attempt> attempts = Collections.newSetFromMap(new IdentityHashMap<>());
 
     /**
@@ -25,7 +25,7 @@
      * @param term the group's term that the attempt depends on; 0 when it does not
      * @return the attempt's outcome, or the failure that it was given up with
      */
-    <T> CompletableFuture<T> watch(String group, long term, DatabaseEntry database, CompletableFuture<T> answer) {
+    <T> CompletableFuture<T> track(String group, long term, DatabaseEntry database, CompletableFuture<T> answer) {
         CompletableFuture<T> result = new CompletableFuture<>();
         Attempt attempt = new Attempt(group, term, database, result);
         attempts.add(attempt);
@@ -37,9 +37,9 @@
     }
 
     /** Gives up what a newer view has overtaken. */
-    void view(ViewSnapshot view) {
+    void updateView(ViewSnapshot view) {
         for (Attempt attempt : new ArrayList<>(attempts)) {
-            Optional<FailureException> overtaken = overtaken(attempt, view);
+            Optional<FailureException> overtaken = supersededFailure(attempt, view);
             if (overtaken.isPresent()) {
                 attempts.remove(attempt);
                 attempt.result.completeExceptionally(overtaken.get());
@@ -47,7 +47,7 @@
         }
     }
 
-    private static Optional<FailureException> overtaken(Attempt attempt, ViewSnapshot view) {
+    private static Optional<FailureException> supersededFailure(Attempt attempt, ViewSnapshot view) {
         long termNow = view.group(attempt.group).map(GroupView::getTerm).orElse(0L);
         if (attempt.term != 0 && termNow > attempt.term) {
             return Optional.of(new FailureException(
--- a/proxy/src/main/java/org/hornbeamspread/proxy/LeasedView.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/LeasedView.java
@@ -21,7 +21,7 @@
     }
 
     /** Whether a write of a term may be acknowledged at a moment. */
-    boolean allowsWrite(String group, long term, Instant moment) {
+    boolean canAcknowledgeWrite(String group, long term, Instant moment) {
         Optional<GroupView> groupView = view.group(group);
         return isFreshAt(moment)
                 && groupView.isPresent()
--- a/proxy/src/main/java/org/hornbeamspread/proxy/OpenTransaction.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/OpenTransaction.java
@@ -70,7 +70,7 @@
     }
 
     /** Takes the connection for one request. */
-    WorkOrder use(Instant now, int requestTimeoutMs) {
+    WorkOrder beginRequest(Instant now, int requestTimeoutMs) {
         busy = true;
         lastUsedAt = now;
         int limitMs = requestTimeoutMs > 0 ? requestTimeoutMs : timeoutMs;
@@ -78,7 +78,7 @@
     }
 
     /** The request has ended. */
-    void free(Instant now) {
+    void endRequest(Instant now) {
         busy = false;
         lastUsedAt = now;
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/PeerService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/PeerService.java
@@ -27,14 +27,14 @@
 final class PeerService implements PeerHandler {
     private final Dispatcher dispatcher;
     private final HeldDatabases held;
-    private final Databases databases;
+    private final ClusterMonitor databases;
 
     /** Subscribers by database id; owned by the dispatcher's thread. */
     private final Map<String, List<PeerConnection>> subscribers = new HashMap<>();
 
     private final AtomicInteger inProgress = new AtomicInteger();
 
-    PeerService(Dispatcher dispatcher, HeldDatabases held, Databases databases) {
+    PeerService(Dispatcher dispatcher, HeldDatabases held, ClusterMonitor databases) {
         this.dispatcher = dispatcher;
         this.held = held;
         this.databases = databases;
@@ -93,7 +93,7 @@
             if (!peers.contains(peer)) {
                 peers.add(peer);
             }
-            databases.link(databaseId).flatMap(DatabaseLink::lastReport).ifPresent(reports::addReports);
+            databases.monitor(databaseId).flatMap(DatabaseMonitor::lastReport).ifPresent(reports::addReports);
         }
         answer.accept(Envelope.newBuilder().setRelaySubscribed(reports).build());
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
@@ -29,17 +29,17 @@
 
     private final ProxySettings settings;
     private final long incarnation;
-    private final DutyDispatcher requests;
-    private final DutyDispatcher control;
+    private final SingleThreadDispatcher requests;
+    private final SingleThreadDispatcher control;
     private final PeerTransport transport;
     private final ViewPublisher publisher;
-    private final Databases databases;
+    private final ClusterMonitor databases;
     private final HeldDatabases held;
-    private final InFlight inFlight;
+    private final InFlightAttempts inFlight;
     private final WritePath writes;
-    private final Transactions transactions;
+    private final TransactionManager transactions;
     private final StatementsService statements;
-    private final ControlLink controlLink;
+    private final ViewLeaseRenewer controlLink;
     private final PeerService peers;
     private final ProxyMetrics metrics;
     private final PrometheusRegistry registry = new PrometheusRegistry();
@@ -61,12 +61,12 @@
     ProxyServer(ProxySettings settings, Clock clock) {
         this.settings = settings;
         this.incarnation = clock.millis();
-        this.requests = new DutyDispatcher("requests", clock);
-        this.control = new DutyDispatcher("control", clock);
+        this.requests = new SingleThreadDispatcher("requests", clock);
+        this.control = new SingleThreadDispatcher("control", clock);
         this.transport = new PeerTransport(settings.networkThreads(), settings.translator());
         this.publisher = new ViewPublisher(clock);
         this.metrics = new ProxyMetrics(registry);
-        this.databases = new Databases(requests, transport, publisher, metrics, settings.region());
+        this.databases = new ClusterMonitor(requests, transport, publisher, metrics, settings.region());
         this.held = new HeldDatabases(
                 requests,
                 transport,
@@ -76,24 +76,24 @@
                         .scheduler(configuration, Math.max(1, database.getSlots()), clock.instant()),
                 settings.proxyId());
         this.peers = new PeerService(requests, held, databases);
-        databases.onReport(peers::report);
+        databases.setReportListener(peers::report);
         RelayLinks relays = new RelayLinks(requests, transport, RelayLinks.refuseRequests(), metrics);
         DatabaseExecutor executor = new HolderExecutor(settings.proxyId(), settings.region(), held, relays);
-        this.inFlight = new InFlight();
+        this.inFlight = new InFlightAttempts();
         this.writes = new WritePath(requests, publisher, databases, executor, inFlight);
         ReadPath reads = new ReadPath(requests, publisher, databases, held, executor, inFlight, metrics, settings);
-        this.transactions = new Transactions(requests, publisher, held, writes, settings, incarnation);
+        this.transactions = new TransactionManager(requests, publisher, held, writes, settings, incarnation);
         this.statements = new StatementsService(
                 requests,
                 publisher,
                 writes,
                 reads,
-                new TransactionService(requests, publisher, transactions, settings, incarnation),
+                new TransactionRouter(requests, publisher, transactions, settings, incarnation),
                 new RetryLoop(requests, metrics, publisher::isCutOff),
                 metrics,
                 settings);
         this.controlLink =
-                new ControlLink(control, transport, settings.control(), publisher, this::renewal, this::onView);
+                new ViewLeaseRenewer(control, transport, settings.control(), publisher, this::renewal, this::onView);
     }
 
     /** Starts to serve. */
@@ -118,13 +118,13 @@
 
     /** Completes once this proxy has seen a database apply a position. */
     CompletableFuture<Void> awaitApplied(String group, String databaseId, LogPosition position) {
-        return CompletableFuture.supplyAsync(() -> databases.group(group), requests)
+        return CompletableFuture.supplyAsync(() -> databases.groupState(group), requests)
                 .thenCompose(state -> state.awaitApplied(databaseId, position));
     }
 
     /** Asks a group's primary for its position, which proves the age of the replicas. */
     CompletableFuture<LogPosition> askPrimary(String group) {
-        return CompletableFuture.supplyAsync(() -> databases.askPrimary(group), requests)
+        return CompletableFuture.supplyAsync(() -> databases.requestPrimaryPosition(group), requests)
                 .thenCompose(position -> position);
     }
 
@@ -196,11 +196,11 @@
     /** On the control thread: hands a new view to the requests' thread, and confirms it once it is acted on. */
     private void onView(ViewSnapshot view) {
         requests.execute(() -> {
-            databases.view(view);
+            databases.updateView(view);
             writes.view(view);
-            inFlight.view(view);
-            held.view(view);
-            holdings = held.wire();
+            inFlight.updateView(view);
+            held.updateView(view);
+            holdings = held.toProto();
             confirmed = view;
             controlLink.renewNow();
         });
@@ -208,14 +208,14 @@
 
     private void observe() {
         observations = databases.observations(confirmed);
-        openTransactions = transactions.openTransactions();
+        openTransactions = transactions.openTransactionCount();
         requests.schedule(OBSERVATION_INTERVAL, this::observe);
     }
 
     private void updateGauges() {
         held.all()
                 .forEach((id, database) -> metrics.held(
-                        id, database.queue().statements(), database.pool().openConnections()));
+                        id, database.queue().statements(), database.pool().openConnectionCount()));
         requests.schedule(GAUGE_INTERVAL, this::updateGauges);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
@@ -34,10 +34,10 @@
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
-    private final Databases databases;
+    private final ClusterMonitor databases;
     private final HeldDatabases held;
     private final DatabaseExecutor executor;
-    private final InFlight inFlight;
+    private final InFlightAttempts inFlight;
     private final ProxyMetrics metrics;
     private final String failureDomain;
     private final String region;
@@ -46,10 +46,10 @@
     ReadPath(
             Dispatcher dispatcher,
             ViewPublisher publisher,
-            Databases databases,
+            ClusterMonitor databases,
             HeldDatabases held,
             DatabaseExecutor executor,
-            InFlight inFlight,
+            InFlightAttempts inFlight,
             ProxyMetrics metrics,
             ProxySettings settings) {
         this.dispatcher = dispatcher;
@@ -90,7 +90,7 @@
             if (floor.isPresent()) {
                 return route(floor.get(), true);
             }
-            return databases.askPrimary(request.group()).thenCompose(position -> {
+            return databases.requestPrimaryPosition(request.group()).thenCompose(position -> {
                 floor = Optional.of(position);
                 return route(position, true);
             });
@@ -117,11 +117,11 @@
         }
 
         private CompletableFuture<Void> awaitReplica(ReadDecision.WaitForReplica wait, LogPosition position) {
-            GroupState state = databases.group(request.group());
+            GroupReplicationState state = databases.groupState(request.group());
             CompletableFuture<Void> applied = state.awaitApplied(wait.databaseId(), position);
             CompletableFuture<Void> result = new CompletableFuture<>();
             Dispatcher.Timer timer = dispatcher.schedule(wait.maxWait(), () -> {
-                state.forgetApplied(applied);
+                state.cancelAwaitApplied(applied);
                 result.complete(null);
             });
             applied.thenRun(() -> {
@@ -138,7 +138,7 @@
                     && publisher.current().isFreshAt(sentAt);
             CompletableFuture<StatementsExecuted> answer =
                     executor.execute(view, database, attemptOrder(sentAt), request.statements(0));
-            return inFlight.watch(group.getGroup(), 0, database, answer).handle((executed, error) -> {
+            return inFlight.track(group.getGroup(), 0, database, answer).handle((executed, error) -> {
                 if (error != null) {
                     failedDatabases.add(databaseId);
                     throw FailureException.of(error);
@@ -169,7 +169,7 @@
             Instant now = dispatcher.clock().instant();
             Optional<Duration> age = isPrimary
                     ? Optional.of(Duration.between(askedPrimaryAt.get(), now))
-                    : databases.group(group.getGroup()).age().upperBound(state, now);
+                    : databases.groupState(group.getGroup()).staleness().upperBound(state, now);
             if (!isPrimary && (age.isEmpty() || age.get().compareTo(request.allowance()) > 0)) {
                 failedDatabases.add(databaseId);
                 throw new FailureException(FailureType.NO_REPLICA_IN_TIME, databaseId + " may be too old");
@@ -189,21 +189,21 @@
 
         /** Without a fresh lease the primary may have been replaced; it then counts as a replica of a proven age. */
         private List<ReadCandidate> candidates(GroupView group) {
-            GroupState state = databases.group(group.getGroup());
+            GroupReplicationState state = databases.groupState(group.getGroup());
             Instant now = dispatcher.clock().instant();
             boolean leaseFresh = publisher.current().isFreshAt(now);
             List<ReadCandidate> candidates = new ArrayList<>();
             for (DatabaseEntry database : group.getDatabasesList()) {
-                LogPosition applied = state.applied(database.getDatabaseId());
+                LogPosition applied = state.appliedPosition(database.getDatabaseId());
                 candidates.add(new ReadCandidate(
                         database.getDatabaseId(),
                         leaseFresh && database.getDatabaseId().equals(group.getPrimaryId()),
                         isUsable(database),
                         Proximity.of(failureDomain, region, database.getFailureDomain(), database.getRegion()),
                         applied,
-                        state.age().upperBound(applied, now),
+                        state.staleness().upperBound(applied, now),
                         state.lag(database.getDatabaseId()).typicalLag(now),
-                        held.waitingStatements(database.getDatabaseId())));
+                        held.pendingStatements(database.getDatabaseId())));
             }
             return candidates;
         }
@@ -213,8 +213,8 @@
                     && !failedDatabases.contains(database.getDatabaseId())
                     && !database.getHolderProxyId().isEmpty()
                     && databases
-                            .link(database.getDatabaseId())
-                            .filter(DatabaseLink::isConnected)
+                            .monitor(database.getDatabaseId())
+                            .filter(DatabaseMonitor::isConnected)
                             .isPresent()
                     && held.mayRead(database);
         }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/DutyDispatcher.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/SingleThreadDispatcher.java
@@ -7,19 +7,20 @@
 import org.hornbeamspread.runtime.DutyThread;
 
 /** A dispatcher on a duty thread of its own. */
-final class DutyDispatcher implements Dispatcher, AutoCloseable {
-    private static final Logger LOG = System.getLogger(DutyDispatcher.class.getName());
-    private static final int CAPACITY_EVENTS = 1 << 16;
-    private static final Duration TICK = Duration.ofMillis(2);
+final class SingleThreadDispatcher implements Dispatcher, AutoCloseable {
+    private static final Logger LOG = System.getLogger(SingleThreadDispatcher.class.getName());
+    private static final int MAX_QUEUED_TASKS = 1 << 16;
+    private static final Duration TIMER_CHECK_INTERVAL = Duration.ofMillis(2);
 
     private final Clock clock;
     private final TimerQueue timers;
-    private final DutyThread<Runnable> duty;
+    private final DutyThread<Runnable> thread;
 
-    DutyDispatcher(String name, Clock clock) {
+    SingleThreadDispatcher(String name, Clock clock) {
         this.clock = clock;
         this.timers = new TimerQueue(clock);
-        this.duty = new DutyThread<>(name, CAPACITY_EVENTS, Runnable::run, TICK, timers::runDue).start();
+        this.thread =
+                new DutyThread<>(name, MAX_QUEUED_TASKS, Runnable::run, TIMER_CHECK_INTERVAL, timers::runDue).start();
     }
 
     @Override
@@ -29,14 +30,14 @@
 
     @Override
     public void execute(Runnable work) {
-        if (!duty.offer(work)) {
+        if (!thread.offer(work)) {
             LOG.log(Level.ERROR, "the ring is full of accepted work");
         }
     }
 
     @Override
     public boolean tryExecute(Runnable work) {
-        return duty.waitingEvents() < CAPACITY_EVENTS / 2 && duty.offer(work);
+        return thread.waitingEvents() < MAX_QUEUED_TASKS / 2 && thread.offer(work);
     }
 
     @Override
@@ -45,12 +46,12 @@
     }
 
     /** Work that waits. */
-    int waitingEvents() {
-        return duty.waitingEvents();
+    int queuedTasks() {
+        return thread.waitingEvents();
     }
 
     @Override
     public void close() {
-        duty.close();
+        thread.close();
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
@@ -30,7 +30,7 @@
     private final ViewPublisher publisher;
     private final WritePath writes;
     private final ReadPath reads;
-    private final TransactionService transactions;
+    private final TransactionRouter transactions;
     private final RetryLoop retries;
     private final ProxyMetrics metrics;
     private final ProxySettings settings;
@@ -42,7 +42,7 @@
             ViewPublisher publisher,
             WritePath writes,
             ReadPath reads,
-            TransactionService transactions,
+            TransactionRouter transactions,
             RetryLoop retries,
             ProxyMetrics metrics,
             ProxySettings settings) {
@@ -107,7 +107,7 @@
             }
             FailureException failure = FailureException.of(error);
             metrics.refused(failure.type(), knownRank(request.getRank()));
-            return TransactionService.failed(failure);
+            return TransactionRouter.failureResponse(failure);
         });
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/TimerQueue.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TimerQueue.java
@@ -10,7 +10,7 @@
 final class TimerQueue {
     private final Clock clock;
     private final PriorityQueue<Entry> entries = new PriorityQueue<>(
-            Comparator.<Entry, Instant>comparing(entry -> entry.at).thenComparingLong(entry -> entry.sequence));
+            Comparator.<Entry, Instant>comparing(entry -> entry.dueAt).thenComparingLong(entry -> entry.sequence));
     private long nextSequence;
 
     TimerQueue(Clock clock) {
@@ -26,20 +26,20 @@
     /** Runs every timer that is due. */
     void runDue() {
         Instant now = clock.instant();
-        while (!entries.isEmpty() && !entries.peek().at.isAfter(now)) {
+        while (!entries.isEmpty() && !entries.peek().dueAt.isAfter(now)) {
             entries.poll().work.run();
         }
     }
 
     private static final class Entry {
-        private final Instant at;
+        private final Instant dueAt;
         private final long sequence;
 
         /** Replaced when the timer is called off; the entry leaves the queue when it is due. */
         private Runnable work;
 
         Entry(Instant at, long sequence, Runnable work) {
-            this.at = at;
+            this.dueAt = at;
             this.sequence = sequence;
             this.work = work;
         }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/TransactionId.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TransactionId.java
@@ -39,7 +39,7 @@
     }
 
     /** The id as callers carry it. */
-    String text() {
+    String encode() {
         return proxyId + ":" + incarnation + ":" + secret;
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/Transactions.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TransactionManager.java
@@ -37,8 +37,8 @@
  * transaction that is idle for too long, whose answer is missing, or whose end is not known is closed with its
  * connection: the database then drops what was not committed. Owned by the dispatcher's thread.
  */
-final class Transactions {
-    private static final Duration CHECK_INTERVAL = Duration.ofMillis(50);
+final class TransactionManager {
+    private static final Duration IDLE_CHECK_INTERVAL = Duration.ofMillis(50);
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
@@ -46,10 +46,10 @@
     private final WritePath writes;
     private final String proxyId;
     private final long incarnation;
-    private final Duration idleLimit;
-    private final Map<TransactionId, OpenTransaction> open = new HashMap<>();
+    private final Duration idleTimeout;
+    private final Map<TransactionId, OpenTransaction> openTransactions = new HashMap<>();
 
-    Transactions(
+    TransactionManager(
             Dispatcher dispatcher,
             ViewPublisher publisher,
             HeldDatabases held,
@@ -62,22 +62,22 @@
         this.writes = writes;
         this.proxyId = settings.proxyId();
         this.incarnation = incarnation;
-        this.idleLimit = Duration.ofMillis(settings.idleTransactionMs());
+        this.idleTimeout = Duration.ofMillis(settings.idleTransactionMs());
     }
 
     void start() {
-        dispatcher.schedule(CHECK_INTERVAL, this::closeIdle);
+        dispatcher.schedule(IDLE_CHECK_INTERVAL, this::closeIdleTransactions);
     }
 
     /** Transactions that are open. */
-    int openTransactions() {
-        return open.size();
+    int openTransactionCount() {
+        return openTransactions.size();
     }
 
     /** The primary that a transaction would run at. Fails with the type of a refused write. */
     DatabaseEntry primary(BeginRequest request) {
         LeasedView leased = publisher.current();
-        return writes.primary(leased.view(), group(leased, request));
+        return writes.primary(leased.view(), writableGroup(leased, request));
     }
 
     /** Begins a transaction at a database that this proxy holds. */
@@ -85,11 +85,11 @@
         LeasedView leased = publisher.current();
         ServiceDefinition service = StatementRequest.service(leased.view(), request.getService());
         StatementRequest.checkRank(leased.view(), request.getRank());
-        GroupView group = group(leased, request);
+        GroupView group = writableGroup(leased, request);
         DatabaseEntry primary = writes.primary(leased.view(), group);
-        HeldDatabase database = held.usable(primary.getDatabaseId(), primary.getHolderEpoch(), false)
+        HeldDatabase database = held.findUsable(primary.getDatabaseId(), primary.getHolderEpoch(), false)
                 .orElseThrow(() -> new FailureException(FailureType.WRONG_HOLDER, primary.getDatabaseId()));
-        if (openAt(database) >= Math.max(1, primary.getConnectionLimit() - primary.getSlots())) {
+        if (openTransactionsOn(database) >= Math.max(1, primary.getConnectionLimit() - primary.getSlots())) {
             throw new FailureException(FailureType.CONNECTION_LIMIT, "open transactions");
         }
         int timeoutMs = StatementRequest.timeoutMs(request.getTimeoutMs(), service);
@@ -101,8 +101,8 @@
 
     /** Runs statements inside a transaction. */
     CompletableFuture<ExecuteResponse> execute(TransactionId id, ExecuteRequest request) {
-        OpenTransaction transaction = find(id, FailureType.UNKNOWN_TRANSACTION);
-        WorkOrder order = transaction.use(dispatcher.clock().instant(), request.getTimeoutMs());
+        OpenTransaction transaction = findIdle(id, FailureType.UNKNOWN_TRANSACTION);
+        WorkOrder order = transaction.beginRequest(dispatcher.clock().instant(), request.getTimeoutMs());
         Envelope statements = Envelope.newBuilder()
                 .setExecuteStatements(ExecuteStatements.newBuilder()
                         .setTerm(
@@ -114,35 +114,36 @@
         return database.queue()
                 .run(order, () -> database.send(transaction.connection(), statements, order))
                 .handle((answer, error) -> {
-                    transaction.free(dispatcher.clock().instant());
+                    transaction.endRequest(dispatcher.clock().instant());
                     if (error != null) {
-                        throw statementFailed(transaction, FailureException.of(error));
+                        throw toStatementFailure(transaction, FailureException.of(error));
                     }
-                    return executed(transaction, answer.getStatementsExecuted(), request);
+                    return executeResponse(transaction, answer.getStatementsExecuted(), request);
                 });
     }
 
     /** Commits, and answers once the commit may be acknowledged. */
     CompletableFuture<ExecuteResponse> commit(TransactionId id, EndRequest request) {
-        OpenTransaction transaction = find(id, FailureType.TRANSACTION_LOST);
+        OpenTransaction transaction = findIdle(id, FailureType.TRANSACTION_LOST);
         if (!transaction.readOnly()) {
             writes.writableGroup(publisher.current(), transaction.group().getGroup());
         }
-        WorkOrder order = transaction.use(dispatcher.clock().instant(), 0);
+        WorkOrder order = transaction.beginRequest(dispatcher.clock().instant(), 0);
         Envelope commit = Envelope.newBuilder()
                 .setCommitTransaction(CommitTransaction.newBuilder().setIdempotencyKey(request.getIdempotencyKey()))
                 .build();
-        return end(transaction, commit, order).thenCompose(ended -> acknowledged(transaction, ended, order, request));
+        return endTransaction(transaction, commit, order)
+                .thenCompose(ended -> acknowledge(transaction, ended, order, request));
     }
 
     /** Drops a transaction's work. */
     CompletableFuture<ExecuteResponse> rollback(TransactionId id, EndRequest request) {
-        OpenTransaction transaction = find(id, FailureType.UNKNOWN_TRANSACTION);
-        WorkOrder order = transaction.use(dispatcher.clock().instant(), 0);
+        OpenTransaction transaction = findIdle(id, FailureType.UNKNOWN_TRANSACTION);
+        WorkOrder order = transaction.beginRequest(dispatcher.clock().instant(), 0);
         Envelope rollback = Envelope.newBuilder()
                 .setRollbackTransaction(RollbackTransaction.getDefaultInstance())
                 .build();
-        return end(transaction, rollback, order)
+        return endTransaction(transaction, rollback, order)
                 .handle((ended, error) -> ExecuteResponse.newBuilder()
                         .setEffect(Effect.DONE)
                         .setSessionToken(request.getSessionToken())
@@ -150,7 +151,7 @@
                         .build());
     }
 
-    private GroupView group(LeasedView leased, BeginRequest request) {
+    private GroupView writableGroup(LeasedView leased, BeginRequest request) {
         ServiceDefinition service = StatementRequest.service(leased.view(), request.getService());
         String name = GroupRouting.groupOf(service.getGroupsList(), request.getRoutingKey());
         return writes.writableGroup(leased, name);
@@ -177,7 +178,7 @@
                             }
                             TransactionId id = TransactionId.create(proxyId, incarnation);
                             Instant now = dispatcher.clock().instant();
-                            open.put(
+                            openTransactions.put(
                                     id,
                                     new OpenTransaction(
                                             id,
@@ -193,8 +194,8 @@
                         dispatcher);
     }
 
-    private OpenTransaction find(TransactionId id, FailureType missing) {
-        OpenTransaction transaction = open.get(id);
+    private OpenTransaction findIdle(TransactionId id, FailureType missing) {
+        OpenTransaction transaction = openTransactions.get(id);
         if (transaction == null) {
             throw new FailureException(missing, "closed, or never open here");
         }
@@ -204,8 +205,9 @@
         return transaction;
     }
 
-    private FailureException statementFailed(OpenTransaction transaction, FailureException failure) {
-        if (HeldDatabase.leavesAnswerOpen(failure) || !transaction.connection().isOpen()) {
+    private FailureException toStatementFailure(OpenTransaction transaction, FailureException failure) {
+        if (HeldDatabase.mayReceiveLateResponse(failure)
+                || !transaction.connection().isOpen()) {
             close(transaction);
             return new FailureException(
                     FailureType.TRANSACTION_LOST, failure.type().name());
@@ -213,7 +215,8 @@
         return failure;
     }
 
-    private ExecuteResponse executed(OpenTransaction transaction, StatementsExecuted executed, ExecuteRequest request) {
+    private ExecuteResponse executeResponse(
+            OpenTransaction transaction, StatementsExecuted executed, ExecuteRequest request) {
         LogPosition state = Envelopes.position(executed.getPosition());
         SessionToken token = SessionToken.decode(request.getSessionToken())
                 .withRead(transaction.group().getGroup(), state);
@@ -226,7 +229,8 @@
     }
 
     /** Ends the transaction at the database. Whatever comes back, the transaction is over. */
-    private CompletableFuture<TransactionEnded> end(OpenTransaction transaction, Envelope request, WorkOrder order) {
+    private CompletableFuture<TransactionEnded> endTransaction(
+            OpenTransaction transaction, Envelope request, WorkOrder order) {
         return transaction
                 .database()
                 .send(transaction.connection(), request, order)
@@ -236,14 +240,14 @@
                                 close(transaction);
                                 throw FailureException.of(error);
                             }
-                            open.remove(transaction.id());
+                            openTransactions.remove(transaction.id());
                             transaction.database().pool().release(transaction.connection());
                             return answer.getTransactionEnded();
                         },
                         dispatcher);
     }
 
-    private CompletableFuture<ExecuteResponse> acknowledged(
+    private CompletableFuture<ExecuteResponse> acknowledge(
             OpenTransaction transaction, TransactionEnded ended, WorkOrder order, EndRequest request) {
         SessionToken token = SessionToken.decode(request.getSessionToken());
         String group = transaction.group().getGroup();
@@ -268,25 +272,25 @@
                         .build());
     }
 
-    private int openAt(HeldDatabase database) {
-        return (int) open.values().stream()
+    private int openTransactionsOn(HeldDatabase database) {
+        return (int) openTransactions.values().stream()
                 .filter(transaction -> transaction.database() == database)
                 .count();
     }
 
-    private void closeIdle() {
-        Instant limit = dispatcher.clock().instant().minus(idleLimit);
-        for (OpenTransaction transaction : List.copyOf(open.values())) {
+    private void closeIdleTransactions() {
+        Instant limit = dispatcher.clock().instant().minus(idleTimeout);
+        for (OpenTransaction transaction : List.copyOf(openTransactions.values())) {
             boolean idle = !transaction.isBusy() && !transaction.lastUsedAt().isAfter(limit);
             if (idle || !transaction.connection().isOpen()) {
                 close(transaction);
             }
         }
-        dispatcher.schedule(CHECK_INTERVAL, this::closeIdle);
+        dispatcher.schedule(IDLE_CHECK_INTERVAL, this::closeIdleTransactions);
     }
 
     private void close(OpenTransaction transaction) {
-        open.remove(transaction.id());
+        openTransactions.remove(transaction.id());
         transaction.database().pool().discard(transaction.connection());
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/TransactionService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TransactionRouter.java
@@ -24,21 +24,21 @@
  * after it to the proxy that the id names. Both are passed on as whole calls, so that the queue, the connection and the
  * acknowledgement stay in one process. Owned by the dispatcher's thread.
  */
-final class TransactionService {
-    private static final String METHODS = "hornbeamspread.Statements/";
-    private static final Duration MAX_WAIT = Duration.ofSeconds(60);
+final class TransactionRouter {
+    private static final String METHOD_PREFIX = "hornbeamspread.Statements/";
+    private static final Duration FORWARD_TIMEOUT = Duration.ofSeconds(60);
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
-    private final Transactions transactions;
+    private final TransactionManager transactions;
     private final ProxySettings settings;
     private final long incarnation;
     private final RpcClient client = new RpcClient();
 
-    TransactionService(
+    TransactionRouter(
             Dispatcher dispatcher,
             ViewPublisher publisher,
-            Transactions transactions,
+            TransactionManager transactions,
             ProxySettings settings,
             long incarnation) {
         this.dispatcher = dispatcher;
@@ -56,7 +56,7 @@
             return transactions
                     .begin(request, arrivedAt)
                     .thenApply(id -> BeginResponse.newBuilder()
-                            .setTransactionId(id.text())
+                            .setTransactionId(id.encode())
                             .build());
         }
         if (request.getForwarded()) {
@@ -80,7 +80,7 @@
 
     /** Runs statements inside a transaction. */
     CompletableFuture<ExecuteResponse> execute(ExecuteRequest request) {
-        return atOwner(
+        return runAtOwner(
                 request.getTransactionId(),
                 FailureType.UNKNOWN_TRANSACTION,
                 "Execute",
@@ -90,7 +90,7 @@
 
     /** Commits a transaction. */
     CompletableFuture<ExecuteResponse> commit(EndRequest request) {
-        return atOwner(
+        return runAtOwner(
                 request.getTransactionId(),
                 FailureType.TRANSACTION_LOST,
                 "Commit",
@@ -100,7 +100,7 @@
 
     /** Drops a transaction's work. */
     CompletableFuture<ExecuteResponse> rollback(EndRequest request) {
-        return atOwner(
+        return runAtOwner(
                 request.getTransactionId(),
                 FailureType.UNKNOWN_TRANSACTION,
                 "Rollback",
@@ -108,7 +108,7 @@
                 id -> transactions.rollback(id, request));
     }
 
-    private <Q extends Message> CompletableFuture<ExecuteResponse> atOwner(
+    private <Q extends Message> CompletableFuture<ExecuteResponse> runAtOwner(
             String text,
             FailureType ownerGone,
             String method,
@@ -136,18 +136,23 @@
 
     private <Q extends Message, A extends Message> CompletableFuture<A> forward(
             ProxyEntry to, String method, Q request, A answer, Function<FailureException, FailureException> typed) {
-        return client.call(settings.translator().translate(to.getHttp()), METHODS + method, request, answer, MAX_WAIT)
+        return client.call(
+                        settings.translator().translate(to.getHttp()),
+                        METHOD_PREFIX + method,
+                        request,
+                        answer,
+                        FORWARD_TIMEOUT)
                 .handleAsync(
                         (response, error) -> {
                             if (error != null) {
-                                throw transportFailure(FailureException.of(error), typed);
+                                throw mapTransportFailure(FailureException.of(error), typed);
                             }
                             return response;
                         },
                         dispatcher);
     }
 
-    private static FailureException transportFailure(
+    private static FailureException mapTransportFailure(
             FailureException failure, Function<FailureException, FailureException> typed) {
         return switch (failure.type()) {
             case CONNECTION_REFUSED, CONNECTION_LOST, REQUEST_TIMEOUT, INTERNAL -> typed.apply(failure);
@@ -156,7 +161,7 @@
     }
 
     /** A begin's failure as an answer. */
-    static BeginResponse failed(FailureException failure) {
+    static BeginResponse failureResponse(FailureException failure) {
         return BeginResponse.newBuilder().setFailure(Envelopes.failure(failure)).build();
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ControlLink.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ViewLeaseRenewer.java
@@ -19,36 +19,36 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * The duty that keeps this proxy's view leased: it finds the control leader, renews every {@link #RENEWAL} and at once
+ * The duty that keeps this proxy's view leased: it finds the control leader, renews every {@link #RENEWAL_INTERVAL} and at once
  * when control says that the view changed, and publishes what it is given.
  *
  * <p>A renewal confirms the view version that the request's thread has acted on, not the one that last arrived:
  * control may open a new term for writes after that confirmation, and by then every acknowledgement under the older view
  * must have been decided. All state belongs to the control dispatcher's thread.
  */
-final class ControlLink {
-    private static final Logger LOG = System.getLogger(ControlLink.class.getName());
-    private static final Duration RENEWAL = Duration.ofMillis(300);
-    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(400);
-    private static final Duration NEXT_MEMBER_PAUSE = Duration.ofMillis(30);
+final class ViewLeaseRenewer {
+    private static final Logger LOG = System.getLogger(ViewLeaseRenewer.class.getName());
+    private static final Duration RENEWAL_INTERVAL = Duration.ofMillis(300);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(400);
+    private static final Duration RETRY_BACKOFF = Duration.ofMillis(30);
 
     private final Dispatcher dispatcher;
     private final PeerTransport transport;
     private final List<Endpoint> members;
     private final ViewPublisher publisher;
-    private final Supplier<RenewView> renewal;
-    private final Consumer<ViewSnapshot> onView;
+    private final Supplier<RenewView> renewalRequests;
+    private final Consumer<ViewSnapshot> onNewView;
 
-    private Endpoint target;
+    private Endpoint targetEndpoint;
 
     /** Null while not connected. */
     private PeerConnection connection;
 
-    private int nextMember;
-    private boolean inFlight;
+    private int memberIndex;
+    private boolean renewalInFlight;
 
     /** A renewal was asked for while one was in flight. */
-    private boolean askedAgain;
+    private boolean renewalRequested;
 
     private boolean closed;
     private Dispatcher.Timer timer = () -> {};
@@ -59,7 +59,7 @@
      * @param renewal the next request: this proxy, the view version it acts on, its observations; called on this thread
      * @param onView called on this thread after a new view was published
      */
-    ControlLink(
+    ViewLeaseRenewer(
             Dispatcher dispatcher,
             PeerTransport transport,
             List<Endpoint> members,
@@ -70,9 +70,9 @@
         this.transport = transport;
         this.members = List.copyOf(members);
         this.publisher = publisher;
-        this.renewal = renewal;
-        this.onView = onView;
-        this.target = members.get(0);
+        this.renewalRequests = renewal;
+        this.onNewView = onView;
+        this.targetEndpoint = members.get(0);
     }
 
     void start() {
@@ -92,82 +92,83 @@
     }
 
     private void renew() {
-        if (inFlight) {
-            askedAgain = true;
+        if (renewalInFlight) {
+            renewalRequested = true;
             return;
         }
         if (closed) {
             return;
         }
         timer.cancel();
-        inFlight = true;
+        renewalInFlight = true;
         if (connection != null && connection.isOpen()) {
-            send();
+            sendRenewal();
             return;
         }
-        Endpoint wanted = target;
-        Futures.start(() -> transport.connect(wanted, ANSWER_TIMEOUT, new Pushes()))
+        Endpoint wanted = targetEndpoint;
+        Futures.start(() -> transport.connect(wanted, RESPONSE_TIMEOUT, new PushHandler()))
                 .whenCompleteAsync(
                         (opened, error) -> {
                             if (error != null) {
-                                failed(FailureException.of(error));
+                                onRenewalFailed(FailureException.of(error));
                             } else {
                                 connection = opened;
-                                send();
+                                sendRenewal();
                             }
                         },
                         dispatcher);
     }
 
-    private void send() {
+    private void sendRenewal() {
         Instant sentAt = dispatcher.clock().instant();
-        Futures.start(this::request)
+        Futures.start(this::requestRenewal)
                 .whenCompleteAsync(
                         (answer, error) -> {
                             if (error != null) {
-                                failed(FailureException.of(error));
+                                onRenewalFailed(FailureException.of(error));
                             } else if (!answer.hasViewLease()) {
-                                failed(new FailureException(FailureType.INVALID_REQUEST, "not a lease"));
+                                onRenewalFailed(new FailureException(FailureType.INVALID_REQUEST, "not a lease"));
                             } else {
-                                granted(answer, sentAt);
+                                onLeaseGranted(answer, sentAt);
                             }
                         },
                         dispatcher);
     }
 
-    private CompletableFuture<Envelope> request() {
-        Envelope request = Envelope.newBuilder().setRenewView(renewal.get()).build();
-        return connection.request(request, ANSWER_TIMEOUT);
+    private CompletableFuture<Envelope> requestRenewal() {
+        Envelope request =
+                Envelope.newBuilder().setRenewView(renewalRequests.get()).build();
+        return connection.request(request, RESPONSE_TIMEOUT);
     }
 
-    private void granted(Envelope answer, Instant sentAt) {
-        inFlight = false;
+    private void onLeaseGranted(Envelope answer, Instant sentAt) {
+        renewalInFlight = false;
         if (publisher.apply(answer.getViewLease(), sentAt)) {
-            onView.accept(publisher.current().view());
+            onNewView.accept(publisher.current().view());
         }
-        if (askedAgain) {
-            askedAgain = false;
+        if (renewalRequested) {
+            renewalRequested = false;
             renew();
             return;
         }
         Duration sinceSent = Duration.between(sentAt, dispatcher.clock().instant());
-        Duration pause = RENEWAL.minus(sinceSent);
+        Duration pause = RENEWAL_INTERVAL.minus(sinceSent);
         timer = dispatcher.schedule(pause.isNegative() ? Duration.ZERO : pause, this::renew);
     }
 
-    private void failed(FailureException failure) {
-        inFlight = false;
-        askedAgain = false;
+    private void onRenewalFailed(FailureException failure) {
+        renewalInFlight = false;
+        renewalRequested = false;
         if (connection != null) {
             connection.close();
             connection = null;
         }
-        target = nextTarget(failure);
+        targetEndpoint = selectNextTarget(failure);
         timer.cancel();
-        timer = dispatcher.schedule(NEXT_MEMBER_PAUSE, this::renew);
+        timer = dispatcher.schedule(RETRY_BACKOFF, this::renew);
     }
 
-    private Endpoint nextTarget(FailureException failure) {
+    private Endpoint selectNextTarget(FailureException failure) {
         if (failure.type() == FailureType.NOT_LEADER && !failure.detail().isBlank()) {
             try {
                 return AddressTranslator.parse(failure.detail());
@@ -175,12 +176,12 @@
                 LOG.log(Level.DEBUG, "a control member named a leader that is no endpoint");
             }
         }
-        nextMember = (nextMember + 1) % members.size();
-        return members.get(nextMember);
+        memberIndex = (memberIndex + 1) % members.size();
+        return members.get(memberIndex);
     }
 
     /** Pushes of control. */
-    private final class Pushes implements PeerHandler {
+    private final class PushHandler implements PeerHandler {
         @Override
         public void onRequest(PeerConnection peer, Envelope request, Consumer<Envelope> answer) {
             answer.accept(org.hornbeamspread.transport.Envelopes.failureEnvelope(new FailureException(
--- a/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
@@ -34,9 +34,9 @@
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
-    private final Databases databases;
+    private final ClusterMonitor databases;
     private final DatabaseExecutor executor;
-    private final InFlight inFlight;
+    private final InFlightAttempts inFlight;
 
     /** When a database was first seen departing, by id. */
     private final Map<String, Instant> departingSince = new HashMap<>();
@@ -44,9 +44,9 @@
     WritePath(
             Dispatcher dispatcher,
             ViewPublisher publisher,
-            Databases databases,
+            ClusterMonitor databases,
             DatabaseExecutor executor,
-            InFlight inFlight) {
+            InFlightAttempts inFlight) {
         this.dispatcher = dispatcher;
         this.publisher = publisher;
         this.databases = databases;
@@ -80,7 +80,7 @@
         CompletableFuture<StatementsExecuted> answer =
                 executor.execute(leased.view(), primary, request.order(), request.statements(group.getTerm()));
         CompletableFuture<StatementsExecuted> executed = request.kind() == StatementKind.KEYED_WRITE
-                ? inFlight.watch(group.getGroup(), group.getTerm(), primary, answer)
+                ? inFlight.track(group.getGroup(), group.getTerm(), primary, answer)
                 : answer;
         return executed.thenCompose(result -> acknowledge(group, result, request.order())
                 .thenApply(position -> response(request, group, result, position)));
@@ -120,7 +120,7 @@
                     FailureType.TERM_CHANGED_AFTER_SEND, "executed at term " + executed.getTerm()));
             return result;
         }
-        GroupState state = databases.group(group.getGroup());
+        GroupReplicationState state = databases.groupState(group.getGroup());
         CompletableFuture<Void> held = state.quorum().awaitQuorum(group.getTerm(), position, group.getPrimaryId());
         Dispatcher.Timer timer = dispatcher.schedule(remaining(order), () -> {
             state.quorum().cancel(held);
@@ -141,7 +141,7 @@
             GroupView group, LogPosition position, WorkOrder order, CompletableFuture<LogPosition> result) {
         Instant now = dispatcher.clock().instant();
         LeasedView leased = publisher.current();
-        if (leased.allowsWrite(group.getGroup(), group.getTerm(), now)) {
+        if (leased.canAcknowledgeWrite(group.getGroup(), group.getTerm(), now)) {
             result.complete(position);
             return;
         }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/FakeControl.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/FakeControlLeader.java
@@ -20,16 +20,16 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /** A control leader on loopback that grants whatever view the test gives it. */
-final class FakeControl implements PeerHandler {
+final class FakeControlLeader implements PeerHandler {
     private final PeerServer server;
     private final Map<String, ProxyEntry> proxies = new ConcurrentHashMap<>();
     private final Map<String, RenewView> renewals = new ConcurrentHashMap<>();
     private final List<PeerConnection> connections = new CopyOnWriteArrayList<>();
     private volatile GroupView group = GroupView.getDefaultInstance();
-    private volatile long version;
-    private volatile boolean granting = true;
+    private volatile long viewVersion;
+    private volatile boolean grantsLeases = true;
 
-    FakeControl(PeerTransport transport) {
+    FakeControlLeader(PeerTransport transport) {
         server = transport
                 .listen(Endpoint.newBuilder().setHost("127.0.0.1").build(), this)
                 .join();
@@ -42,23 +42,23 @@
     /** Publishes a view, and waits until these proxies have confirmed it. */
     void publish(GroupView next, String... confirmedBy) {
         synchronized (this) {
-            version++;
+            viewVersion++;
             group = next;
         }
-        push();
+        pushViewChanged();
         for (String proxyId : confirmedBy) {
-            awaitConfirmed(proxyId, version);
+            awaitConfirmed(proxyId, viewVersion);
         }
     }
 
     /** The last renewal of a proxy. */
-    RenewView renewal(String proxyId) {
+    RenewView lastRenewal(String proxyId) {
         return renewals.get(proxyId);
     }
 
     /** Stops or starts to grant leases. */
-    void grant(boolean on) {
-        granting = on;
+    void setGrantsLeases(boolean on) {
+        grantsLeases = on;
     }
 
     @Override
@@ -68,7 +68,7 @@
 
     @Override
     public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
-        if (!granting) {
+        if (!grantsLeases) {
             answer.accept(Envelopes.failureEnvelope(new FailureException(FailureType.NOT_LEADER, "")));
             return;
         }
@@ -77,20 +77,20 @@
         boolean isNew = proxies.put(proxyId, renewal.getProxy()) == null;
         Envelope lease;
         synchronized (this) {
-            version += isNew ? 1 : 0;
+            viewVersion += isNew ? 1 : 0;
             lease = Envelope.newBuilder()
-                    .setViewLease(TestViews.lease(version, group, List.copyOf(proxies.values())))
+                    .setViewLease(TestViews.lease(viewVersion, group, List.copyOf(proxies.values())))
                     .build();
             renewals.put(proxyId, renewal);
             notifyAll();
         }
         answer.accept(lease);
         if (isNew) {
-            push();
+            pushViewChanged();
         }
     }
 
-    private void push() {
+    private void pushViewChanged() {
         connections.forEach(connection -> connection.push(Envelope.newBuilder()
                 .setViewChanged(ViewChanged.getDefaultInstance())
                 .build()));
--- a/proxy/src/test/java/org/hornbeamspread/proxy/FakeDatabase.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/FakeDatabase.java
@@ -30,7 +30,7 @@
 final class FakeDatabase implements PeerHandler {
     /** A request that waits for its answer, and the connection it came on. */
     record Call(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
-        void executed(long term, long index, String value) {
+        void respondExecuted(long term, long index, String value) {
             answer.accept(Envelope.newBuilder()
                     .setStatementsExecuted(StatementsExecuted.newBuilder()
                             .setTerm(term)
@@ -40,7 +40,7 @@
                     .build());
         }
 
-        void ended(long term, long index) {
+        void respondEnded(long term, long index) {
             answer.accept(Envelope.newBuilder()
                     .setTransactionEnded(TransactionEnded.newBuilder()
                             .setTerm(term)
@@ -48,20 +48,20 @@
                     .build());
         }
 
-        void begun() {
+        void respondBegun() {
             answer.accept(Envelope.newBuilder()
                     .setTransactionBegun(TransactionBegun.getDefaultInstance())
                     .build());
         }
     }
 
-    private static final long WAIT_S = 30;
+    private static final long CALL_TIMEOUT_S = 30;
 
     private final String databaseId;
     private final PeerServer server;
     private final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
     private final List<PeerConnection> subscribers = new CopyOnWriteArrayList<>();
-    private final Map<String, CompletableFuture<Void>> closing = new ConcurrentHashMap<>();
+    private final Map<String, CompletableFuture<Void>> closeFutures = new ConcurrentHashMap<>();
     private volatile PositionReport report;
 
     FakeDatabase(PeerTransport transport, String databaseId, boolean primary) {
@@ -86,13 +86,13 @@
     }
 
     /** Changes how many connections the reports count, and tells the subscribers. */
-    void countConnections(int count) {
+    void reportConnections(int count) {
         report = report.toBuilder().setConnections(count).build();
-        push();
+        pushReport();
     }
 
     /** Moves the log's end and tells the subscribers. */
-    void moveTo(long term, long index) {
+    void advanceLogTo(long term, long index) {
         Position position = Position.newBuilder().setTerm(term).setIndex(index).build();
         report = report.toBuilder()
                 .setTerm(term)
@@ -100,13 +100,13 @@
                 .setSynced(position)
                 .setApplied(position)
                 .build();
-        push();
+        pushReport();
     }
 
     /** The next request of a kind other than Connect and Subscribe. */
-    Call next() {
+    Call nextCall() {
         try {
-            Call call = calls.poll(WAIT_S, TimeUnit.SECONDS);
+            Call call = calls.poll(CALL_TIMEOUT_S, TimeUnit.SECONDS);
             if (call == null) {
                 throw new IllegalStateException("no request reached " + databaseId);
             }
@@ -117,18 +117,18 @@
     }
 
     /** Completes when the connection is closed. */
-    CompletableFuture<Void> closed(PeerConnection connection) {
-        return closing.computeIfAbsent(connection.remote(), remote -> new CompletableFuture<>());
+    CompletableFuture<Void> closeFuture(PeerConnection connection) {
+        return closeFutures.computeIfAbsent(connection.remote(), remote -> new CompletableFuture<>());
     }
 
-    private void push() {
+    private void pushReport() {
         subscribers.forEach(subscriber ->
                 subscriber.push(Envelope.newBuilder().setPositionReport(report).build()));
     }
 
     @Override
     public void onClose(PeerConnection connection) {
-        closed(connection).complete(null);
+        closeFuture(connection).complete(null);
     }
 
     @Override
--- a/proxy/src/test/java/org/hornbeamspread/proxy/HotPathBenchmark.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/HotPathBenchmark.java
@@ -26,11 +26,11 @@
  * it takes about a minute and prints a table.
  */
 public final class HotPathBenchmark {
-    private static final int[] GROUPS = {10, 100, 1_000, 5_000};
+    private static final int[] GROUP_COUNTS = {10, 100, 1_000, 5_000};
     private static final int REPETITIONS = 5;
-    private static final Duration WARM_UP = Duration.ofMillis(300);
-    private static final Duration MEASURED = Duration.ofMillis(200);
-    private static final int BATCH = 100;
+    private static final Duration WARM_UP_TIME = Duration.ofMillis(300);
+    private static final Duration MEASUREMENT_TIME = Duration.ofMillis(200);
+    private static final int OPERATIONS_PER_BATCH = 100;
     private static final Set<String> MEMBERS = Set.of("a", "b", "c");
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
@@ -53,16 +53,16 @@
                     i -> sink = token.withWrite("group-0", new LogPosition(3, 1_000_000L + i))
                             .encode());
         }
-        for (int groups : GROUPS) {
-            List<String> names = names(groups);
+        for (int groups : GROUP_COUNTS) {
+            List<String> names = groupNames(groups);
             report("group of a routing key", groups, i -> sink = GroupRouting.groupOf(names, "club-" + i));
-            routing(groups);
-            quorum(groups);
-            delta(groups);
+            benchmarkRouting(groups);
+            benchmarkQuorum(groups);
+            benchmarkViewDelta(groups);
         }
     }
 
-    private static void routing(int groups) {
+    private static void benchmarkRouting(int groups) {
         ReadRouter router = new ReadRouter(Duration.ofMillis(20), Duration.ofMillis(16));
         Instant now = Instant.EPOCH.plusSeconds(100);
         List<ReplicaStaleness> ages = new ArrayList<>();
@@ -99,7 +99,7 @@
                 0);
     }
 
-    private static void quorum(int groups) {
+    private static void benchmarkQuorum(int groups) {
         List<QuorumTracker> trackers = new ArrayList<>();
         long[] index = new long[groups];
         for (int i = 0; i < groups; i++) {
@@ -119,9 +119,9 @@
         });
     }
 
-    private static void delta(int groups) {
+    private static void benchmarkViewDelta(int groups) {
         ViewLease.Builder full = TestViews.lease(1, TestViews.group(1, true, databases("x")), List.of()).toBuilder();
-        for (String name : names(groups)) {
+        for (String name : groupNames(groups)) {
             full.addGroups(TestViews.group(1, true, databases(name)).toBuilder().setGroup(name));
         }
         ViewSnapshot snapshot = ViewSnapshot.NONE.apply(full.build());
@@ -151,7 +151,7 @@
         return token;
     }
 
-    private static List<String> names(int groups) {
+    private static List<String> groupNames(int groups) {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < groups; i++) {
             names.add("group-" + i);
@@ -160,10 +160,10 @@
     }
 
     private static void report(String decision, int groups, IntConsumer operation) {
-        measure(operation, WARM_UP);
+        measure(operation, WARM_UP_TIME);
         double[] micros = new double[REPETITIONS];
         for (int i = 0; i < REPETITIONS; i++) {
-            micros[i] = measure(operation, MEASURED);
+            micros[i] = measure(operation, MEASUREMENT_TIME);
         }
         java.util.Arrays.sort(micros);
         System.out.printf(
@@ -177,10 +177,10 @@
         long startCpuNs = THREADS.getCurrentThreadCpuTime();
         int operations = 0;
         while (System.nanoTime() < endNs) {
-            for (int i = 0; i < BATCH; i++) {
+            for (int i = 0; i < OPERATIONS_PER_BATCH; i++) {
                 operation.accept(operations + i);
             }
-            operations += BATCH;
+            operations += OPERATIONS_PER_BATCH;
         }
         return (THREADS.getCurrentThreadCpuTime() - startCpuNs) / 1_000.0 / operations;
     }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ManualDispatcher.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ManualDispatcher.java
@@ -10,7 +10,7 @@
 final class ManualDispatcher implements Dispatcher {
     private final ManualClock clock = new ManualClock();
     private final TimerQueue timers = new TimerQueue(clock);
-    private final Deque<Runnable> work = new ArrayDeque<>();
+    private final Deque<Runnable> tasks = new ArrayDeque<>();
 
     @Override
     public Clock clock() {
@@ -19,12 +19,12 @@
 
     @Override
     public void execute(Runnable item) {
-        work.add(item);
+        tasks.add(item);
     }
 
     @Override
     public boolean tryExecute(Runnable item) {
-        return work.add(item);
+        return tasks.add(item);
     }
 
     @Override
@@ -33,17 +33,17 @@
     }
 
     /** Runs what waits and what is due. */
-    void run() {
+    void runPending() {
         do {
             timers.runDue();
-            while (!work.isEmpty()) {
-                work.poll().run();
+            while (!tasks.isEmpty()) {
+                tasks.poll().run();
             }
-        } while (!work.isEmpty());
+        } while (!tasks.isEmpty());
     }
 
     /** Lets time pass as one jump, as for a process that was stopped. */
-    void sleep(Duration step) {
+    void jumpClock(Duration step) {
         clock.advance(step);
     }
 
@@ -51,7 +51,7 @@
     void advance(Duration step) {
         for (long i = 0; i < step.toMillis(); i++) {
             clock.advance(Duration.ofMillis(1));
-            run();
+            runPending();
         }
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/PartitionTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/PartitionTest.java
@@ -18,17 +18,17 @@
 /** A proxy that is cut off from control, on a paused clock: its lease runs out after one second. */
 final class PartitionTest {
     private static final Duration LEASE = Duration.ofSeconds(1);
-    private static final LogPosition END = new LogPosition(1, 5);
+    private static final LogPosition LOG_END = new LogPosition(1, 5);
 
     private final ManualClock clock = new ManualClock();
     private final TestBed bed = new TestBed(clock);
 
     @BeforeEach
-    void cutOff() {
-        TestBed.awaitSeen(bed.first, "b", END);
-        bed.control.grant(false);
+    void isolateFromControlUntilLeaseExpires() {
+        TestBed.awaitSeen(bed.first, "b", LOG_END);
+        bed.control.setGrantsLeases(false);
         clock.advance(LEASE);
-        bed.near.moveTo(1, 6);
+        bed.near.advanceLogTo(1, 6);
         bed.first.awaitApplied(TestViews.GROUP, "b", new LogPosition(1, 6)).join();
     }
 
@@ -38,17 +38,17 @@
     }
 
     @Test
-    void readsWithinTheAllowanceAreServedFromAReplica() {
+    void readsWithinTheStalenessAllowanceAreServedFromAReplica() {
         CompletableFuture<ExecuteResponse> read =
                 bed.execute("p1", TestBed.read().build());
-        bed.near.next().executed(1, 6, "old");
+        bed.near.nextCall().respondExecuted(1, 6, "old");
         assertThat(read.join().getEffect()).isEqualTo(Effect.DONE);
         assertThat(read.join().getAgeBoundMs()).isEqualTo(LEASE.toMillis());
     }
 
     @ParameterizedTest
     @CsvSource({"a write, false, VIEW_EXPIRED", "a read by id without a token, true, VIEW_EXPIRED"})
-    void whatNeedsTheLeaseIsRefusedAndNotRun(String name, boolean readOnly, String type) {
+    void requestsThatNeedAValidLeaseAreRejectedWithoutRunning(String name, boolean readOnly, String type) {
         ExecuteRequest request = TestBed.write("key-1").toBuilder()
                 .setReadOnly(readOnly)
                 .setSessionId("agent-7")
@@ -60,8 +60,8 @@
     }
 
     @Test
-    void aReadPastTheAllowanceIsRefusedAlsoAtTheFormerPrimary() {
-        bed.primary.moveTo(1, 6);
+    void readBeyondTheStalenessAllowanceIsRejectedEvenAtTheFormerPrimary() {
+        bed.primary.advanceLogTo(1, 6);
         bed.first.awaitApplied(TestViews.GROUP, "a", new LogPosition(1, 6)).join();
         ExecuteRequest request =
                 TestBed.read().setStalenessAllowanceMs(999).setTimeoutMs(4).build();
@@ -70,9 +70,9 @@
     }
 
     @Test
-    void aReplacedHolderStartsNothing() {
-        bed.near.countConnections(9);
-        bed.near.moveTo(1, 7);
+    void replacedHolderStartsNoWork() {
+        bed.near.reportConnections(9);
+        bed.near.advanceLogTo(1, 7);
         bed.first.awaitApplied(TestViews.GROUP, "b", new LogPosition(1, 7)).join();
         ExecuteResponse answer =
                 bed.execute("p1", TestBed.read().setTimeoutMs(4).build()).join();
@@ -88,9 +88,9 @@
         "false, true, 301, 2, 2, false",
         "false, true, 0, 3, 2, false",
     })
-    void whenAHolderMayStartWork(
+    void holderWithoutLeaseStartsOnlyReadsWhenNoOtherProxyIsConnected(
             boolean leaseFresh, boolean readOnly, long reportAgeMs, int reported, int own, boolean mayStart) {
-        assertThat(HoldingRule.mayStart(leaseFresh, readOnly, Duration.ofMillis(reportAgeMs), reported, own))
+        assertThat(HolderAdmissionRule.mayStart(leaseFresh, readOnly, Duration.ofMillis(reportAgeMs), reported, own))
                 .isEqualTo(mayStart);
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ProxyServerTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ProxyServerTest.java
@@ -25,9 +25,9 @@
     @CsvSource({"at the holder, p1", "relayed to the holder, p2"})
     void aWriteIsAcknowledgedOnceAReplicaHoldsIt(String name, String proxyId) {
         CompletableFuture<ExecuteResponse> write = bed.execute(proxyId, TestBed.write("key-1"));
-        bed.primary.next().executed(1, 6, "done");
+        bed.primary.nextCall().respondExecuted(1, 6, "done");
         assertThat(write.isDone()).isFalse();
-        bed.near.moveTo(1, 6);
+        bed.near.advanceLogTo(1, 6);
         ExecuteResponse answer = write.join();
         assertThat(answer.getEffect()).isEqualTo(Effect.DONE);
         assertThat(answer.getProxyId()).isEqualTo(proxyId);
@@ -37,14 +37,14 @@
     @Test
     void aSessionThatRoamsReadsItsOwnWriteAtAReplicaThatHoldsIt() {
         CompletableFuture<ExecuteResponse> write = bed.execute("p1", TestBed.write("key-1"));
-        bed.primary.next().executed(1, 6, "done");
-        bed.primary.moveTo(1, 6);
-        bed.far.moveTo(1, 6);
+        bed.primary.nextCall().respondExecuted(1, 6, "done");
+        bed.primary.advanceLogTo(1, 6);
+        bed.far.advanceLogTo(1, 6);
         TestBed.awaitSeen(bed.second, "c", new LogPosition(1, 6));
         CompletableFuture<ExecuteResponse> read = bed.execute(
                 "p2",
                 TestBed.read().setSessionToken(write.join().getSessionToken()).build());
-        bed.far.next().executed(1, 6, "seen");
+        bed.far.nextCall().respondExecuted(1, 6, "seen");
         assertThat(read.join().getFromReplica()).isTrue();
         assertThat(read.join().getDatabaseId()).isEqualTo("c");
     }
@@ -53,15 +53,15 @@
     void anAnswerThatIsBehindTheSessionIsNotPassedOn() {
         TestBed.awaitSeen(bed.second, "c", new LogPosition(1, 5));
         CompletableFuture<ExecuteResponse> write = bed.execute("p1", TestBed.write("key-1"));
-        bed.primary.next().executed(1, 6, "done");
-        bed.primary.moveTo(1, 6);
-        bed.far.moveTo(1, 6);
+        bed.primary.nextCall().respondExecuted(1, 6, "done");
+        bed.primary.advanceLogTo(1, 6);
+        bed.far.advanceLogTo(1, 6);
         TestBed.awaitSeen(bed.second, "c", new LogPosition(1, 6));
         CompletableFuture<ExecuteResponse> read = bed.execute(
                 "p2",
                 TestBed.read().setSessionToken(write.join().getSessionToken()).build());
-        bed.far.next().executed(1, 5, "stale");
-        bed.primary.next().executed(1, 6, "fresh");
+        bed.far.nextCall().respondExecuted(1, 5, "stale");
+        bed.primary.nextCall().respondExecuted(1, 6, "fresh");
         assertThat(read.join().getResults(0).getRows(0).getColumns(0)).isEqualTo("fresh");
     }
 
@@ -71,29 +71,29 @@
         bed.publish(1, "p1", 1, "b");
         CompletableFuture<ExecuteResponse> read =
                 bed.execute("p1", TestBed.read().build());
-        bed.primary.next().executed(1, 5, "at the primary");
+        bed.primary.nextCall().respondExecuted(1, 5, "at the primary");
         assertThat(read.join().getDatabaseId()).isEqualTo("a");
     }
 
     @Test
     void aSessionWithoutItsTokenIsServedFromThePrimarysPositionOnArrival() {
-        bed.primary.moveTo(1, 9);
+        bed.primary.advanceLogTo(1, 9);
         CompletableFuture<ExecuteResponse> read =
                 bed.execute("p1", TestBed.read().setSessionId("agent-7").build());
-        bed.primary.next().executed(1, 9, "fresh");
+        bed.primary.nextCall().respondExecuted(1, 9, "fresh");
         assertThat(read.join().getDatabaseId()).isEqualTo("a");
     }
 
     @Test
     void aKeyedWriteIsSentAgainToTheNewHolder() {
         CompletableFuture<ExecuteResponse> write = bed.execute("p2", TestBed.write("key-1"));
-        FakeDatabase.Call lost = bed.primary.next();
+        FakeDatabase.Call lost = bed.primary.nextCall();
         bed.publish(1, "p2", 2);
-        FakeDatabase.Call again = bed.primary.next();
+        FakeDatabase.Call again = bed.primary.nextCall();
         assertThat(again.request().getExecuteStatements())
                 .isEqualTo(lost.request().getExecuteStatements());
-        again.executed(1, 6, "done");
-        bed.near.moveTo(1, 6);
+        again.respondExecuted(1, 6, "done");
+        bed.near.advanceLogTo(1, 6);
         assertThat(write.join().getEffect()).isEqualTo(Effect.DONE);
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/TestBed.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/TestBed.java
@@ -21,7 +21,7 @@
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     final PeerTransport transport = new PeerTransport(2);
-    final FakeControl control = new FakeControl(transport);
+    final FakeControlLeader control = new FakeControlLeader(transport);
     final FakeDatabase primary = new FakeDatabase(transport, "a", true);
     final FakeDatabase near = new FakeDatabase(transport, "b", false);
     final FakeDatabase far = new FakeDatabase(transport, "c", false);
@@ -33,9 +33,9 @@
     TestBed(Clock clock) {
         first = proxy("p1", "bole", "addis", clock);
         second = proxy("p2", "sabian", "dire-dawa", clock);
-        primary.moveTo(1, 5);
-        near.moveTo(1, 5);
-        far.moveTo(1, 5);
+        primary.advanceLogTo(1, 5);
+        near.advanceLogTo(1, 5);
+        far.advanceLogTo(1, 5);
         first.start();
         second.start();
         publish(1, "p1", 1);
--- a/proxy/src/test/java/org/hornbeamspread/proxy/TransactionTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/TransactionTest.java
@@ -32,73 +32,73 @@
     /** While a transaction is open, statements of others run on other connections. */
     @ParameterizedTest
     @ValueSource(strings = {"p1", "p2"})
-    void aTransactionHasItsConnectionToItselfFromBeginToCommit(String proxyId) {
+    void transactionHasAnExclusiveConnectionFromBeginToCommit(String proxyId) {
         CompletableFuture<BeginResponse> begin = begin(proxyId, 0);
-        FakeDatabase.Call begun = bed.primary.next();
-        begun.begun();
+        FakeDatabase.Call begun = bed.primary.nextCall();
+        begun.respondBegun();
         String id = begin.join().getTransactionId();
 
         CompletableFuture<ExecuteResponse> other = bed.execute(proxyId, TestBed.write("key-1"));
-        FakeDatabase.Call otherCall = bed.primary.next();
+        FakeDatabase.Call otherCall = bed.primary.nextCall();
         CompletableFuture<ExecuteResponse> inside = execute(proxyId, id);
-        FakeDatabase.Call insideCall = bed.primary.next();
+        FakeDatabase.Call insideCall = bed.primary.nextCall();
         assertThat(otherCall.connection()).isNotSameInstanceAs(begun.connection());
         assertThat(insideCall.connection()).isSameInstanceAs(begun.connection());
-        insideCall.executed(1, 5, "inside");
-        otherCall.executed(1, 6, "other");
+        insideCall.respondExecuted(1, 5, "inside");
+        otherCall.respondExecuted(1, 6, "other");
         assertThat(inside.join().getResults(0).getRows(0).getColumns(0)).isEqualTo("inside");
 
         CompletableFuture<ExecuteResponse> commit = end(proxyId, "Commit", id);
-        FakeDatabase.Call committed = bed.primary.next();
+        FakeDatabase.Call committed = bed.primary.nextCall();
         assertThat(committed.connection()).isSameInstanceAs(begun.connection());
-        committed.ended(1, 7);
+        committed.respondEnded(1, 7);
         assertThat(commit.isDone()).isFalse();
-        bed.near.moveTo(1, 7);
+        bed.near.advanceLogTo(1, 7);
         assertThat(commit.join().getEffect()).isEqualTo(Effect.DONE);
         assertThat(commit.join().getProxyId()).isEqualTo("p1");
         assertThat(other.join().getResults(0).getRows(0).getColumns(0)).isEqualTo("other");
     }
 
     @Test
-    void anAbandonedTransactionIsClosedWithItsConnection() {
+    void idleTransactionIsClosedWithItsConnection() {
         CompletableFuture<BeginResponse> begin = begin("p1", 0);
-        FakeDatabase.Call begun = bed.primary.next();
-        begun.begun();
+        FakeDatabase.Call begun = bed.primary.nextCall();
+        begun.respondBegun();
         String id = begin.join().getTransactionId();
         clock.advance(Duration.ofMillis(TestBed.IDLE_TRANSACTION_MS));
-        bed.primary.closed(begun.connection()).join();
+        bed.primary.closeFuture(begun.connection()).join();
         assertFailed(execute("p1", id), "UNKNOWN_TRANSACTION", Effect.NOT_RUN);
         assertFailed(end("p2", "Commit", id), "TRANSACTION_LOST", Effect.UNKNOWN);
     }
 
     /** The first statement times out; its answer comes late and must not reach the second one. */
     @Test
-    void aLateAnswerNeverReachesAnotherStatementAndItsConnectionIsNotUsedAgain() {
+    void lateResponseNeverReachesAnotherStatementAndItsConnectionIsNotReused() {
         CompletableFuture<ExecuteResponse> slow = bed.execute(
                 "p1", TestBed.write("").toBuilder().setTimeoutMs(300).build());
-        FakeDatabase.Call late = bed.primary.next();
+        FakeDatabase.Call late = bed.primary.nextCall();
         assertThat(slow.join().getFailure().getType()).isEqualTo("TIMEOUT_AFTER_SEND");
         assertThat(slow.join().getEffect()).isEqualTo(Effect.UNKNOWN);
         CompletableFuture<ExecuteResponse> next = bed.execute("p1", TestBed.write("key-2"));
-        FakeDatabase.Call second = bed.primary.next();
+        FakeDatabase.Call second = bed.primary.nextCall();
         assertThat(second.connection()).isNotSameInstanceAs(late.connection());
-        late.executed(1, 6, "of the first");
-        second.executed(1, 7, "of the second");
-        bed.near.moveTo(1, 7);
+        late.respondExecuted(1, 6, "of the first");
+        second.respondExecuted(1, 7, "of the second");
+        bed.near.advanceLogTo(1, 7);
         assertThat(next.join().getResults(0).getRows(0).getColumns(0)).isEqualTo("of the second");
     }
 
     /** The answer does not come in time: the outcome is unknown, and the connection is never used again. */
     @ParameterizedTest
     @CsvSource({"Execute, TRANSACTION_LOST", "Commit, TIMEOUT_AFTER_SEND"})
-    void aMissingAnswerEndsTheTransaction(String method, String type) {
+    void missingResponseEndsTheTransaction(String method, String type) {
         CompletableFuture<BeginResponse> begin = begin("p1", 3_000);
-        FakeDatabase.Call begun = bed.primary.next();
-        begun.begun();
+        FakeDatabase.Call begun = bed.primary.nextCall();
+        begun.respondBegun();
         String id = begin.join().getTransactionId();
         CompletableFuture<ExecuteResponse> late = "Execute".equals(method) ? execute("p1", id) : end("p1", method, id);
-        bed.primary.next();
-        bed.primary.closed(begun.connection()).join();
+        bed.primary.nextCall();
+        bed.primary.closeFuture(begun.connection()).join();
         assertFailed(late, type, Effect.UNKNOWN);
         assertFailed(execute("p1", id), "UNKNOWN_TRANSACTION", Effect.NOT_RUN);
     }
@@ -110,7 +110,7 @@
         "p2, p1:1:00, UNKNOWN_TRANSACTION, NOT_RUN",
         "p1, nonsense, UNKNOWN_TRANSACTION, NOT_RUN",
     })
-    void aTransactionDiesWithItsProxy(String proxyId, String id, String type, Effect effect) {
+    void transactionOfAnUnknownOrRestartedProxyIsLost(String proxyId, String id, String type, Effect effect) {
         assertFailed(execute(proxyId, id), type, effect);
         if (!"nonsense".equals(id)) {
             assertFailed(end(proxyId, "Commit", id), "TRANSACTION_LOST", Effect.UNKNOWN);
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ViewPublisherTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ViewPublisherTest.java
@@ -57,10 +57,11 @@
         publisher.apply(lease(1, 7, 3).build(), clock.instant());
         Instant now = clock.instant();
         LeasedView leased = publisher.current();
-        assertThat(leased.allowsWrite(TestViews.GROUP, 3, now)).isTrue();
-        assertThat(leased.allowsWrite(TestViews.GROUP, 2, now)).isFalse();
-        assertThat(leased.allowsWrite(TestViews.GROUP, 3, now.plusSeconds(1))).isFalse();
-        assertThat(leased.allowsWrite("g9", 3, now)).isFalse();
+        assertThat(leased.canAcknowledgeWrite(TestViews.GROUP, 3, now)).isTrue();
+        assertThat(leased.canAcknowledgeWrite(TestViews.GROUP, 2, now)).isFalse();
+        assertThat(leased.canAcknowledgeWrite(TestViews.GROUP, 3, now.plusSeconds(1)))
+                .isFalse();
+        assertThat(leased.canAcknowledgeWrite("g9", 3, now)).isFalse();
     }
 
     private long term() {
--- a/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
@@ -35,9 +35,9 @@
     private final ManualDispatcher dispatcher = new ManualDispatcher();
     private final ViewPublisher publisher = new ViewPublisher(dispatcher.clock());
     private final PeerTransport transport = new PeerTransport(1);
-    private final Databases databases =
-            new Databases(dispatcher, transport, publisher, new ProxyMetrics(new PrometheusRegistry()), "addis");
-    private final InFlight inFlight = new InFlight();
+    private final ClusterMonitor databases =
+            new ClusterMonitor(dispatcher, transport, publisher, new ProxyMetrics(new PrometheusRegistry()), "addis");
+    private final InFlightAttempts inFlight = new InFlightAttempts();
     private final List<ExecuteStatements> sent = new ArrayList<>();
     private final List<CompletableFuture<StatementsExecuted>> answers = new ArrayList<>();
     private final WritePath writes = new WritePath(dispatcher, publisher, databases, this::executeAtDatabase, inFlight);
@@ -79,7 +79,7 @@
         freezeIf(frozen.equals("before the majority"));
         freezeIf(frozen.equals("between the majority and the answer"));
         report("b", 7);
-        dispatcher.run();
+        dispatcher.runPending();
         assertThat(write.isDone()).isFalse();
         view(3, true);
         dispatcher.advance(Duration.ofMillis(10));
@@ -90,7 +90,7 @@
     void aLeaseThatIsRenewedAtTheSameTermLetsTheWriteThrough() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
         answers.get(0).complete(executed(2, 7));
-        dispatcher.sleep(LEASE);
+        dispatcher.jumpClock(LEASE);
         report("b", 7);
         assertThat(write.isDone()).isFalse();
         view(2, true);
@@ -102,7 +102,7 @@
     void aLeaseThatIsNeverRenewedLeavesTheOutcomeUnknown() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
         answers.get(0).complete(executed(2, 7));
-        dispatcher.sleep(LEASE);
+        dispatcher.jumpClock(LEASE);
         report("b", 7);
         dispatcher.advance(Duration.ofSeconds(2));
         assertThat(failureOf(write)).isEqualTo(FailureType.LEASE_LOST_AFTER_SEND);
@@ -110,7 +110,7 @@
 
     @Test
     void nothingIsSentWithoutAFreshLeaseOrAWritablePrimary() {
-        dispatcher.sleep(LEASE);
+        dispatcher.jumpClock(LEASE);
         assertThat(failureOf(write("key-1"))).isEqualTo(FailureType.VIEW_EXPIRED);
         view(2, false);
         assertThat(failureOf(write("key-1"))).isEqualTo(FailureType.NO_PRIMARY);
@@ -122,7 +122,7 @@
     void aNewTermOvertakesAnAttemptThatWaits(String name, String key, boolean givenUp) {
         CompletableFuture<ExecuteResponse> write = write(key);
         view(3, true);
-        inFlight.view(publisher.current().view());
+        inFlight.updateView(publisher.current().view());
         assertThat(write.isDone()).isEqualTo(givenUp);
         answers.get(0).complete(executed(2, 7));
         assertThat(failureOf(write)).isEqualTo(FailureType.TERM_CHANGED_AFTER_SEND);
@@ -142,17 +142,17 @@
     void aDepartingPrimaryTakesWritesForAShortWhileOnly() {
         departing = true;
         view(2, true);
-        dispatcher.sleep(Duration.ofMillis(1_999));
+        dispatcher.jumpClock(Duration.ofMillis(1_999));
         view(2, true);
         assertThat(write("key-1").isDone()).isFalse();
-        dispatcher.sleep(Duration.ofMillis(1));
+        dispatcher.jumpClock(Duration.ofMillis(1));
         assertThat(failureOf(write("key-2"))).isEqualTo(FailureType.DEPARTING);
         assertThat(sent).hasSize(1);
     }
 
     private void freezeIf(boolean here) {
         if (here) {
-            dispatcher.sleep(LEASE);
+            dispatcher.jumpClock(LEASE);
         }
     }
 
@@ -186,15 +186,17 @@
                 TestViews.lease(version, TestViews.group(term, writable, entries), List.of()),
                 dispatcher.clock().instant());
         ViewSnapshot view = publisher.current().view();
-        databases.group(TestViews.GROUP).view(view.group(TestViews.GROUP).orElseThrow(), 3);
+        databases
+                .groupState(TestViews.GROUP)
+                .updateView(view.group(TestViews.GROUP).orElseThrow(), 3);
         writes.view(view);
     }
 
     private void report(String id, long index) {
         Position position = Position.newBuilder().setTerm(2).setIndex(index).build();
         databases
-                .group(TestViews.GROUP)
-                .report(
+                .groupState(TestViews.GROUP)
+                .onReport(
                         PositionReport.newBuilder()
                                 .setDatabaseId(id)
                                 .setIncarnation(1)
