--- a/proxy/src/main/java/org/hornbeamspread/proxy/ClusterMonitor.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ClusterMonitor.java
@@ -21,7 +21,7 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * All databases of the view, as this proxy sees them: one administrative connection each, and the state of their
+ * Monitors every database of the view over one administrative connection each, and keeps the replication state of their
  * groups. Owned by the dispatcher's thread.
  */
 final class ClusterMonitor {
@@ -49,17 +49,17 @@
         this.publisher = publisher;
     }
 
-    /** Sets who else is told of each report. */
+    /** Sets a listener that is called with each report. */
     void setReportListener(Consumer<PositionReport> reportListener) {
         listener = reportListener;
     }
 
-    /** Starts to ask the primaries for their positions. */
+    /** Starts the periodic position requests to the primaries. */
     void start() {
         dispatcher.schedule(POLL_INTERVAL, this::pollPrimaries);
     }
 
-    /** Follows a new view. */
+    /** Applies a new view. */
     void updateView(ViewSnapshot view) {
         for (GroupView group : view.groups()) {
             GroupReplicationState state = groupState(group.getGroup());
@@ -69,16 +69,16 @@
                         .updateEndpoint(entry);
             }
         }
-        monitors.entrySet().removeIf(link -> {
-            boolean gone = view.database(link.getKey()).isEmpty();
-            if (gone) {
-                link.getValue().close();
+        monitors.entrySet().removeIf(monitor -> {
+            boolean removed = view.database(monitor.getKey()).isEmpty();
+            if (removed) {
+                monitor.getValue().close();
             }
-            return gone;
+            return removed;
         });
     }
 
-    /** The state of a group; a new one when it was not seen before. */
+    /** The replication state of a group; creates an empty one for a new group. */
     GroupReplicationState groupState(String name) {
         return groups.computeIfAbsent(name, id -> new GroupReplicationState());
     }
@@ -87,18 +87,18 @@
         return Optional.ofNullable(monitors.get(databaseId));
     }
 
-    /** What control wants to know of each database. */
+    /** The observations of each database that a lease renewal reports to control. */
     List<DatabaseObservation> observations(ViewSnapshot view) {
         List<DatabaseObservation> observations = new ArrayList<>();
         for (DatabaseEntry entry : view.databases()) {
-            DatabaseMonitor link = monitors.get(entry.getDatabaseId());
-            if (link != null) {
+            DatabaseMonitor monitor = monitors.get(entry.getDatabaseId());
+            if (monitor != null) {
                 observations.add(DatabaseObservation.newBuilder()
                         .setDatabaseId(entry.getDatabaseId())
                         .setIncarnation(entry.getIncarnation())
-                        .setReachable(link.isConnected())
+                        .setReachable(monitor.isConnected())
                         .setSilentMs((int) Math.min(
-                                Integer.MAX_VALUE, link.timeSinceLastReport().toMillis()))
+                                Integer.MAX_VALUE, monitor.timeSinceLastReport().toMillis()))
                         .build());
             }
         }
@@ -106,25 +106,25 @@
     }
 
     /**
-     * The primary's position at a moment after this call, proven to be of the group's current primary. Fails with
-     * NO_PRIMARY, VIEW_EXPIRED or DATABASE_UNREACHABLE.
+     * Requests the position of the group's primary, sampled after this call. The response must come from the primary
+     * of the view's term. Fails with NO_PRIMARY, VIEW_EXPIRED, DATABASE_UNREACHABLE or NOT_PRIMARY.
      */
     CompletableFuture<LogPosition> requestPrimaryPosition(String groupName) {
-        Instant askedAt = dispatcher.clock().instant();
+        Instant requestedAt = dispatcher.clock().instant();
         LeasedView leased = publisher.current();
         Optional<GroupView> group = leased.view().group(groupName);
         if (group.isEmpty() || group.get().getPrimaryId().isEmpty()) {
             return failed(FailureType.NO_PRIMARY, groupName);
         }
-        if (!leased.isFreshAt(askedAt)) {
+        if (!leased.isFreshAt(requestedAt)) {
             return failed(FailureType.VIEW_EXPIRED, groupName);
         }
-        DatabaseMonitor link = monitors.get(group.get().getPrimaryId());
-        if (link == null) {
+        DatabaseMonitor monitor = monitors.get(group.get().getPrimaryId());
+        if (monitor == null) {
             return failed(FailureType.DATABASE_UNREACHABLE, group.get().getPrimaryId());
         }
         long term = group.get().getTerm();
-        return link.requestPosition().thenApply(report -> addPrimarySample(groupName, term, askedAt, report));
+        return monitor.requestPosition().thenApply(report -> addPrimarySample(groupName, term, requestedAt, report));
     }
 
     private DatabaseMonitor monitor(GroupReplicationState state, DatabaseEntry entry) {
@@ -142,12 +142,12 @@
         listener.accept(report);
     }
 
-    private LogPosition addPrimarySample(String groupName, long term, Instant askedAt, PositionReport report) {
+    private LogPosition addPrimarySample(String groupName, long term, Instant requestedAt, PositionReport report) {
         if (report.getRole() != DatabaseRole.PRIMARY || report.getTerm() != term) {
             throw new FailureException(FailureType.NOT_PRIMARY, report.getDatabaseId());
         }
         LogPosition position = Envelopes.position(report.getSynced());
-        groupState(groupName).addPrimarySample(askedAt, position);
+        groupState(groupName).addPrimarySample(requestedAt, position);
         return position;
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ConnectionPool.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ConnectionPool.java
@@ -19,11 +19,11 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * The database connections that this proxy has open to one database, at most its connection limit.
+ * A pool of connections from this proxy to one database. The pool never exceeds the database's connection limit.
  *
- * <p>A connection serves one user at a time. It comes back by {@link #release} only when every answer on it was read and
- * no transaction is open; otherwise {@link #discard} closes it, because a late answer or an open transaction would mix
- * into the next user's work. Owned by the dispatcher's thread.
+ * <p>A connection has one user at a time. The user returns the connection by {@link #release} only if every response
+ * on it has been read and no transaction is open. Otherwise {@link #discard} closes the connection, because a late
+ * response or an open transaction would interfere with the work of the next user. Owned by the dispatcher's thread.
  */
 final class ConnectionPool {
     private static final Duration OPEN_TIMEOUT = Duration.ofSeconds(1);
@@ -49,7 +49,7 @@
         this.maxConnections = maxConnections;
     }
 
-    /** Opens connections ahead of need. */
+    /** Opens connections in advance, up to the given number or the connection limit. */
     void warmUp(int connections) {
         idle.removeIf(connection -> !connection.isOpen());
         while (!closed && openConnectionCount() + openingCount < Math.min(connections, maxConnections)) {
@@ -57,19 +57,23 @@
         }
     }
 
-    /** A connection for one user. Fails with DATABASE_UNREACHABLE or CONNECTION_LIMIT, nothing sent. */
+    /**
+     * Acquires a connection for one user. Fails with DATABASE_UNREACHABLE, CONNECTION_LIMIT, or WRONG_HOLDER after
+     * the pool was closed; no request has been sent then.
+     */
     CompletableFuture<PeerConnection> acquire() {
-        CompletableFuture<PeerConnection> user = new CompletableFuture<>();
+        CompletableFuture<PeerConnection> acquired = new CompletableFuture<>();
         if (closed) {
-            user.completeExceptionally(new FailureException(FailureType.WRONG_HOLDER, "no longer held"));
-            return user;
+            acquired.completeExceptionally(
+                    new FailureException(FailureType.WRONG_HOLDER, "this proxy no longer holds the database"));
+            return acquired;
         }
-        pendingAcquires.addLast(user);
+        pendingAcquires.addLast(acquired);
         servePendingAcquires();
-        return user;
+        return acquired;
     }
 
-    /** Gives a connection back that is clean. */
+    /** Returns a connection that has no outstanding response and no open transaction. */
     void release(PeerConnection connection) {
         if (!inUse.remove(connection)) {
             return;
@@ -82,31 +86,32 @@
         servePendingAcquires();
     }
 
-    /** Closes a connection that may carry a late answer or an open transaction. */
+    /** Closes a connection that may still receive a late response or have an open transaction. */
     void discard(PeerConnection connection) {
         connection.close();
         inUse.remove(connection);
         servePendingAcquires();
     }
 
-    /** Closes what nobody uses. */
+    /** Closes the idle connections. */
     void closeIdle() {
         idle.forEach(PeerConnection::close);
         idle.clear();
     }
 
-    /** Closes what is idle; what is in use is closed when it comes back. */
+    /** Closes the idle connections and fails pending acquires. A connection in use is closed when it is returned. */
     void close() {
         closed = true;
         closeIdle();
         while (!pendingAcquires.isEmpty()) {
             pendingAcquires
                     .pollFirst()
-                    .completeExceptionally(new FailureException(FailureType.WRONG_HOLDER, "no longer held"));
+                    .completeExceptionally(
+                            new FailureException(FailureType.WRONG_HOLDER, "this proxy no longer holds the database"));
         }
     }
 
-    /** Connections that are open, in use or idle. */
+    /** The number of open connections, in use or idle. */
     int openConnectionCount() {
         return idle.size() + inUse.size();
     }
@@ -140,7 +145,7 @@
         Envelope connect = Envelope.newBuilder()
                 .setConnect(Connect.newBuilder().setClientId(clientId))
                 .build();
-        return connection.request(connect, OPEN_TIMEOUT).handle((answer, error) -> {
+        return connection.request(connect, OPEN_TIMEOUT).handle((response, error) -> {
             if (error != null) {
                 connection.close();
                 throw FailureException.of(error);
@@ -168,7 +173,7 @@
                 : new FailureException(FailureType.DATABASE_UNREACHABLE, cause.type() + " " + cause.detail());
     }
 
-    /** Databases push nothing on these connections. */
+    /** Rejects requests from the database, which sends none and pushes nothing on these connections. */
     private static final class RejectingHandler implements PeerHandler {
         @Override
         public void onRequest(PeerConnection peer, Envelope request, Consumer<Envelope> answer) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/DatabaseMonitor.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/DatabaseMonitor.java
@@ -19,8 +19,9 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * The administrative connection to one database: its position reports, and questions for its position. It counts
- * against no limit of the database. All state belongs to the dispatcher's thread.
+ * Monitors one database over an administrative connection: receives the database's position reports and requests its
+ * position. The connection doesn't count against the connection limit of the database. Owned by the dispatcher's
+ * thread.
  */
 final class DatabaseMonitor {
     private static final int HEARTBEAT_MS = 100;
@@ -44,7 +45,7 @@
     private Instant lastReportAt;
     private Optional<PositionReport> lastReport = Optional.empty();
 
-    /** Waiting for an answer to a question that is not sent yet; null while there is no such question. */
+    /** Completes with the response to a position request that has not been sent yet; null if there is none. */
     private CompletableFuture<PositionReport> queuedRequest;
 
     private boolean requestInFlight;
@@ -54,17 +55,17 @@
             PeerTransport transport,
             DatabaseEntry entry,
             Consumer<PositionReport> onReport,
-            IntConsumer onBytes) {
+            IntConsumer onBytesTransferred) {
         this.dispatcher = dispatcher;
         this.transport = transport;
         this.databaseId = entry.getDatabaseId();
         this.endpoint = entry.getEndpoint();
         this.onReport = onReport;
-        this.onBytesTransferred = onBytes;
+        this.onBytesTransferred = onBytesTransferred;
         this.lastReportAt = dispatcher.clock().instant();
     }
 
-    /** Follows the database to the endpoint that the view names. */
+    /** Connects to the endpoint of the database's entry in the view, and closes a connection to an earlier endpoint. */
     void updateEndpoint(DatabaseEntry entry) {
         if (!entry.getEndpoint().equals(endpoint)) {
             endpoint = entry.getEndpoint();
@@ -78,7 +79,10 @@
         disconnect();
     }
 
-    /** Connects again where needed, and gives up a connection that has fallen silent. Called every now and then. */
+    /**
+     * Closes a connection without reports for {@link #SILENCE_TIMEOUT}, and reconnects if necessary. Called
+     * periodically.
+     */
     void checkConnection() {
         if (connection != null && timeSinceLastReport().compareTo(SILENCE_TIMEOUT) > 0) {
             disconnect();
@@ -86,7 +90,7 @@
         connect();
     }
 
-    /** How long the database has said nothing. */
+    /** The time since the last report of the database, or since the connection was opened if that is later. */
     Duration timeSinceLastReport() {
         return Duration.between(lastReportAt, dispatcher.clock().instant());
     }
@@ -95,32 +99,32 @@
         return connection != null && connection.isOpen();
     }
 
-    /** The latest report, also of a connection that has broken since. */
+    /** The latest report, even if its connection has been lost since. */
     Optional<PositionReport> lastReport() {
         return lastReport;
     }
 
     /**
-     * Asks the database for its position. The answer is of a moment after this call; questions that arrive while one
-     * is in flight share the next one.
+     * Requests the database's position. The position is sampled after this call; calls while a request is in flight
+     * share the next request.
      */
     CompletableFuture<PositionReport> requestPosition() {
         if (queuedRequest == null) {
             queuedRequest = new CompletableFuture<>();
         }
-        CompletableFuture<PositionReport> mine = queuedRequest;
+        CompletableFuture<PositionReport> response = queuedRequest;
         sendQueuedRequest();
-        return mine;
+        return response;
     }
 
     private void sendQueuedRequest() {
         if (requestInFlight || queuedRequest == null) {
             return;
         }
-        CompletableFuture<PositionReport> question = queuedRequest;
+        CompletableFuture<PositionReport> request = queuedRequest;
         queuedRequest = null;
         if (!isConnected()) {
-            question.completeExceptionally(new FailureException(FailureType.DATABASE_UNREACHABLE, databaseId));
+            request.completeExceptionally(new FailureException(FailureType.DATABASE_UNREACHABLE, databaseId));
             return;
         }
         requestInFlight = true;
@@ -128,15 +132,15 @@
         connection
                 .request(subscribeRequest(), RESPONSE_TIMEOUT)
                 .whenCompleteAsync(
-                        (answer, error) -> {
+                        (response, error) -> {
                             requestInFlight = false;
                             if (error != null) {
-                                question.completeExceptionally(
+                                request.completeExceptionally(
                                         new FailureException(FailureType.DATABASE_UNREACHABLE, databaseId));
                             } else {
-                                PositionReport report = answer.getSubscribed().getReport();
+                                PositionReport report = response.getSubscribed().getReport();
                                 handleReport(report);
-                                question.complete(report);
+                                request.complete(report);
                             }
                             sendQueuedRequest();
                         },
@@ -148,13 +152,13 @@
             return;
         }
         connecting = true;
-        Endpoint wanted = endpoint;
-        Futures.start(() -> transport.connect(wanted, RESPONSE_TIMEOUT, new ReportHandler()))
+        Endpoint target = endpoint;
+        Futures.start(() -> transport.connect(target, RESPONSE_TIMEOUT, new ReportHandler()))
                 .whenCompleteAsync(
                         (opened, error) -> {
                             connecting = false;
                             if (error == null) {
-                                onConnected(opened, wanted);
+                                onConnected(opened, target);
                             } else if (!closed) {
                                 dispatcher.schedule(RECONNECT_BACKOFF, this::connect);
                             }
@@ -162,8 +166,8 @@
                         dispatcher);
     }
 
-    private void onConnected(PeerConnection opened, Endpoint wanted) {
-        if (closed || !wanted.equals(endpoint)) {
+    private void onConnected(PeerConnection opened, Endpoint target) {
+        if (closed || !target.equals(endpoint)) {
             opened.close();
             return;
         }
@@ -195,7 +199,10 @@
                 .build();
     }
 
-    /** Pushed reports; a report that finds the ring half full is dropped, since a newer one follows. */
+    /**
+     * Receives pushed reports and rejects requests. A report that arrives while the dispatcher's queue is more than
+     * half full is dropped, because a newer report follows.
+     */
     private final class ReportHandler implements PeerHandler {
         @Override
         public void onRequest(PeerConnection peer, Envelope request, Consumer<Envelope> answer) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/Dispatcher.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/Dispatcher.java
@@ -5,25 +5,26 @@
 import java.util.concurrent.Executor;
 
 /**
- * The one thread that owns a duty's state. Work runs in order of arrival; timers run on the same thread.
+ * A single-threaded event loop. Tasks run in order of arrival; timers run on the same thread. State that only this
+ * thread accesses needs no locks.
  */
 interface Dispatcher extends Executor {
-    /** A timer that can be called off. */
+    /** A timer that can be canceled. */
     interface Timer {
-        /** Calls it off; no effect once it ran. */
+        /** Cancels the timer. No effect after the timer has run. */
         void cancel();
     }
 
-    /** The clock that timers run by. */
+    /** The clock of the timers. */
     Clock clock();
 
-    /** Hands work over that must not be lost: a continuation of work that was accepted. */
+    /** Submits a task that must not be rejected: the continuation of accepted work. */
     @Override
-    void execute(Runnable work);
+    void execute(Runnable task);
 
-    /** Hands work over that may be refused. False when the ring is more than half full. */
-    boolean tryExecute(Runnable work);
+    /** Submits a task that may be rejected. Returns false if the queue is more than half full. */
+    boolean tryExecute(Runnable task);
 
-    /** Runs work after a pause. Call it on the dispatcher's thread only. */
-    Timer schedule(Duration pause, Runnable work);
+    /** Runs a task after a delay. Call only on the dispatcher's thread. */
+    Timer schedule(Duration delay, Runnable task);
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/Futures.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/Futures.java
@@ -4,11 +4,11 @@
 import java.util.function.Supplier;
 import org.hornbeamspread.core.misc.FailureException;
 
-/** Help with futures that fail with typed failures. */
+/** Utilities for futures that fail with {@link FailureException}. */
 final class Futures {
     private Futures() {}
 
-    /** Starts work; an exception that it throws at once becomes the future's failure. */
+    /** Starts work. An exception thrown synchronously becomes the failure of the returned future. */
     static <T> CompletableFuture<T> start(Supplier<CompletableFuture<T>> work) {
         try {
             return work.get();
@@ -17,7 +17,7 @@
         }
     }
 
-    /** Passes an outcome on; a failure is typed. */
+    /** Completes a future with an outcome; an error is converted to a {@link FailureException}. */
     static <T> void complete(CompletableFuture<T> target, T value, Throwable error) {
         if (error != null) {
             target.completeExceptionally(FailureException.of(error));
--- a/proxy/src/main/java/org/hornbeamspread/proxy/GroupReplicationState.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/GroupReplicationState.java
@@ -20,7 +20,10 @@
 import org.hornbeamspread.protocol.schema.PositionReport;
 import org.hornbeamspread.transport.Envelopes;
 
-/** What this proxy has seen of one group: who holds what, and how old the replicas are. Owned by one thread. */
+/**
+ * The replication state of one group as observed by this proxy: the log positions of the databases, the quorum
+ * position, and the staleness of the replicas. Owned by one thread.
+ */
 final class GroupReplicationState {
     private static final int MAX_STALENESS_SAMPLES = 128;
 
@@ -30,7 +33,7 @@
     private final Map<String, ReplicationLag> lags = new HashMap<>();
     private final List<AppliedWait> appliedWaits = new ArrayList<>();
 
-    /** Takes the group's state from a view. */
+    /** Applies the group's term and trusted databases from a view. */
     void updateView(GroupView group, int groupDatabases) {
         Set<String> trusted = new HashSet<>();
         for (DatabaseEntry database : group.getDatabasesList()) {
@@ -41,7 +44,7 @@
         quorum.updateView(group.getTerm(), trusted, groupDatabases);
     }
 
-    /** Takes a database's report in. */
+    /** Applies a position report of a database. */
     void onReport(PositionReport report, Instant now) {
         LogPosition synced = Envelopes.position(report.getSynced());
         LogPosition appliedNow = Envelopes.position(report.getApplied());
@@ -62,12 +65,12 @@
         completeAppliedWaits(report.getDatabaseId(), appliedNow);
     }
 
-    /** Adds the primary's answer to a question that was asked under a fresh lease. */
-    void addPrimarySample(Instant askedAt, LogPosition primaryPosition) {
-        staleness.addSample(askedAt, primaryPosition);
+    /** Adds a position of the primary that was requested under a valid lease. */
+    void addPrimarySample(Instant requestedAt, LogPosition primaryPosition) {
+        staleness.addSample(requestedAt, primaryPosition);
     }
 
-    /** Completes when a database reports that it has applied a position. */
+    /** Completes when a database has reported that it applied a position. */
     CompletableFuture<Void> awaitApplied(String databaseId, LogPosition position) {
         if (appliedPosition(databaseId).covers(position)) {
             return CompletableFuture.completedFuture(null);
@@ -77,7 +80,7 @@
         return wait.completion;
     }
 
-    /** Forgets a wait that nobody needs any more. */
+    /** Removes a wait created by {@link #awaitApplied}, without completing the future. */
     void cancelAwaitApplied(CompletableFuture<Void> wait) {
         appliedWaits.removeIf(entry -> entry.completion == wait);
     }
@@ -94,21 +97,21 @@
         return appliedPositions.getOrDefault(databaseId, LogPosition.NONE);
     }
 
-    /** The estimate of a replica's lag. */
+    /** The estimated replication lag of a database. */
     ReplicationLag lag(String databaseId) {
         return lags.computeIfAbsent(databaseId, id -> new ReplicationLag());
     }
 
     private void completeAppliedWaits(String databaseId, LogPosition appliedNow) {
-        List<AppliedWait> ended = new ArrayList<>();
+        List<AppliedWait> reached = new ArrayList<>();
         for (Iterator<AppliedWait> all = appliedWaits.iterator(); all.hasNext(); ) {
             AppliedWait wait = all.next();
             if (wait.databaseId.equals(databaseId) && appliedNow.covers(wait.position)) {
                 all.remove();
-                ended.add(wait);
+                reached.add(wait);
             }
         }
-        ended.forEach(wait -> wait.completion.complete(null));
+        reached.forEach(wait -> wait.completion.complete(null));
     }
 
     private record AppliedWait(String databaseId, LogPosition position, CompletableFuture<Void> completion) {}
--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabase.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabase.java
@@ -16,9 +16,9 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * A database that this proxy holds: its slots, its queue and its connections. Work takes a slot first and a connection
- * then, so that no more statements run than the database has slots, whichever proxy they came from. Owned by the
- * dispatcher's thread.
+ * A database that this proxy holds, with its slots, queue and connections. A statement takes a slot first and a
+ * connection second, so that the number of running statements never exceeds the number of slots, whichever proxy the
+ * statements came from. Owned by the dispatcher's thread.
  */
 final class HeldDatabase {
     private final Dispatcher dispatcher;
@@ -26,7 +26,9 @@
     private final ConnectionPool pool;
     private final SlotQueue queue;
 
-    /** The database is departing and not a primary: what is idle is closed and nothing is opened ahead. */
+    /**
+     * Whether the database is departing and not a primary: idle connections are closed and none is opened in advance.
+     */
     private boolean draining;
 
     HeldDatabase(
@@ -48,7 +50,7 @@
         return entry.getHolderEpoch();
     }
 
-    /** Whether an entry names the same endpoint and limits. */
+    /** Whether an entry has the same endpoint, slots and connection limit. */
     boolean hasSameEndpointAndLimits(DatabaseEntry other) {
         return other.getEndpoint().equals(entry.getEndpoint())
                 && other.getSlots() == entry.getSlots()
@@ -63,7 +65,7 @@
         return pool;
     }
 
-    /** Runs statements as a transaction of their own. */
+    /** Runs statements as a separate transaction. */
     CompletableFuture<StatementsExecuted> execute(WorkOrder order, ExecuteStatements statements) {
         Envelope request =
                 Envelope.newBuilder().setExecuteStatements(statements).build();
@@ -71,33 +73,39 @@
                 .thenApply(Envelope::getStatementsExecuted);
     }
 
-    /** Sends a request on a connection that the caller owns, and types what went wrong after it was sent. */
+    /**
+     * Sends a request on a connection that was acquired from the pool, and converts a transport failure after the
+     * send to the failure type with the right effect. Fails with DEADLINE_BEFORE_START, not sent, if no time is left.
+     */
     CompletableFuture<Envelope> send(PeerConnection connection, Envelope request, WorkOrder order) {
         Duration remaining = Duration.between(dispatcher.clock().instant(), order.deadline());
         if (remaining.isNegative() || remaining.isZero()) {
             return CompletableFuture.failedFuture(
                     new FailureException(FailureType.DEADLINE_BEFORE_START, entry.getDatabaseId()));
         }
-        return connection.request(request, remaining).handle((answer, error) -> {
+        return connection.request(request, remaining).handle((response, error) -> {
             if (error != null) {
                 throw new CompletionException(toAfterSendFailure(FailureException.of(error)));
             }
-            return answer;
+            return response;
         });
     }
 
-    /** Refuses what waits; what runs ends by itself. */
+    /** Rejects waiting statements. Running statements finish normally. */
     void close() {
         queue.close();
         pool.close();
     }
 
-    /** Sets whether the database is departing and not a primary any more. */
-    void setDraining(boolean on) {
-        draining = on;
+    /** Sets whether the database is departing and not a primary. */
+    void setDraining(boolean draining) {
+        this.draining = draining;
     }
 
-    /** Refuses what can't start any more, and replaces broken connections. Called every now and then. */
+    /**
+     * Rejects statements that can't start in time any more, and replaces broken connections or, while draining,
+     * closes idle ones. Called periodically.
+     */
     void runMaintenance() {
         queue.expire();
         if (draining) {
@@ -107,7 +115,7 @@
         }
     }
 
-    /** Whether an answer on the connection may still come, so that it can't be used for anything else. */
+    /** Whether a late response may still arrive on the connection, so that the connection must not be reused. */
     static boolean mayReceiveLateResponse(FailureException failure) {
         return failure.type() == FailureType.TIMEOUT_AFTER_SEND
                 || failure.type() == FailureType.CONNECTION_LOST_AFTER_SEND
@@ -131,7 +139,7 @@
             } else {
                 use.apply(connection)
                         .whenCompleteAsync(
-                                (answer, failure) -> finishAndReturnConnection(connection, result, answer, failure),
+                                (response, failure) -> finishAndReturnConnection(connection, result, response, failure),
                                 dispatcher);
             }
         });
@@ -139,10 +147,10 @@
     }
 
     private void finishAndReturnConnection(
-            PeerConnection connection, CompletableFuture<Envelope> result, Envelope answer, Throwable error) {
+            PeerConnection connection, CompletableFuture<Envelope> result, Envelope response, Throwable error) {
         if (error == null) {
             pool.release(connection);
-            result.complete(answer);
+            result.complete(response);
             return;
         }
         FailureException failure = FailureException.of(error);
--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
@@ -20,13 +20,15 @@
 /**
  * The databases whose slots and connections this proxy holds.
  *
- * <p>{@link HolderAdmissionRule} says when work may start. Connections of a database that is no longer held are closed when idle
- * at once, and otherwise when what runs on them has ended.
+ * <p>{@link HolderAdmissionRule} decides when work may start. When this proxy no longer holds a database, idle
+ * connections are closed at once, and connections in use when their work has ended.
  *
  * <p>Owned by the dispatcher's thread.
  */
 final class HeldDatabases {
+    /** The report age of a database without an administrative connection; longer than any accepted age. */
     private static final Duration NO_REPORT_AGE = Duration.ofDays(1);
+
     private static final Duration MAINTENANCE_INTERVAL = Duration.ofMillis(20);
 
     private final Dispatcher dispatcher;
@@ -37,7 +39,7 @@
     private final String proxyId;
     private final Map<String, HeldDatabase> held = new HashMap<>();
 
-    /** The ranks that the schedulers were made for. */
+    /** The ranks that the schedulers were created with. */
     private List<RankDefinition> ranks = List.of();
 
     HeldDatabases(
@@ -59,11 +61,14 @@
         dispatcher.schedule(MAINTENANCE_INTERVAL, this::runMaintenance);
     }
 
-    /** Takes up what the view gives this proxy and lets go of the rest. */
+    /**
+     * Adds the databases that the view assigns to this proxy, and closes the others. A change of the ranks replaces
+     * every held database, because the schedulers depend on the ranks.
+     */
     void updateView(ViewSnapshot view) {
-        List<RankDefinition> ranksNow = view.configuration().getRanksList();
-        boolean sameRanks = ranksNow.equals(ranks);
-        ranks = ranksNow;
+        List<RankDefinition> newRanks = view.configuration().getRanksList();
+        boolean sameRanks = newRanks.equals(ranks);
+        ranks = newRanks;
         held.entrySet().removeIf(entry -> {
             boolean lost = !sameRanks
                     || view.database(entry.getKey())
@@ -85,7 +90,7 @@
         }
     }
 
-    /** Runs statements at a database that this proxy holds at an epoch. Fails with WRONG_HOLDER, not run. */
+    /** Runs statements on a database that this proxy holds at an epoch. Otherwise fails with WRONG_HOLDER, not run. */
     CompletableFuture<StatementsExecuted> execute(
             String databaseId, long holderEpoch, WorkOrder order, ExecuteStatements statements) {
         Optional<HeldDatabase> database = findUsable(databaseId, holderEpoch, statements.getReadOnly());
@@ -95,7 +100,7 @@
         return database.get().execute(order, statements);
     }
 
-    /** A database that this proxy may use now. */
+    /** The database, if this proxy holds it at the epoch and may start work on it now. */
     Optional<HeldDatabase> findUsable(String databaseId, long holderEpoch, boolean readOnly) {
         HeldDatabase database = held.get(databaseId);
         if (database == null || database.holderEpoch() != holderEpoch) {
@@ -104,14 +109,16 @@
         return mayStart(databaseId, database, readOnly) ? Optional.of(database) : Optional.empty();
     }
 
-    /** Whether a read may be sent: to another holder always, to this one while it may use the database. */
+    /**
+     * Whether a read may be sent: always if another proxy is the holder, else only if this proxy may start reads now.
+     */
     boolean mayRead(DatabaseEntry database) {
         return !database.getHolderProxyId().equals(proxyId)
                 || findUsable(database.getDatabaseId(), database.getHolderEpoch(), true)
                         .isPresent();
     }
 
-    /** Statements that wait or run at a held database. */
+    /** The number of waiting and running statements of a held database. */
     int pendingStatements(String databaseId) {
         HeldDatabase database = held.get(databaseId);
         return database == null ? 0 : database.queue().statements();
@@ -121,7 +128,7 @@
         return held;
     }
 
-    /** What control is told of the holdings. */
+    /** The held databases as protocol messages, for lease renewals. */
     List<org.hornbeamspread.protocol.schema.HeldDatabase> toProto() {
         return held.entrySet().stream()
                 .map(entry -> org.hornbeamspread.protocol.schema.HeldDatabase.newBuilder()
@@ -138,21 +145,24 @@
     }
 
     private boolean mayStart(String databaseId, HeldDatabase database, boolean readOnly) {
-        Optional<DatabaseMonitor> link = databases.monitor(databaseId).filter(DatabaseMonitor::isConnected);
-        Optional<PositionReport> report = link.flatMap(DatabaseMonitor::lastReport);
+        Optional<DatabaseMonitor> monitor = databases.monitor(databaseId).filter(DatabaseMonitor::isConnected);
+        Optional<PositionReport> report = monitor.flatMap(DatabaseMonitor::lastReport);
         return HolderAdmissionRule.mayStart(
                 publisher.isFresh(),
                 readOnly,
-                link.map(DatabaseMonitor::timeSinceLastReport).orElse(NO_REPORT_AGE),
+                monitor.map(DatabaseMonitor::timeSinceLastReport).orElse(NO_REPORT_AGE),
                 report.map(PositionReport::getConnections).orElse(Integer.MAX_VALUE),
                 database.pool().openConnectionCount());
     }
 
-    /** A database that restarted elsewhere needs new connections also when the holder stays. */
-    private boolean isStillHeld(DatabaseEntry database, HeldDatabase holding) {
+    /**
+     * Also compares endpoint and limits: a database restarted elsewhere needs new connections even with the same
+     * holder.
+     */
+    private boolean isStillHeld(DatabaseEntry database, HeldDatabase heldDatabase) {
         return database.getHolderProxyId().equals(proxyId)
-                && database.getHolderEpoch() == holding.holderEpoch()
-                && holding.hasSameEndpointAndLimits(database);
+                && database.getHolderEpoch() == heldDatabase.holderEpoch()
+                && heldDatabase.hasSameEndpointAndLimits(database);
     }
 
     private void runMaintenance() {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/HolderExecutor.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HolderExecutor.java
@@ -9,7 +9,10 @@
 import org.hornbeamspread.protocol.schema.ProxyEntry;
 import org.hornbeamspread.protocol.schema.StatementsExecuted;
 
-/** Runs statements through the holder of the database, which may be this proxy. Owned by the dispatcher's thread. */
+/**
+ * Runs statements at the holder of the database: directly if this proxy is the holder, else through a relay to the
+ * holder. Owned by the dispatcher's thread.
+ */
 final class HolderExecutor implements DatabaseExecutor {
     private final String proxyId;
     private final String region;
--- a/proxy/src/main/java/org/hornbeamspread/proxy/InFlightAttempts.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/InFlightAttempts.java
@@ -12,58 +12,59 @@
 import org.hornbeamspread.protocol.schema.GroupView;
 
 /**
- * Attempts that wait for a database's answer. When a newer view replaces the primary or the holder that an attempt was
- * sent to, its answer may never come; the attempt is given up as unknown, so that a statement that may be sent again is
- * sent to the new one at once and not at its deadline. Owned by the dispatcher's thread.
+ * Attempts that wait for a response of a database. After a newer view has replaced the primary or the holder that an
+ * attempt was sent to, the response may never arrive. The attempt is failed with an unknown outcome, so that a
+ * statement that may be retried is sent to the new primary or holder at once instead of at the deadline. Owned by the
+ * dispatcher's thread.
  */
 final class InFlightAttempts {
     private final Set<Attempt> attempts = Collections.newSetFromMap(new IdentityHashMap<>());
 
     /**
-     * Watches an attempt.
+     * Tracks an attempt until its response arrives or a newer view supersedes the attempt.
      *
-     * @param term the group's term that the attempt depends on; 0 when it does not
-     * @return the attempt's outcome, or the failure that it was given up with
+     * @param term the group's term that the attempt depends on; 0 if the attempt doesn't depend on the term
+     * @return the attempt's outcome, or the failure of a superseded attempt
      */
-    <T> CompletableFuture<T> track(String group, long term, DatabaseEntry database, CompletableFuture<T> answer) {
+    <T> CompletableFuture<T> track(String group, long term, DatabaseEntry database, CompletableFuture<T> response) {
         CompletableFuture<T> result = new CompletableFuture<>();
         Attempt attempt = new Attempt(group, term, database, result);
         attempts.add(attempt);
-        answer.whenComplete((value, error) -> {
+        response.whenComplete((value, error) -> {
             attempts.remove(attempt);
             Futures.complete(result, value, error);
         });
         return result;
     }
 
-    /** Gives up what a newer view has overtaken. */
+    /** Fails the attempts that a newer view has superseded. */
     void updateView(ViewSnapshot view) {
         for (Attempt attempt : new ArrayList<>(attempts)) {
-            Optional<FailureException> overtaken = supersededFailure(attempt, view);
-            if (overtaken.isPresent()) {
+            Optional<FailureException> failure = supersededFailure(attempt, view);
+            if (failure.isPresent()) {
                 attempts.remove(attempt);
-                attempt.result.completeExceptionally(overtaken.get());
+                attempt.result.completeExceptionally(failure.get());
             }
         }
     }
 
     private static Optional<FailureException> supersededFailure(Attempt attempt, ViewSnapshot view) {
-        long termNow = view.group(attempt.group).map(GroupView::getTerm).orElse(0L);
-        if (attempt.term != 0 && termNow > attempt.term) {
+        long currentTerm = view.group(attempt.group).map(GroupView::getTerm).orElse(0L);
+        if (attempt.term != 0 && currentTerm > attempt.term) {
             return Optional.of(new FailureException(
-                    FailureType.TERM_CHANGED_AFTER_SEND, "term " + attempt.term + ", now " + termNow));
+                    FailureType.TERM_CHANGED_AFTER_SEND, "term " + attempt.term + ", now " + currentTerm));
         }
         String databaseId = attempt.database.getDatabaseId();
-        long epochNow =
+        long currentEpoch =
                 view.database(databaseId).map(DatabaseEntry::getHolderEpoch).orElse(Long.MAX_VALUE);
-        if (epochNow > attempt.database.getHolderEpoch()) {
+        if (currentEpoch > attempt.database.getHolderEpoch()) {
             return Optional.of(
                     new FailureException(FailureType.CONNECTION_LOST_AFTER_SEND, databaseId + " has another holder"));
         }
         return Optional.empty();
     }
 
-    /** Compared by identity: two attempts are never the same. */
+    /** Compared by identity: each attempt is distinct, even if all fields are equal. */
     private static final class Attempt {
         private final String group;
         private final long term;
--- a/proxy/src/main/java/org/hornbeamspread/proxy/LeasedView.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/LeasedView.java
@@ -6,24 +6,24 @@
 import org.hornbeamspread.protocol.schema.GroupView;
 
 /**
- * A view together with the lease on it, published as one so that a renewed lease is never read with an older view.
+ * A view and its lease, published atomically so that a renewed lease is never read together with an older view.
  *
  * @param view the view
- * @param lease the lease on it
+ * @param lease the lease on the view
  */
 record LeasedView(ViewSnapshot view, ViewLeaseState lease) {
-    /** Before control's first answer. */
+    /** The value before control's first response. */
     static final LeasedView NONE = new LeasedView(ViewSnapshot.NONE, ViewLeaseState.NONE);
 
-    /** Whether the view may be trusted at a moment. */
-    boolean isFreshAt(Instant moment) {
-        return lease.isValidAt(moment);
+    /** Whether the lease on the view is valid at an instant. */
+    boolean isFreshAt(Instant instant) {
+        return lease.isValidAt(instant);
     }
 
-    /** Whether a write of a term may be acknowledged at a moment. */
-    boolean canAcknowledgeWrite(String group, long term, Instant moment) {
+    /** Whether a write of a term may be acknowledged at an instant. */
+    boolean canAcknowledgeWrite(String group, long term, Instant instant) {
         Optional<GroupView> groupView = view.group(group);
-        return isFreshAt(moment)
+        return isFreshAt(instant)
                 && groupView.isPresent()
                 && groupView.get().getTerm() == term
                 && groupView.get().getWritable();
--- a/proxy/src/main/java/org/hornbeamspread/proxy/OpenTransaction.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/OpenTransaction.java
@@ -4,7 +4,7 @@
 import org.hornbeamspread.protocol.schema.GroupView;
 import org.hornbeamspread.transport.PeerConnection;
 
-/** An interactive transaction and the connection that is pinned to it. Owned by the dispatcher's thread. */
+/** An interactive transaction and its pinned connection. Owned by the dispatcher's thread. */
 final class OpenTransaction {
     private final TransactionId id;
     private final GroupView group;
@@ -15,7 +15,7 @@
     private final String callerId;
     private final int timeoutMs;
 
-    /** A request of it is in progress; no other may use the connection. */
+    /** Whether a request of this transaction is in progress; no other request may use the connection meanwhile. */
     private boolean busy;
 
     private Instant lastUsedAt;
@@ -44,7 +44,7 @@
         return id;
     }
 
-    /** The group as of the view that the transaction began under. */
+    /** The group in the view that was current when the transaction began. */
     GroupView group() {
         return group;
     }
@@ -69,15 +69,15 @@
         return lastUsedAt;
     }
 
-    /** Takes the connection for one request. */
+    /** Reserves the connection for one request; a request without a timeout gets the transaction's timeout. */
     WorkOrder beginRequest(Instant now, int requestTimeoutMs) {
         busy = true;
         lastUsedAt = now;
-        int limitMs = requestTimeoutMs > 0 ? requestTimeoutMs : timeoutMs;
-        return new WorkOrder(rank, callerId, now.plusMillis(limitMs));
+        int effectiveTimeoutMs = requestTimeoutMs > 0 ? requestTimeoutMs : timeoutMs;
+        return new WorkOrder(rank, callerId, now.plusMillis(effectiveTimeoutMs));
     }
 
-    /** The request has ended. */
+    /** Makes the connection available for the next request of this transaction. */
     void endRequest(Instant now) {
         busy = false;
         lastUsedAt = now;
--- a/proxy/src/main/java/org/hornbeamspread/proxy/SingleThreadDispatcher.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/SingleThreadDispatcher.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import org.hornbeamspread.runtime.DutyThread;
 
-/** A dispatcher on a duty thread of its own. */
+/** A dispatcher with a dedicated thread and a bounded task queue. */
 final class SingleThreadDispatcher implements Dispatcher, AutoCloseable {
     private static final Logger LOG = System.getLogger(SingleThreadDispatcher.class.getName());
     private static final int MAX_QUEUED_TASKS = 1 << 16;
@@ -29,23 +29,23 @@
     }
 
     @Override
-    public void execute(Runnable work) {
-        if (!thread.offer(work)) {
-            LOG.log(Level.ERROR, "the ring is full of accepted work");
+    public void execute(Runnable task) {
+        if (!thread.offer(task)) {
+            LOG.log(Level.ERROR, "task queue is full, a continuation of accepted work was dropped");
         }
     }
 
     @Override
-    public boolean tryExecute(Runnable work) {
-        return thread.waitingEvents() < MAX_QUEUED_TASKS / 2 && thread.offer(work);
+    public boolean tryExecute(Runnable task) {
+        return thread.waitingEvents() < MAX_QUEUED_TASKS / 2 && thread.offer(task);
     }
 
     @Override
-    public Timer schedule(Duration pause, Runnable work) {
-        return timers.schedule(pause, work);
+    public Timer schedule(Duration delay, Runnable task) {
+        return timers.schedule(delay, task);
     }
 
-    /** Work that waits. */
+    /** The number of tasks that wait to run. */
     int queuedTasks() {
         return thread.waitingEvents();
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/TimerQueue.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TimerQueue.java
@@ -6,7 +6,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Timers in order of time. Not safe for use by several threads. */
+/** A queue of timers ordered by due time, then by the order of scheduling. Not thread-safe. */
 final class TimerQueue {
     private final Clock clock;
     private final PriorityQueue<Entry> entries = new PriorityQueue<>(
@@ -17,13 +17,13 @@
         this.clock = clock;
     }
 
-    Dispatcher.Timer schedule(Duration pause, Runnable work) {
-        Entry entry = new Entry(clock.instant().plus(pause), nextSequence++, work);
+    Dispatcher.Timer schedule(Duration delay, Runnable work) {
+        Entry entry = new Entry(clock.instant().plus(delay), nextSequence++, work);
         entries.add(entry);
         return entry::cancel;
     }
 
-    /** Runs every timer that is due. */
+    /** Runs every due timer. */
     void runDue() {
         Instant now = clock.instant();
         while (!entries.isEmpty() && !entries.peek().dueAt.isAfter(now)) {
@@ -35,11 +35,11 @@
         private final Instant dueAt;
         private final long sequence;
 
-        /** Replaced when the timer is called off; the entry leaves the queue when it is due. */
+        /** Replaced by a no-op when the timer is canceled; the entry stays in the queue until it is due. */
         private Runnable work;
 
-        Entry(Instant at, long sequence, Runnable work) {
-            this.dueAt = at;
+        Entry(Instant dueAt, long sequence, Runnable work) {
+            this.dueAt = dueAt;
             this.sequence = sequence;
             this.work = work;
         }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/TransactionManager.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TransactionManager.java
@@ -30,12 +30,13 @@
 import org.hornbeamspread.transport.PeerConnection;
 
 /**
- * The interactive transactions on this proxy's connections.
+ * Manages the interactive transactions on this proxy's connections.
  *
- * <p>A transaction runs at the primary, on one connection that is pinned to it from begin to end; nothing else is sent
- * there meanwhile. The connection goes back to the pool only after a commit or rollback that was answered in full. A
- * transaction that is idle for too long, whose answer is missing, or whose end is not known is closed with its
- * connection: the database then drops what was not committed. Owned by the dispatcher's thread.
+ * <p>A transaction runs on the primary, on one connection that is pinned to the transaction from begin to end; no
+ * other work uses the connection meanwhile. The connection returns to the pool only after a commit or rollback with a
+ * complete response. A transaction is closed together with its connection if it is idle for too long, if a response
+ * is missing, or if the outcome of its end is unknown; the database then rolls back uncommitted work. Owned by the
+ * dispatcher's thread.
  */
 final class TransactionManager {
     private static final Duration IDLE_CHECK_INTERVAL = Duration.ofMillis(50);
@@ -69,18 +70,21 @@
         dispatcher.schedule(IDLE_CHECK_INTERVAL, this::closeIdleTransactions);
     }
 
-    /** Transactions that are open. */
+    /** The number of open transactions. */
     int openTransactionCount() {
         return openTransactions.size();
     }
 
-    /** The primary that a transaction would run at. Fails with the type of a refused write. */
+    /** The primary that a transaction would run on. Fails with the same types as a write before it is sent. */
     DatabaseEntry primary(BeginRequest request) {
         LeasedView leased = publisher.current();
         return writes.primary(leased.view(), writableGroup(leased, request));
     }
 
-    /** Begins a transaction at a database that this proxy holds. */
+    /**
+     * Begins a transaction on a primary that this proxy holds. Fails with CONNECTION_LIMIT if open transactions
+     * already use every connection that the slots don't need; one open transaction is always allowed.
+     */
     CompletableFuture<TransactionId> begin(BeginRequest request, Instant arrivedAt) {
         LeasedView leased = publisher.current();
         ServiceDefinition service = StatementRequest.service(leased.view(), request.getService());
@@ -90,7 +94,7 @@
         HeldDatabase database = held.findUsable(primary.getDatabaseId(), primary.getHolderEpoch(), false)
                 .orElseThrow(() -> new FailureException(FailureType.WRONG_HOLDER, primary.getDatabaseId()));
         if (openTransactionsOn(database) >= Math.max(1, primary.getConnectionLimit() - primary.getSlots())) {
-            throw new FailureException(FailureType.CONNECTION_LIMIT, "open transactions");
+            throw new FailureException(FailureType.CONNECTION_LIMIT, "too many open transactions");
         }
         int timeoutMs = StatementRequest.timeoutMs(request.getTimeoutMs(), service);
         WorkOrder order = new WorkOrder(request.getRank(), request.getCallerId(), arrivedAt.plusMillis(timeoutMs));
@@ -113,16 +117,16 @@
         HeldDatabase database = transaction.database();
         return database.queue()
                 .run(order, () -> database.send(transaction.connection(), statements, order))
-                .handle((answer, error) -> {
+                .handle((response, error) -> {
                     transaction.endRequest(dispatcher.clock().instant());
                     if (error != null) {
                         throw toStatementFailure(transaction, FailureException.of(error));
                     }
-                    return executeResponse(transaction, answer.getStatementsExecuted(), request);
+                    return executeResponse(transaction, response.getStatementsExecuted(), request);
                 });
     }
 
-    /** Commits, and answers once the commit may be acknowledged. */
+    /** Commits a transaction; completes when the commit may be acknowledged. */
     CompletableFuture<ExecuteResponse> commit(TransactionId id, EndRequest request) {
         OpenTransaction transaction = findIdle(id, FailureType.TRANSACTION_LOST);
         if (!transaction.readOnly()) {
@@ -136,7 +140,7 @@
                 .thenCompose(ended -> acknowledge(transaction, ended, order, request));
     }
 
-    /** Drops a transaction's work. */
+    /** Rolls a transaction back. */
     CompletableFuture<ExecuteResponse> rollback(TransactionId id, EndRequest request) {
         OpenTransaction transaction = findIdle(id, FailureType.UNKNOWN_TRANSACTION);
         WorkOrder order = transaction.beginRequest(dispatcher.clock().instant(), 0);
@@ -171,7 +175,7 @@
                 .build();
         return database.send(connection, begin, order)
                 .handleAsync(
-                        (answer, error) -> {
+                        (response, error) -> {
                             if (error != null) {
                                 database.pool().discard(connection);
                                 throw FailureException.of(error);
@@ -194,13 +198,14 @@
                         dispatcher);
     }
 
-    private OpenTransaction findIdle(TransactionId id, FailureType missing) {
+    private OpenTransaction findIdle(TransactionId id, FailureType typeIfAbsent) {
         OpenTransaction transaction = openTransactions.get(id);
         if (transaction == null) {
-            throw new FailureException(missing, "closed, or never open here");
+            throw new FailureException(typeIfAbsent, "the transaction is closed, or was never open on this proxy");
         }
         if (transaction.isBusy()) {
-            throw new FailureException(FailureType.INVALID_REQUEST, "a request of this transaction is in progress");
+            throw new FailureException(
+                    FailureType.INVALID_REQUEST, "another request of this transaction is in progress");
         }
         return transaction;
     }
@@ -217,9 +222,9 @@
 
     private ExecuteResponse executeResponse(
             OpenTransaction transaction, StatementsExecuted executed, ExecuteRequest request) {
-        LogPosition state = Envelopes.position(executed.getPosition());
+        LogPosition position = Envelopes.position(executed.getPosition());
         SessionToken token = SessionToken.decode(request.getSessionToken())
-                .withRead(transaction.group().getGroup(), state);
+                .withRead(transaction.group().getGroup(), position);
         return ExecuteResponse.newBuilder()
                 .setEffect(Effect.DONE)
                 .addAllResults(executed.getResultsList())
@@ -228,21 +233,21 @@
                 .build();
     }
 
-    /** Ends the transaction at the database. Whatever comes back, the transaction is over. */
+    /** Sends the commit or rollback to the database. The transaction is closed whatever the outcome is. */
     private CompletableFuture<TransactionEnded> endTransaction(
             OpenTransaction transaction, Envelope request, WorkOrder order) {
         return transaction
                 .database()
                 .send(transaction.connection(), request, order)
                 .handleAsync(
-                        (answer, error) -> {
+                        (response, error) -> {
                             if (error != null) {
                                 close(transaction);
                                 throw FailureException.of(error);
                             }
                             openTransactions.remove(transaction.id());
                             transaction.database().pool().release(transaction.connection());
-                            return answer.getTransactionEnded();
+                            return response.getTransactionEnded();
                         },
                         dispatcher);
     }
@@ -279,9 +284,9 @@
     }
 
     private void closeIdleTransactions() {
-        Instant limit = dispatcher.clock().instant().minus(idleTimeout);
+        Instant idleBefore = dispatcher.clock().instant().minus(idleTimeout);
         for (OpenTransaction transaction : List.copyOf(openTransactions.values())) {
-            boolean idle = !transaction.isBusy() && !transaction.lastUsedAt().isAfter(limit);
+            boolean idle = !transaction.isBusy() && !transaction.lastUsedAt().isAfter(idleBefore);
             if (idle || !transaction.connection().isOpen()) {
                 close(transaction);
             }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/TransactionRouter.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TransactionRouter.java
@@ -20,9 +20,9 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * Brings a transaction's requests to the proxy that has its connection: a Begin goes to the primary's holder, everything
- * after it to the proxy that the id names. Both are passed on as whole calls, so that the queue, the connection and the
- * acknowledgement stay in one process. Owned by the dispatcher's thread.
+ * Routes a transaction's requests to the proxy that has the transaction's connection: a Begin to the holder of the
+ * primary, every later request to the proxy named in the transaction id. Requests are forwarded as whole RPCs, so
+ * that the queue, the connection and the acknowledgement stay in one process. Owned by the dispatcher's thread.
  */
 final class TransactionRouter {
     private static final String METHOD_PREFIX = "hornbeamspread.Statements/";
@@ -48,7 +48,7 @@
         this.incarnation = incarnation;
     }
 
-    /** Begins a transaction here or at the primary's holder. */
+    /** Begins a transaction on this proxy or on the holder of the primary. */
     CompletableFuture<BeginResponse> begin(BeginRequest request, Instant arrivedAt) {
         DatabaseEntry primary = transactions.primary(request);
         String holder = primary.getHolderProxyId();
@@ -62,20 +62,20 @@
         if (request.getForwarded()) {
             throw new FailureException(FailureType.WRONG_HOLDER, primary.getDatabaseId());
         }
-        ProxyEntry entry = publisher
+        ProxyEntry holderEntry = publisher
                 .current()
                 .view()
                 .proxy(holder)
                 .orElseThrow(() -> new FailureException(
                         FailureType.DATABASE_UNREACHABLE, primary.getDatabaseId() + " has no holder"));
         return forward(
-                entry,
+                holderEntry,
                 "Begin",
                 request.toBuilder().setForwarded(true).build(),
                 BeginResponse.getDefaultInstance(),
                 failure -> failure.type().effect() == Effect.NOT_RUN
-                        ? new FailureException(FailureType.DATABASE_UNREACHABLE, "the holder can't be reached")
-                        : new FailureException(FailureType.TRANSACTION_LOST, "begin was not answered"));
+                        ? new FailureException(FailureType.DATABASE_UNREACHABLE, "the holder is unreachable")
+                        : new FailureException(FailureType.TRANSACTION_LOST, "no response to Begin"));
     }
 
     /** Runs statements inside a transaction. */
@@ -98,7 +98,7 @@
                 id -> transactions.commit(id, request));
     }
 
-    /** Drops a transaction's work. */
+    /** Rolls a transaction back. */
     CompletableFuture<ExecuteResponse> rollback(EndRequest request) {
         return runAtOwner(
                 request.getTransactionId(),
@@ -109,43 +109,49 @@
     }
 
     private <Q extends Message> CompletableFuture<ExecuteResponse> runAtOwner(
-            String text,
-            FailureType ownerGone,
+            String transactionId,
+            FailureType typeIfOwnerLost,
             String method,
             Q request,
-            Function<TransactionId, CompletableFuture<ExecuteResponse>> here) {
-        TransactionId id = TransactionId.parse(text)
-                .orElseThrow(() -> new FailureException(FailureType.UNKNOWN_TRANSACTION, "malformed id"));
+            Function<TransactionId, CompletableFuture<ExecuteResponse>> runLocally) {
+        TransactionId id = TransactionId.parse(transactionId)
+                .orElseThrow(() -> new FailureException(FailureType.UNKNOWN_TRANSACTION, "malformed transaction id"));
         if (id.proxyId().equals(settings.proxyId())) {
             if (id.incarnation() != incarnation) {
-                throw new FailureException(ownerGone, "its proxy has restarted");
+                throw new FailureException(typeIfOwnerLost, "the proxy of the transaction has restarted");
             }
-            return here.apply(id);
+            return runLocally.apply(id);
         }
         Optional<ProxyEntry> owner = publisher.current().view().proxy(id.proxyId());
         if (owner.isEmpty() || owner.get().getIncarnation() != id.incarnation()) {
-            throw new FailureException(ownerGone, "its proxy is gone");
+            throw new FailureException(
+                    typeIfOwnerLost, "the proxy of the transaction is not in the view or has restarted");
         }
         return forward(
                 owner.get(),
                 method,
                 request,
                 ExecuteResponse.getDefaultInstance(),
-                failure -> new FailureException(FailureType.TRANSACTION_LOST, "its proxy can't be reached"));
+                failure -> new FailureException(
+                        FailureType.TRANSACTION_LOST, "the proxy of the transaction is unreachable"));
     }
 
     private <Q extends Message, A extends Message> CompletableFuture<A> forward(
-            ProxyEntry to, String method, Q request, A answer, Function<FailureException, FailureException> typed) {
+            ProxyEntry owner,
+            String method,
+            Q request,
+            A responseType,
+            Function<FailureException, FailureException> mapFailure) {
         return client.call(
-                        settings.translator().translate(to.getHttp()),
+                        settings.translator().translate(owner.getHttp()),
                         METHOD_PREFIX + method,
                         request,
-                        answer,
+                        responseType,
                         FORWARD_TIMEOUT)
                 .handleAsync(
                         (response, error) -> {
                             if (error != null) {
-                                throw mapTransportFailure(FailureException.of(error), typed);
+                                throw mapTransportFailure(FailureException.of(error), mapFailure);
                             }
                             return response;
                         },
@@ -153,14 +159,14 @@
     }
 
     private static FailureException mapTransportFailure(
-            FailureException failure, Function<FailureException, FailureException> typed) {
+            FailureException failure, Function<FailureException, FailureException> mapFailure) {
         return switch (failure.type()) {
-            case CONNECTION_REFUSED, CONNECTION_LOST, REQUEST_TIMEOUT, INTERNAL -> typed.apply(failure);
+            case CONNECTION_REFUSED, CONNECTION_LOST, REQUEST_TIMEOUT, INTERNAL -> mapFailure.apply(failure);
             default -> failure;
         };
     }
 
-    /** A begin's failure as an answer. */
+    /** A Begin response with a failure. */
     static BeginResponse failureResponse(FailureException failure) {
         return BeginResponse.newBuilder().setFailure(Envelopes.failure(failure)).build();
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ViewLeaseRenewer.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ViewLeaseRenewer.java
@@ -19,12 +19,12 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * The duty that keeps this proxy's view leased: it finds the control leader, renews every {@link #RENEWAL_INTERVAL} and at once
- * when control says that the view changed, and publishes what it is given.
+ * Keeps the lease on this proxy's view: finds the control leader, renews every {@link #RENEWAL_INTERVAL} and
+ * immediately after a ViewChanged push from control, and publishes the received views.
  *
- * <p>A renewal confirms the view version that the request's thread has acted on, not the one that last arrived:
- * control may open a new term for writes after that confirmation, and by then every acknowledgement under the older view
- * must have been decided. All state belongs to the control dispatcher's thread.
+ * <p>A renewal confirms the view version that the thread of the requests has applied, not the latest version
+ * received: control may open a new term for writes after that confirmation, and by then every acknowledgement under
+ * the older view must have been decided. Owned by the control dispatcher's thread.
  */
 final class ViewLeaseRenewer {
     private static final Logger LOG = System.getLogger(ViewLeaseRenewer.class.getName());
@@ -47,31 +47,32 @@
     private int memberIndex;
     private boolean renewalInFlight;
 
-    /** A renewal was asked for while one was in flight. */
+    /** Whether another renewal was requested while one was in flight. */
     private boolean renewalRequested;
 
     private boolean closed;
     private Dispatcher.Timer timer = () -> {};
 
     /**
-     * Makes the link; {@link #start} runs it.
+     * Creates a renewer; {@link #start} sends the first renewal.
      *
-     * @param renewal the next request: this proxy, the view version it acts on, its observations; called on this thread
-     * @param onView called on this thread after a new view was published
+     * @param renewalRequests supplies the next request: this proxy, the view version it has applied, its observations;
+     *     called on the dispatcher's thread
+     * @param onNewView called on the dispatcher's thread after a new view was published
      */
     ViewLeaseRenewer(
             Dispatcher dispatcher,
             PeerTransport transport,
             List<Endpoint> members,
             ViewPublisher publisher,
-            Supplier<RenewView> renewal,
-            Consumer<ViewSnapshot> onView) {
+            Supplier<RenewView> renewalRequests,
+            Consumer<ViewSnapshot> onNewView) {
         this.dispatcher = dispatcher;
         this.transport = transport;
         this.members = List.copyOf(members);
         this.publisher = publisher;
-        this.renewalRequests = renewal;
-        this.onNewView = onView;
+        this.renewalRequests = renewalRequests;
+        this.onNewView = onNewView;
         this.targetEndpoint = members.get(0);
     }
 
@@ -79,7 +80,7 @@
         dispatcher.execute(this::renew);
     }
 
-    /** Renews at once; from any thread. */
+    /** Renews the lease immediately. May be called from any thread. */
     void renewNow() {
         dispatcher.execute(this::renew);
     }
@@ -105,8 +106,8 @@
             sendRenewal();
             return;
         }
-        Endpoint wanted = targetEndpoint;
-        Futures.start(() -> transport.connect(wanted, RESPONSE_TIMEOUT, new PushHandler()))
+        Endpoint endpoint = targetEndpoint;
+        Futures.start(() -> transport.connect(endpoint, RESPONSE_TIMEOUT, new PushHandler()))
                 .whenCompleteAsync(
                         (opened, error) -> {
                             if (error != null) {
@@ -123,13 +124,14 @@
         Instant sentAt = dispatcher.clock().instant();
         Futures.start(this::requestRenewal)
                 .whenCompleteAsync(
-                        (answer, error) -> {
+                        (response, error) -> {
                             if (error != null) {
                                 onRenewalFailed(FailureException.of(error));
-                            } else if (!answer.hasViewLease()) {
-                                onRenewalFailed(new FailureException(FailureType.INVALID_REQUEST, "not a lease"));
+                            } else if (!response.hasViewLease()) {
+                                onRenewalFailed(new FailureException(
+                                        FailureType.INVALID_REQUEST, "response is not a view lease"));
                             } else {
-                                onLeaseGranted(answer, sentAt);
+                                onLeaseGranted(response, sentAt);
                             }
                         },
                         dispatcher);
@@ -141,9 +143,9 @@
         return connection.request(request, RESPONSE_TIMEOUT);
     }
 
-    private void onLeaseGranted(Envelope answer, Instant sentAt) {
+    private void onLeaseGranted(Envelope response, Instant sentAt) {
         renewalInFlight = false;
-        if (publisher.apply(answer.getViewLease(), sentAt)) {
+        if (publisher.apply(response.getViewLease(), sentAt)) {
             onNewView.accept(publisher.current().view());
         }
         if (renewalRequested) {
@@ -152,8 +154,8 @@
             return;
         }
         Duration sinceSent = Duration.between(sentAt, dispatcher.clock().instant());
-        Duration pause = RENEWAL_INTERVAL.minus(sinceSent);
-        timer = dispatcher.schedule(pause.isNegative() ? Duration.ZERO : pause, this::renew);
+        Duration delay = RENEWAL_INTERVAL.minus(sinceSent);
+        timer = dispatcher.schedule(delay.isNegative() ? Duration.ZERO : delay, this::renew);
     }
 
     private void onRenewalFailed(FailureException failure) {
@@ -173,14 +175,14 @@
             try {
                 return AddressTranslator.parse(failure.detail());
             } catch (FailureException e) {
-                LOG.log(Level.DEBUG, "a control member named a leader that is no endpoint");
+                LOG.log(Level.DEBUG, "NOT_LEADER response names an invalid leader endpoint");
             }
         }
         memberIndex = (memberIndex + 1) % members.size();
         return members.get(memberIndex);
     }
 
-    /** Pushes of control. */
+    /** Renews the lease when control pushes ViewChanged, and rejects requests. */
     private final class PushHandler implements PeerHandler {
         @Override
         public void onRequest(PeerConnection peer, Envelope request, Consumer<Envelope> answer) {
--- a/proxy/src/test/java/org/hornbeamspread/proxy/FakeControlLeader.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/FakeControlLeader.java
@@ -19,7 +19,7 @@
 import org.hornbeamspread.transport.PeerServer;
 import org.hornbeamspread.transport.PeerTransport;
 
-/** A control leader on loopback that grants whatever view the test gives it. */
+/** A control leader on loopback that grants leases on a view set by the test. */
 final class FakeControlLeader implements PeerHandler {
     private final PeerServer server;
     private final Map<String, ProxyEntry> proxies = new ConcurrentHashMap<>();
@@ -39,11 +39,11 @@
         return Endpoint.newBuilder().setHost("127.0.0.1").setPort(server.port()).build();
     }
 
-    /** Publishes a view, and waits until these proxies have confirmed it. */
-    void publish(GroupView next, String... confirmedBy) {
+    /** Publishes a view and waits until the given proxies have confirmed it. */
+    void publish(GroupView newGroup, String... confirmedBy) {
         synchronized (this) {
             viewVersion++;
-            group = next;
+            group = newGroup;
         }
         pushViewChanged();
         for (String proxyId : confirmedBy) {
@@ -51,14 +51,14 @@
         }
     }
 
-    /** The last renewal of a proxy. */
+    /** The last renewal request of a proxy. */
     RenewView lastRenewal(String proxyId) {
         return renewals.get(proxyId);
     }
 
-    /** Stops or starts to grant leases. */
-    void setGrantsLeases(boolean on) {
-        grantsLeases = on;
+    /** Sets whether renewals are granted; otherwise they fail with NOT_LEADER. */
+    void setGrantsLeases(boolean grant) {
+        grantsLeases = grant;
     }
 
     @Override
@@ -96,8 +96,8 @@
                 .build()));
     }
 
-    private synchronized void awaitConfirmed(String proxyId, long wanted) {
-        while (!renewals.containsKey(proxyId) || renewals.get(proxyId).getViewVersion() < wanted) {
+    private synchronized void awaitConfirmed(String proxyId, long minViewVersion) {
+        while (!renewals.containsKey(proxyId) || renewals.get(proxyId).getViewVersion() < minViewVersion) {
             try {
                 wait();
             } catch (InterruptedException e) {
--- a/proxy/src/test/java/org/hornbeamspread/proxy/FakeDatabase.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/FakeDatabase.java
@@ -26,9 +26,9 @@
 import org.hornbeamspread.transport.PeerServer;
 import org.hornbeamspread.transport.PeerTransport;
 
-/** A database on loopback whose answers are given by the test: each statement request is handed to it. */
+/** A database on loopback that queues each statement request for the test; the test sends the response. */
 final class FakeDatabase implements PeerHandler {
-    /** A request that waits for its answer, and the connection it came on. */
+    /** A request that waits for a response, and its connection. */
     record Call(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
         void respondExecuted(long term, long index, String value) {
             answer.accept(Envelope.newBuilder()
@@ -85,13 +85,13 @@
         return Endpoint.newBuilder().setHost("127.0.0.1").setPort(server.port()).build();
     }
 
-    /** Changes how many connections the reports count, and tells the subscribers. */
+    /** Sets the connection count in the position reports, and pushes a report to the subscribers. */
     void reportConnections(int count) {
         report = report.toBuilder().setConnections(count).build();
         pushReport();
     }
 
-    /** Moves the log's end and tells the subscribers. */
+    /** Sets term, synced and applied position, and pushes a report to the subscribers. */
     void advanceLogTo(long term, long index) {
         Position position = Position.newBuilder().setTerm(term).setIndex(index).build();
         report = report.toBuilder()
@@ -103,7 +103,7 @@
         pushReport();
     }
 
-    /** The next request of a kind other than Connect and Subscribe. */
+    /** Waits for the next request other than Connect and Subscribe. */
     Call nextCall() {
         try {
             Call call = calls.poll(CALL_TIMEOUT_S, TimeUnit.SECONDS);
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Completes when the connection is closed. */
+    /** A future that completes when the connection is closed. */
     CompletableFuture<Void> closeFuture(PeerConnection connection) {
         return closeFutures.computeIfAbsent(connection.remote(), remote -> new CompletableFuture<>());
     }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/HotPathBenchmark.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/HotPathBenchmark.java
@@ -22,8 +22,8 @@
 import org.hornbeamspread.protocol.schema.ViewLease;
 
 /**
- * Measures the CPU time of the decisions that every statement passes, for a growing number of groups. Run its main;
- * it takes about a minute and prints a table.
+ * Measures the CPU time of the decisions made for every statement, for increasing numbers of groups. Run {@link #main};
+ * a run takes about a minute and prints a table.
  */
 public final class HotPathBenchmark {
     private static final int[] GROUP_COUNTS = {10, 100, 1_000, 5_000};
@@ -34,12 +34,12 @@
     private static final Set<String> MEMBERS = Set.of("a", "b", "c");
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    /** Keeps results alive. */
+    /** Consumes the results, so that the JIT compiler can't eliminate the measured code. */
     private static volatile Object sink;
 
     private HotPathBenchmark() {}
 
-    /** Prints the table. */
+    /** Runs all benchmarks and prints the table. */
     public static void main(String[] arguments) {
         System.out.println("| decision | groups | microseconds of CPU, median | lowest | highest |");
         System.out.println("|---|---|---|---|---|");
@@ -65,21 +65,21 @@
     private static void benchmarkRouting(int groups) {
         ReadRouter router = new ReadRouter(Duration.ofMillis(20), Duration.ofMillis(16));
         Instant now = Instant.EPOCH.plusSeconds(100);
-        List<ReplicaStaleness> ages = new ArrayList<>();
+        List<ReplicaStaleness> stalenessByGroup = new ArrayList<>();
         for (int i = 0; i < groups; i++) {
-            ReplicaStaleness age = new ReplicaStaleness(128);
+            ReplicaStaleness staleness = new ReplicaStaleness(128);
             for (int sample = 0; sample < 128; sample++) {
-                age.addSample(now.minusMillis(12_800 - 100L * sample), new LogPosition(1, sample));
+                staleness.addSample(now.minusMillis(12_800 - 100L * sample), new LogPosition(1, sample));
             }
-            ages.add(age);
+            stalenessByGroup.add(staleness);
         }
         report("read: ages, candidates, decision", groups, i -> {
-            ReplicaStaleness age = ages.get(i % groups);
+            ReplicaStaleness staleness = stalenessByGroup.get(i % groups);
             sink = router.decide(
                     List.of(
-                            candidate("a", true, new LogPosition(1, 127), age, now),
-                            candidate("b", false, new LogPosition(1, 120), age, now),
-                            candidate("c", false, new LogPosition(1, 126), age, now)),
+                            candidate("a", true, new LogPosition(1, 127), staleness, now),
+                            candidate("b", false, new LogPosition(1, 120), staleness, now),
+                            candidate("c", false, new LogPosition(1, 126), staleness, now)),
                     new LogPosition(1, 125),
                     Duration.ofSeconds(2),
                     true);
@@ -87,14 +87,14 @@
     }
 
     private static ReadCandidate candidate(
-            String id, boolean primary, LogPosition applied, ReplicaStaleness age, Instant now) {
+            String id, boolean primary, LogPosition applied, ReplicaStaleness staleness, Instant now) {
         return new ReadCandidate(
                 id,
                 primary,
                 true,
                 Proximity.SAME_REGION,
                 applied,
-                age.upperBound(applied, now),
+                staleness.upperBound(applied, now),
                 java.util.Optional.of(Duration.ofMillis(2)),
                 0);
     }
@@ -171,7 +171,7 @@
                 decision, groups, micros[REPETITIONS / 2], micros[0], micros[REPETITIONS - 1]);
     }
 
-    /** Microseconds of this thread's CPU time for one operation. */
+    /** CPU time of this thread per operation, in microseconds. */
     private static double measure(IntConsumer operation, Duration duration) {
         long endNs = System.nanoTime() + duration.toNanos();
         long startCpuNs = THREADS.getCurrentThreadCpuTime();
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ManualDispatcher.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ManualDispatcher.java
@@ -6,7 +6,10 @@
 import java.util.Deque;
 import org.hornbeamspread.core.misc.ManualClock;
 
-/** A dispatcher that a test steps by hand, on a paused clock. */
+/**
+ * A dispatcher with a manual clock; tasks and timers run only when the test calls {@link #runPending} or
+ * {@link #advance}.
+ */
 final class ManualDispatcher implements Dispatcher {
     private final ManualClock clock = new ManualClock();
     private final TimerQueue timers = new TimerQueue(clock);
@@ -18,21 +21,21 @@
     }
 
     @Override
-    public void execute(Runnable item) {
-        tasks.add(item);
+    public void execute(Runnable task) {
+        tasks.add(task);
     }
 
     @Override
-    public boolean tryExecute(Runnable item) {
-        return tasks.add(item);
+    public boolean tryExecute(Runnable task) {
+        return tasks.add(task);
     }
 
     @Override
-    public Timer schedule(Duration pause, Runnable item) {
-        return timers.schedule(pause, item);
+    public Timer schedule(Duration delay, Runnable task) {
+        return timers.schedule(delay, task);
     }
 
-    /** Runs what waits and what is due. */
+    /** Runs the due timers and all queued tasks. */
     void runPending() {
         do {
             timers.runDue();
@@ -42,14 +45,14 @@
         } while (!tasks.isEmpty());
     }
 
-    /** Lets time pass as one jump, as for a process that was stopped. */
-    void jumpClock(Duration step) {
-        clock.advance(step);
+    /** Advances the clock in one step and runs nothing, like a process that was suspended. */
+    void jumpClock(Duration duration) {
+        clock.advance(duration);
     }
 
-    /** Lets time pass in steps of one millisecond. */
-    void advance(Duration step) {
-        for (long i = 0; i < step.toMillis(); i++) {
+    /** Advances the clock in steps of one millisecond and runs pending work after each step. */
+    void advance(Duration duration) {
+        for (long i = 0; i < duration.toMillis(); i++) {
             clock.advance(Duration.ofMillis(1));
             runPending();
         }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/PartitionTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/PartitionTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A proxy that is cut off from control, on a paused clock: its lease runs out after one second. */
+/**
+ * Guards against writes and reads beyond the staleness allowance by a proxy that is partitioned from control. Control
+ * stops granting leases, and the manual clock advances by one second, the lease duration; then the lease has expired.
+ */
 final class PartitionTest {
     private static final Duration LEASE = Duration.ofSeconds(1);
     private static final LogPosition LOG_END = new LogPosition(1, 5);
@@ -89,8 +92,14 @@
         "false, true, 0, 3, 2, false",
     })
     void holderWithoutLeaseStartsOnlyReadsWhenNoOtherProxyIsConnected(
-            boolean leaseFresh, boolean readOnly, long reportAgeMs, int reported, int own, boolean mayStart) {
-        assertThat(HolderAdmissionRule.mayStart(leaseFresh, readOnly, Duration.ofMillis(reportAgeMs), reported, own))
+            boolean leaseValid,
+            boolean readOnly,
+            long reportAgeMs,
+            int reportedConnections,
+            int ownConnections,
+            boolean mayStart) {
+        assertThat(HolderAdmissionRule.mayStart(
+                        leaseValid, readOnly, Duration.ofMillis(reportAgeMs), reportedConnections, ownConnections))
                 .isEqualTo(mayStart);
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/TransactionTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/TransactionTest.java
@@ -17,8 +17,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Connections and interactive transactions through whole proxies. The proxies' clock is paused, so that only a missing
- * answer ends a request; the transport's own timer runs.
+ * Guards against responses and open transactions that reach another user of the same connection, with two complete
+ * proxies. The proxies use a manual clock and the transport a real timer, so a request times out only when a response
+ * is missing.
  */
 final class TransactionTest {
     private final ManualClock clock = new ManualClock();
@@ -29,7 +30,7 @@
         bed.close();
     }
 
-    /** While a transaction is open, statements of others run on other connections. */
+    /** While a transaction is open, statements outside the transaction run on other connections. */
     @ParameterizedTest
     @ValueSource(strings = {"p1", "p2"})
     void transactionHasAnExclusiveConnectionFromBeginToCommit(String proxyId) {
@@ -71,7 +72,7 @@
         assertFailed(end("p2", "Commit", id), "TRANSACTION_LOST", Effect.UNKNOWN);
     }
 
-    /** The first statement times out; its answer comes late and must not reach the second one. */
+    /** The first statement times out; its late response must not reach the second statement. */
     @Test
     void lateResponseNeverReachesAnotherStatementAndItsConnectionIsNotReused() {
         CompletableFuture<ExecuteResponse> slow = bed.execute(
@@ -88,7 +89,7 @@
         assertThat(next.join().getResults(0).getRows(0).getColumns(0)).isEqualTo("of the second");
     }
 
-    /** The answer does not come in time: the outcome is unknown, and the connection is never used again. */
+    /** The response does not arrive in time: the outcome is unknown, and the connection is never reused. */
     @ParameterizedTest
     @CsvSource({"Execute, TRANSACTION_LOST", "Commit, TIMEOUT_AFTER_SEND"})
     void missingResponseEndsTheTransaction(String method, String type) {
