--- a/proxy/src/main/java/org/hornbeamspread/proxy/ClusterMonitor.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ClusterMonitor.java
@@ -116,7 +116,7 @@
         if (group.isEmpty() || group.get().getPrimaryId().isEmpty()) {
             return failed(FailureType.NO_PRIMARY, groupName);
         }
-        if (!leased.isFreshAt(requestedAt)) {
+        if (!leased.isLeaseValidAt(requestedAt)) {
             return failed(FailureType.VIEW_EXPIRED, groupName);
         }
         DatabaseMonitor monitor = monitors.get(group.get().getPrimaryId());
--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
@@ -34,7 +34,7 @@
     private final Dispatcher dispatcher;
     private final PeerTransport transport;
     private final ViewPublisher publisher;
-    private final ClusterMonitor databases;
+    private final ClusterMonitor clusterMonitor;
     private final SchedulerFactory schedulers;
     private final String proxyId;
     private final Map<String, HeldDatabase> held = new HashMap<>();
@@ -46,13 +46,13 @@
             Dispatcher dispatcher,
             PeerTransport transport,
             ViewPublisher publisher,
-            ClusterMonitor databases,
+            ClusterMonitor clusterMonitor,
             SchedulerFactory schedulers,
             String proxyId) {
         this.dispatcher = dispatcher;
         this.transport = transport;
         this.publisher = publisher;
-        this.databases = databases;
+        this.clusterMonitor = clusterMonitor;
         this.schedulers = schedulers;
         this.proxyId = proxyId;
     }
@@ -145,7 +145,7 @@
     }
 
     private boolean mayStart(String databaseId, HeldDatabase database, boolean readOnly) {
-        Optional<DatabaseMonitor> monitor = databases.monitor(databaseId).filter(DatabaseMonitor::isConnected);
+        Optional<DatabaseMonitor> monitor = clusterMonitor.monitor(databaseId).filter(DatabaseMonitor::isConnected);
         Optional<PositionReport> report = monitor.flatMap(DatabaseMonitor::lastReport);
         return HolderAdmissionRule.mayStart(
                 publisher.isFresh(),
--- a/proxy/src/main/java/org/hornbeamspread/proxy/LeasedView.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/LeasedView.java
@@ -16,14 +16,14 @@
     static final LeasedView NONE = new LeasedView(ViewSnapshot.NONE, ViewLeaseState.NONE);
 
     /** Whether the lease on the view is valid at an instant. */
-    boolean isFreshAt(Instant instant) {
+    boolean isLeaseValidAt(Instant instant) {
         return lease.isValidAt(instant);
     }
 
     /** Whether a write of a term may be acknowledged at an instant. */
     boolean canAcknowledgeWrite(String group, long term, Instant instant) {
         Optional<GroupView> groupView = view.group(group);
-        return isFreshAt(instant)
+        return isLeaseValidAt(instant)
                 && groupView.isPresent()
                 && groupView.get().getTerm() == term
                 && groupView.get().getWritable();
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
@@ -135,7 +135,7 @@
             DatabaseEntry database = view.database(databaseId).orElseThrow();
             Instant sentAt = dispatcher.clock().instant();
             boolean provenPrimary = databaseId.equals(group.getPrimaryId())
-                    && publisher.current().isFreshAt(sentAt);
+                    && publisher.current().isLeaseValidAt(sentAt);
             CompletableFuture<StatementsExecuted> answer =
                     executor.execute(view, database, attemptOrder(sentAt), request.statements(0));
             return inFlight.track(group.getGroup(), 0, database, answer).handle((executed, error) -> {
@@ -191,7 +191,7 @@
         private List<ReadCandidate> candidates(GroupView group) {
             GroupReplicationState state = databases.groupState(group.getGroup());
             Instant now = dispatcher.clock().instant();
-            boolean leaseFresh = publisher.current().isFreshAt(now);
+            boolean leaseFresh = publisher.current().isLeaseValidAt(now);
             List<ReadCandidate> candidates = new ArrayList<>();
             for (DatabaseEntry database : group.getDatabasesList()) {
                 LogPosition applied = state.appliedPosition(database.getDatabaseId());
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ViewPublisher.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ViewPublisher.java
@@ -23,12 +23,12 @@
 
     /** Whether the view may be trusted now. */
     boolean isFresh() {
-        return current.isFreshAt(clock.instant());
+        return current.isLeaseValidAt(clock.instant());
     }
 
     /** Whether the lease ran out so long ago that waiting for control is not worth a request's time. */
     boolean isCutOff() {
-        return !current.isFreshAt(clock.instant().minus(CUT_OFF_AFTER));
+        return !current.isLeaseValidAt(clock.instant().minus(CUT_OFF_AFTER));
     }
 
     /**
--- a/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
@@ -91,7 +91,7 @@
         GroupView group = leased.view()
                 .group(name)
                 .orElseThrow(() -> new FailureException(FailureType.NO_PRIMARY, name + " is not in the view"));
-        if (!leased.isFreshAt(dispatcher.clock().instant())) {
+        if (!leased.isLeaseValidAt(dispatcher.clock().instant())) {
             throw new FailureException(FailureType.VIEW_EXPIRED, name);
         }
         if (group.getPrimaryId().isEmpty() || !group.getWritable()) {
