--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabase.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabase.java
@@ -98,8 +98,8 @@
     }
 
     /** Sets whether the database is departing and not a primary. */
-    void setDraining(boolean draining) {
-        this.draining = draining;
+    void setDraining(boolean drain) {
+        draining = drain;
     }
 
     /**
