--- a/proxy/src/main/java/org/hornbeamspread/proxy/Databases.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ClusterMonitor.java
@@ -21,22 +21,22 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * All databases of the view, as this proxy sees them: one administrative connection each, and the state of their
+ * Monitors every database of the view over one administrative connection each, and keeps the replication state of their
  * groups. Owned by the dispatcher's thread.
  */
-final class Databases {
-    private static final Duration QUESTION_INTERVAL = Duration.ofMillis(100);
+final class ClusterMonitor {
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
 
     private final Dispatcher dispatcher;
     private final PeerTransport transport;
     private final ViewPublisher publisher;
     private final ProxyMetrics metrics;
     private final String region;
-    private final Map<String, DatabaseLink> links = new HashMap<>();
-    private final Map<String, GroupState> groups = new HashMap<>();
+    private final Map<String, DatabaseMonitor> monitors = new HashMap<>();
+    private final Map<String, GroupReplicationState> groups = new HashMap<>();
     private Consumer<PositionReport> listener = report -> {};
 
-    Databases(
+    ClusterMonitor(
             Dispatcher dispatcher,
             PeerTransport transport,
             ViewPublisher publisher,
@@ -49,56 +49,56 @@
         this.publisher = publisher;
     }
 
-    /** Sets who else is told of each report. */
-    void onReport(Consumer<PositionReport> reportListener) {
+    /** Sets a listener that is called with each report. */
+    void setReportListener(Consumer<PositionReport> reportListener) {
         listener = reportListener;
     }
 
-    /** Starts to ask the primaries for their positions. */
+    /** Starts the periodic position requests to the primaries. */
     void start() {
-        dispatcher.schedule(QUESTION_INTERVAL, this::askPrimaries);
+        dispatcher.schedule(POLL_INTERVAL, this::pollPrimaries);
     }
 
-    /** Follows a new view. */
-    void view(ViewSnapshot view) {
+    /** Applies a new view. */
+    void updateView(ViewSnapshot view) {
         for (GroupView group : view.groups()) {
-            GroupState state = group(group.getGroup());
-            state.view(group, view.groupSize(group));
+            GroupReplicationState state = groupState(group.getGroup());
+            state.updateView(group, view.groupSize(group));
             for (DatabaseEntry entry : group.getDatabasesList()) {
-                links.computeIfAbsent(entry.getDatabaseId(), id -> link(state, entry))
-                        .update(entry);
+                monitors.computeIfAbsent(entry.getDatabaseId(), id -> monitor(state, entry))
+                        .updateEndpoint(entry);
             }
         }
-        links.entrySet().removeIf(link -> {
-            boolean gone = view.database(link.getKey()).isEmpty();
-            if (gone) {
-                link.getValue().close();
+        monitors.entrySet().removeIf(monitor -> {
+            boolean removed = view.database(monitor.getKey()).isEmpty();
+            if (removed) {
+                monitor.getValue().close();
             }
-            return gone;
+            return removed;
         });
     }
 
-    /** The state of a group; a new one when it was not seen before. */
-    GroupState group(String name) {
-        return groups.computeIfAbsent(name, id -> new GroupState());
+    /** The replication state of a group; creates an empty one for a new group. */
+    GroupReplicationState groupState(String name) {
+        return groups.computeIfAbsent(name, id -> new GroupReplicationState());
     }
 
-    Optional<DatabaseLink> link(String databaseId) {
-        return Optional.ofNullable(links.get(databaseId));
+    Optional<DatabaseMonitor> monitor(String databaseId) {
+        return Optional.ofNullable(monitors.get(databaseId));
     }
 
-    /** What control wants to know of each database. */
+    /** The observations of each database that a lease renewal reports to control. */
     List<DatabaseObservation> observations(ViewSnapshot view) {
         List<DatabaseObservation> observations = new ArrayList<>();
         for (DatabaseEntry entry : view.databases()) {
-            DatabaseLink link = links.get(entry.getDatabaseId());
-            if (link != null) {
+            DatabaseMonitor monitor = monitors.get(entry.getDatabaseId());
+            if (monitor != null) {
                 observations.add(DatabaseObservation.newBuilder()
                         .setDatabaseId(entry.getDatabaseId())
                         .setIncarnation(entry.getIncarnation())
-                        .setReachable(link.isConnected())
-                        .setSilentMs(
-                                (int) Math.min(Integer.MAX_VALUE, link.silence().toMillis()))
+                        .setReachable(monitor.isConnected())
+                        .setSilentMs((int) Math.min(
+                                Integer.MAX_VALUE, monitor.timeSinceLastReport().toMillis()))
                         .build());
             }
         }
@@ -106,57 +106,57 @@
     }
 
     /**
-     * The primary's position at a moment after this call, proven to be of the group's current primary. Fails with
-     * NO_PRIMARY, VIEW_EXPIRED or DATABASE_UNREACHABLE.
+     * Requests the position of the group's primary, sampled after this call. The response must come from the primary
+     * of the view's term. Fails with NO_PRIMARY, VIEW_EXPIRED, DATABASE_UNREACHABLE or NOT_PRIMARY.
      */
-    CompletableFuture<LogPosition> askPrimary(String groupName) {
-        Instant askedAt = dispatcher.clock().instant();
+    CompletableFuture<LogPosition> requestPrimaryPosition(String groupName) {
+        Instant requestedAt = dispatcher.clock().instant();
         LeasedView leased = publisher.current();
         Optional<GroupView> group = leased.view().group(groupName);
         if (group.isEmpty() || group.get().getPrimaryId().isEmpty()) {
             return failed(FailureType.NO_PRIMARY, groupName);
         }
-        if (!leased.isFreshAt(askedAt)) {
+        if (!leased.isLeaseValidAt(requestedAt)) {
             return failed(FailureType.VIEW_EXPIRED, groupName);
         }
-        DatabaseLink link = links.get(group.get().getPrimaryId());
-        if (link == null) {
+        DatabaseMonitor monitor = monitors.get(group.get().getPrimaryId());
+        if (monitor == null) {
             return failed(FailureType.DATABASE_UNREACHABLE, group.get().getPrimaryId());
         }
         long term = group.get().getTerm();
-        return link.askPosition().thenApply(report -> sampled(groupName, term, askedAt, report));
+        return monitor.requestPosition().thenApply(report -> addPrimarySample(groupName, term, requestedAt, report));
     }
 
-    private DatabaseLink link(GroupState state, DatabaseEntry entry) {
+    private DatabaseMonitor monitor(GroupReplicationState state, DatabaseEntry entry) {
         boolean otherRegion = !entry.getRegion().equals(region);
-        return new DatabaseLink(
+        return new DatabaseMonitor(
                 dispatcher,
                 transport,
                 entry,
-                report -> reported(state, report),
+                report -> handleReport(state, report),
                 bytes -> metrics.countReportBytes(otherRegion, bytes));
     }
 
-    private void reported(GroupState state, PositionReport report) {
-        state.report(report, dispatcher.clock().instant());
+    private void handleReport(GroupReplicationState state, PositionReport report) {
+        state.onReport(report, dispatcher.clock().instant());
         listener.accept(report);
     }
 
-    private LogPosition sampled(String groupName, long term, Instant askedAt, PositionReport report) {
+    private LogPosition addPrimarySample(String groupName, long term, Instant requestedAt, PositionReport report) {
         if (report.getRole() != DatabaseRole.PRIMARY || report.getTerm() != term) {
             throw new FailureException(FailureType.NOT_PRIMARY, report.getDatabaseId());
         }
         LogPosition position = Envelopes.position(report.getSynced());
-        group(groupName).sample(askedAt, position);
+        groupState(groupName).addPrimarySample(requestedAt, position);
         return position;
     }
 
-    private void askPrimaries() {
-        links.values().forEach(DatabaseLink::check);
+    private void pollPrimaries() {
+        monitors.values().forEach(DatabaseMonitor::checkConnection);
         for (GroupView group : publisher.current().view().groups()) {
-            askPrimary(group.getGroup()).exceptionally(error -> LogPosition.NONE);
+            requestPrimaryPosition(group.getGroup()).exceptionally(error -> LogPosition.NONE);
         }
-        dispatcher.schedule(QUESTION_INTERVAL, this::askPrimaries);
+        dispatcher.schedule(POLL_INTERVAL, this::pollPrimaries);
     }
 
     private static <T> CompletableFuture<T> failed(FailureType type, String detail) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ConnectionPool.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ConnectionPool.java
@@ -19,11 +19,11 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * The database connections that this proxy has open to one database, at most its connection limit.
+ * A pool of connections from this proxy to one database. The pool never exceeds the database's connection limit.
  *
- * <p>A connection serves one user at a time. It comes back by {@link #release} only when every answer on it was read and
- * no transaction is open; otherwise {@link #discard} closes it, because a late answer or an open transaction would mix
- * into the next user's work. Owned by the dispatcher's thread.
+ * <p>A connection has one user at a time. The user returns the connection by {@link #release} only if every response
+ * on it has been read and no transaction is open. Otherwise {@link #discard} closes the connection, because a late
+ * response or an open transaction would interfere with the work of the next user. Owned by the dispatcher's thread.
  */
 final class ConnectionPool {
     private static final Duration OPEN_TIMEOUT = Duration.ofSeconds(1);
@@ -36,8 +36,8 @@
 
     private final Deque<PeerConnection> idle = new ArrayDeque<>();
     private final Set<PeerConnection> inUse = Collections.newSetFromMap(new IdentityHashMap<>());
-    private final Deque<CompletableFuture<PeerConnection>> waiting = new ArrayDeque<>();
-    private int opening;
+    private final Deque<CompletableFuture<PeerConnection>> pendingAcquires = new ArrayDeque<>();
+    private int openingCount;
     private boolean closed;
 
     ConnectionPool(
@@ -49,27 +49,31 @@
         this.maxConnections = maxConnections;
     }
 
-    /** Opens connections ahead of need. */
-    void warm(int connections) {
+    /** Opens connections in advance, up to the given number or the connection limit. */
+    void warmUp(int connections) {
         idle.removeIf(connection -> !connection.isOpen());
-        while (!closed && openConnections() + opening < Math.min(connections, maxConnections)) {
-            open();
+        while (!closed && openConnectionCount() + openingCount < Math.min(connections, maxConnections)) {
+            openConnection();
         }
     }
 
-    /** A connection for one user. Fails with DATABASE_UNREACHABLE or CONNECTION_LIMIT, nothing sent. */
+    /**
+     * Acquires a connection for one user. Fails with DATABASE_UNREACHABLE, CONNECTION_LIMIT, or WRONG_HOLDER after
+     * the pool was closed; no request has been sent then.
+     */
     CompletableFuture<PeerConnection> acquire() {
-        CompletableFuture<PeerConnection> user = new CompletableFuture<>();
+        CompletableFuture<PeerConnection> acquired = new CompletableFuture<>();
         if (closed) {
-            user.completeExceptionally(new FailureException(FailureType.WRONG_HOLDER, "no longer held"));
-            return user;
+            acquired.completeExceptionally(
+                    new FailureException(FailureType.WRONG_HOLDER, "this proxy no longer holds the database"));
+            return acquired;
         }
-        waiting.addLast(user);
-        serve();
-        return user;
+        pendingAcquires.addLast(acquired);
+        servePendingAcquires();
+        return acquired;
     }
 
-    /** Gives a connection back that is clean. */
+    /** Returns a connection that has no outstanding response and no open transaction. */
     void release(PeerConnection connection) {
         if (!inUse.remove(connection)) {
             return;
@@ -79,66 +83,69 @@
         } else {
             idle.addFirst(connection);
         }
-        serve();
+        servePendingAcquires();
     }
 
-    /** Closes a connection that may carry a late answer or an open transaction. */
+    /** Closes a connection that may still receive a late response or have an open transaction. */
     void discard(PeerConnection connection) {
         connection.close();
         inUse.remove(connection);
-        serve();
+        servePendingAcquires();
     }
 
-    /** Closes what nobody uses. */
+    /** Closes the idle connections. */
     void closeIdle() {
         idle.forEach(PeerConnection::close);
         idle.clear();
     }
 
-    /** Closes what is idle; what is in use is closed when it comes back. */
+    /** Closes the idle connections and fails pending acquires. A connection in use is closed when it is returned. */
     void close() {
         closed = true;
         closeIdle();
-        while (!waiting.isEmpty()) {
-            waiting.pollFirst().completeExceptionally(new FailureException(FailureType.WRONG_HOLDER, "no longer held"));
+        while (!pendingAcquires.isEmpty()) {
+            pendingAcquires
+                    .pollFirst()
+                    .completeExceptionally(
+                            new FailureException(FailureType.WRONG_HOLDER, "this proxy no longer holds the database"));
         }
     }
 
-    /** Connections that are open, in use or idle. */
-    int openConnections() {
+    /** The number of open connections, in use or idle. */
+    int openConnectionCount() {
         return idle.size() + inUse.size();
     }
 
-    private void serve() {
-        while (!waiting.isEmpty() && !idle.isEmpty()) {
+    private void servePendingAcquires() {
+        while (!pendingAcquires.isEmpty() && !idle.isEmpty()) {
             PeerConnection connection = idle.pollFirst();
             if (connection.isOpen()) {
                 inUse.add(connection);
-                waiting.pollFirst().complete(connection);
+                pendingAcquires.pollFirst().complete(connection);
             }
         }
-        while (opening < waiting.size() && openConnections() + opening < maxConnections) {
-            open();
+        while (openingCount < pendingAcquires.size() && openConnectionCount() + openingCount < maxConnections) {
+            openConnection();
         }
     }
 
-    private void open() {
-        opening++;
-        Futures.start(() -> transport.connect(endpoint, OPEN_TIMEOUT, new NoPushes()))
-                .thenCompose(this::introduce)
+    private void openConnection() {
+        openingCount++;
+        Futures.start(() -> transport.connect(endpoint, OPEN_TIMEOUT, new RejectingHandler()))
+                .thenCompose(this::handshake)
                 .whenCompleteAsync(
                         (connection, error) -> {
-                            opening--;
-                            opened(connection, error);
+                            openingCount--;
+                            onOpenCompleted(connection, error);
                         },
                         dispatcher);
     }
 
-    private CompletableFuture<PeerConnection> introduce(PeerConnection connection) {
+    private CompletableFuture<PeerConnection> handshake(PeerConnection connection) {
         Envelope connect = Envelope.newBuilder()
                 .setConnect(Connect.newBuilder().setClientId(clientId))
                 .build();
-        return connection.request(connect, OPEN_TIMEOUT).handle((answer, error) -> {
+        return connection.request(connect, OPEN_TIMEOUT).handle((response, error) -> {
             if (error != null) {
                 connection.close();
                 throw FailureException.of(error);
@@ -147,27 +154,27 @@
         });
     }
 
-    private void opened(PeerConnection connection, Throwable error) {
+    private void onOpenCompleted(PeerConnection connection, Throwable error) {
         if (error != null) {
-            if (!waiting.isEmpty()) {
-                waiting.pollFirst().completeExceptionally(notOpened(FailureException.of(error)));
+            if (!pendingAcquires.isEmpty()) {
+                pendingAcquires.pollFirst().completeExceptionally(openFailure(FailureException.of(error)));
             }
         } else if (closed) {
             connection.close();
         } else {
             idle.addLast(connection);
         }
-        serve();
+        servePendingAcquires();
     }
 
-    private static FailureException notOpened(FailureException cause) {
+    private static FailureException openFailure(FailureException cause) {
         return cause.type() == FailureType.CONNECTION_LIMIT
                 ? cause
                 : new FailureException(FailureType.DATABASE_UNREACHABLE, cause.type() + " " + cause.detail());
     }
 
-    /** Databases push nothing on these connections. */
-    private static final class NoPushes implements PeerHandler {
+    /** Rejects requests from the database, which sends none and pushes nothing on these connections. */
+    private static final class RejectingHandler implements PeerHandler {
         @Override
         public void onRequest(PeerConnection peer, Envelope request, Consumer<Envelope> answer) {
             answer.accept(Envelopes.failureEnvelope(new FailureException(
--- a/proxy/src/main/java/org/hornbeamspread/proxy/DatabaseLink.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/DatabaseMonitor.java
@@ -19,20 +19,21 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * The administrative connection to one database: its position reports, and questions for its position. It counts
- * against no limit of the database. All state belongs to the dispatcher's thread.
+ * Monitors one database over an administrative connection: receives the database's position reports and requests its
+ * position. The connection doesn't count against the connection limit of the database. Owned by the dispatcher's
+ * thread.
  */
-final class DatabaseLink {
+final class DatabaseMonitor {
     private static final int HEARTBEAT_MS = 100;
-    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(500);
-    private static final Duration RECONNECT_PAUSE = Duration.ofMillis(100);
-    private static final Duration SILENT_CONNECTION = Duration.ofSeconds(1);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(500);
+    private static final Duration RECONNECT_BACKOFF = Duration.ofMillis(100);
+    private static final Duration SILENCE_TIMEOUT = Duration.ofSeconds(1);
 
     private final Dispatcher dispatcher;
     private final PeerTransport transport;
     private final String databaseId;
     private final Consumer<PositionReport> onReport;
-    private final IntConsumer onBytes;
+    private final IntConsumer onBytesTransferred;
 
     private Endpoint endpoint;
 
@@ -44,28 +45,28 @@
     private Instant lastReportAt;
     private Optional<PositionReport> lastReport = Optional.empty();
 
-    /** Waiting for an answer to a question that is not sent yet; null while there is no such question. */
-    private CompletableFuture<PositionReport> nextQuestion;
+    /** Completes with the response to a position request that has not been sent yet; null if there is none. */
+    private CompletableFuture<PositionReport> queuedRequest;
 
-    private boolean questionInFlight;
+    private boolean requestInFlight;
 
-    DatabaseLink(
+    DatabaseMonitor(
             Dispatcher dispatcher,
             PeerTransport transport,
             DatabaseEntry entry,
             Consumer<PositionReport> onReport,
-            IntConsumer onBytes) {
+            IntConsumer onBytesTransferred) {
         this.dispatcher = dispatcher;
         this.transport = transport;
         this.databaseId = entry.getDatabaseId();
         this.endpoint = entry.getEndpoint();
         this.onReport = onReport;
-        this.onBytes = onBytes;
+        this.onBytesTransferred = onBytesTransferred;
         this.lastReportAt = dispatcher.clock().instant();
     }
 
-    /** Follows the database to the endpoint that the view names. */
-    void update(DatabaseEntry entry) {
+    /** Connects to the endpoint of the database's entry in the view, and closes a connection to an earlier endpoint. */
+    void updateEndpoint(DatabaseEntry entry) {
         if (!entry.getEndpoint().equals(endpoint)) {
             endpoint = entry.getEndpoint();
             disconnect();
@@ -78,16 +79,19 @@
         disconnect();
     }
 
-    /** Connects again where needed, and gives up a connection that has fallen silent. Called every now and then. */
-    void check() {
-        if (connection != null && silence().compareTo(SILENT_CONNECTION) > 0) {
+    /**
+     * Closes a connection without reports for {@link #SILENCE_TIMEOUT}, and reconnects if necessary. Called
+     * periodically.
+     */
+    void checkConnection() {
+        if (connection != null && timeSinceLastReport().compareTo(SILENCE_TIMEOUT) > 0) {
             disconnect();
         }
         connect();
     }
 
-    /** How long the database has said nothing. */
-    Duration silence() {
+    /** The time since the last report of the database, or since the connection was opened if that is later. */
+    Duration timeSinceLastReport() {
         return Duration.between(lastReportAt, dispatcher.clock().instant());
     }
 
@@ -95,50 +99,50 @@
         return connection != null && connection.isOpen();
     }
 
-    /** The latest report, also of a connection that has broken since. */
+    /** The latest report, even if its connection has been lost since. */
     Optional<PositionReport> lastReport() {
         return lastReport;
     }
 
     /**
-     * Asks the database for its position. The answer is of a moment after this call; questions that arrive while one
-     * is in flight share the next one.
+     * Requests the database's position. The position is sampled after this call; calls while a request is in flight
+     * share the next request.
      */
-    CompletableFuture<PositionReport> askPosition() {
-        if (nextQuestion == null) {
-            nextQuestion = new CompletableFuture<>();
+    CompletableFuture<PositionReport> requestPosition() {
+        if (queuedRequest == null) {
+            queuedRequest = new CompletableFuture<>();
         }
-        CompletableFuture<PositionReport> mine = nextQuestion;
-        sendQuestion();
-        return mine;
+        CompletableFuture<PositionReport> response = queuedRequest;
+        sendQueuedRequest();
+        return response;
     }
 
-    private void sendQuestion() {
-        if (questionInFlight || nextQuestion == null) {
+    private void sendQueuedRequest() {
+        if (requestInFlight || queuedRequest == null) {
             return;
         }
-        CompletableFuture<PositionReport> question = nextQuestion;
-        nextQuestion = null;
+        CompletableFuture<PositionReport> request = queuedRequest;
+        queuedRequest = null;
         if (!isConnected()) {
-            question.completeExceptionally(new FailureException(FailureType.DATABASE_UNREACHABLE, databaseId));
+            request.completeExceptionally(new FailureException(FailureType.DATABASE_UNREACHABLE, databaseId));
             return;
         }
-        questionInFlight = true;
-        onBytes.accept(subscribe().getSerializedSize());
+        requestInFlight = true;
+        onBytesTransferred.accept(subscribeRequest().getSerializedSize());
         connection
-                .request(subscribe(), ANSWER_TIMEOUT)
+                .request(subscribeRequest(), RESPONSE_TIMEOUT)
                 .whenCompleteAsync(
-                        (answer, error) -> {
-                            questionInFlight = false;
+                        (response, error) -> {
+                            requestInFlight = false;
                             if (error != null) {
-                                question.completeExceptionally(
+                                request.completeExceptionally(
                                         new FailureException(FailureType.DATABASE_UNREACHABLE, databaseId));
                             } else {
-                                PositionReport report = answer.getSubscribed().getReport();
-                                reported(report);
-                                question.complete(report);
+                                PositionReport report = response.getSubscribed().getReport();
+                                handleReport(report);
+                                request.complete(report);
                             }
-                            sendQuestion();
+                            sendQueuedRequest();
                         },
                         dispatcher);
     }
@@ -148,28 +152,28 @@
             return;
         }
         connecting = true;
-        Endpoint wanted = endpoint;
-        Futures.start(() -> transport.connect(wanted, ANSWER_TIMEOUT, new Reports()))
+        Endpoint target = endpoint;
+        Futures.start(() -> transport.connect(target, RESPONSE_TIMEOUT, new ReportHandler()))
                 .whenCompleteAsync(
                         (opened, error) -> {
                             connecting = false;
                             if (error == null) {
-                                connected(opened, wanted);
+                                onConnected(opened, target);
                             } else if (!closed) {
-                                dispatcher.schedule(RECONNECT_PAUSE, this::connect);
+                                dispatcher.schedule(RECONNECT_BACKOFF, this::connect);
                             }
                         },
                         dispatcher);
     }
 
-    private void connected(PeerConnection opened, Endpoint wanted) {
-        if (closed || !wanted.equals(endpoint)) {
+    private void onConnected(PeerConnection opened, Endpoint target) {
+        if (closed || !target.equals(endpoint)) {
             opened.close();
             return;
         }
         connection = opened;
         lastReportAt = dispatcher.clock().instant();
-        askPosition().exceptionally(error -> PositionReport.getDefaultInstance());
+        requestPosition().exceptionally(error -> PositionReport.getDefaultInstance());
     }
 
     private void disconnect() {
@@ -179,24 +183,27 @@
         }
     }
 
-    private void reported(PositionReport report) {
+    private void handleReport(PositionReport report) {
         if (!report.getDatabaseId().equals(databaseId)) {
             return;
         }
         lastReportAt = dispatcher.clock().instant();
         lastReport = Optional.of(report);
-        onBytes.accept(report.getSerializedSize());
+        onBytesTransferred.accept(report.getSerializedSize());
         onReport.accept(report);
     }
 
-    private static Envelope subscribe() {
+    private static Envelope subscribeRequest() {
         return Envelope.newBuilder()
                 .setSubscribe(Subscribe.newBuilder().setHeartbeatMs(HEARTBEAT_MS))
                 .build();
     }
 
-    /** Pushed reports; a report that finds the ring half full is dropped, since a newer one follows. */
-    private final class Reports implements PeerHandler {
+    /**
+     * Receives pushed reports and rejects requests. A report that arrives while the dispatcher's queue is more than
+     * half full is dropped, because a newer report follows.
+     */
+    private final class ReportHandler implements PeerHandler {
         @Override
         public void onRequest(PeerConnection peer, Envelope request, Consumer<Envelope> answer) {
             answer.accept(Envelopes.failureEnvelope(new FailureException(
@@ -206,7 +213,7 @@
         @Override
         public void onPush(PeerConnection peer, Envelope push) {
             if (push.hasPositionReport()) {
-                dispatcher.tryExecute(() -> reported(push.getPositionReport()));
+                dispatcher.tryExecute(() -> handleReport(push.getPositionReport()));
             }
         }
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/GroupState.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/GroupReplicationState.java
@@ -20,18 +20,21 @@
 import org.hornbeamspread.protocol.schema.PositionReport;
 import org.hornbeamspread.transport.Envelopes;
 
-/** What this proxy has seen of one group: who holds what, and how old the replicas are. Owned by one thread. */
-final class GroupState {
-    private static final int MAX_AGE_SAMPLES = 128;
+/**
+ * The replication state of one group as observed by this proxy: the log positions of the databases, the quorum
+ * position, and the staleness of the replicas. Owned by one thread.
+ */
+final class GroupReplicationState {
+    private static final int MAX_STALENESS_SAMPLES = 128;
 
     private final QuorumTracker quorum = new QuorumTracker();
-    private final ReplicaStaleness age = new ReplicaStaleness(MAX_AGE_SAMPLES);
-    private final Map<String, LogPosition> applied = new HashMap<>();
+    private final ReplicaStaleness staleness = new ReplicaStaleness(MAX_STALENESS_SAMPLES);
+    private final Map<String, LogPosition> appliedPositions = new HashMap<>();
     private final Map<String, ReplicationLag> lags = new HashMap<>();
-    private final List<AppliedWait> waits = new ArrayList<>();
+    private final List<AppliedWait> appliedWaits = new ArrayList<>();
 
-    /** Takes the group's state from a view. */
-    void view(GroupView group, int groupDatabases) {
+    /** Applies the group's term and trusted databases from a view. */
+    void updateView(GroupView group, int groupDatabases) {
         Set<String> trusted = new HashSet<>();
         for (DatabaseEntry database : group.getDatabasesList()) {
             if (database.getTrusted()) {
@@ -41,8 +44,8 @@
         quorum.updateView(group.getTerm(), trusted, groupDatabases);
     }
 
-    /** Takes a database's report in. */
-    void report(PositionReport report, Instant now) {
+    /** Applies a position report of a database. */
+    void onReport(PositionReport report, Instant now) {
         LogPosition synced = Envelopes.position(report.getSynced());
         LogPosition appliedNow = Envelopes.position(report.getApplied());
         quorum.onReport(new LogStatusReport(
@@ -52,64 +55,64 @@
                 report.getFollowedTerm(),
                 report.getTrusted(),
                 synced));
-        applied.put(report.getDatabaseId(), appliedNow);
+        appliedPositions.put(report.getDatabaseId(), appliedNow);
         if (report.getRole() == DatabaseRole.PRIMARY) {
             lags.values().forEach(lag -> lag.recordPrimaryPosition(synced, now));
         } else {
             lags.computeIfAbsent(report.getDatabaseId(), id -> new ReplicationLag())
                     .recordReplicaPosition(appliedNow, now);
         }
-        endWaits(report.getDatabaseId(), appliedNow);
+        completeAppliedWaits(report.getDatabaseId(), appliedNow);
     }
 
-    /** Adds the primary's answer to a question that was asked under a fresh lease. */
-    void sample(Instant askedAt, LogPosition primaryPosition) {
-        age.addSample(askedAt, primaryPosition);
+    /** Adds a position of the primary that was requested under a valid lease. */
+    void addPrimarySample(Instant requestedAt, LogPosition primaryPosition) {
+        staleness.addSample(requestedAt, primaryPosition);
     }
 
-    /** Completes when a database reports that it has applied a position. */
+    /** Completes when a database has reported that it applied a position. */
     CompletableFuture<Void> awaitApplied(String databaseId, LogPosition position) {
-        if (applied(databaseId).covers(position)) {
+        if (appliedPosition(databaseId).covers(position)) {
             return CompletableFuture.completedFuture(null);
         }
         AppliedWait wait = new AppliedWait(databaseId, position, new CompletableFuture<>());
-        waits.add(wait);
-        return wait.done;
+        appliedWaits.add(wait);
+        return wait.completion;
     }
 
-    /** Forgets a wait that nobody needs any more. */
-    void forgetApplied(CompletableFuture<Void> wait) {
-        waits.removeIf(entry -> entry.done == wait);
+    /** Removes a wait created by {@link #awaitApplied}, without completing the future. */
+    void cancelAwaitApplied(CompletableFuture<Void> wait) {
+        appliedWaits.removeIf(entry -> entry.completion == wait);
     }
 
     QuorumTracker quorum() {
         return quorum;
     }
 
-    ReplicaStaleness age() {
-        return age;
+    ReplicaStaleness staleness() {
+        return staleness;
     }
 
-    LogPosition applied(String databaseId) {
-        return applied.getOrDefault(databaseId, LogPosition.NONE);
+    LogPosition appliedPosition(String databaseId) {
+        return appliedPositions.getOrDefault(databaseId, LogPosition.NONE);
     }
 
-    /** The estimate of a replica's lag. */
+    /** The estimated replication lag of a database. */
     ReplicationLag lag(String databaseId) {
         return lags.computeIfAbsent(databaseId, id -> new ReplicationLag());
     }
 
-    private void endWaits(String databaseId, LogPosition appliedNow) {
-        List<AppliedWait> ended = new ArrayList<>();
-        for (Iterator<AppliedWait> all = waits.iterator(); all.hasNext(); ) {
+    private void completeAppliedWaits(String databaseId, LogPosition appliedNow) {
+        List<AppliedWait> reached = new ArrayList<>();
+        for (Iterator<AppliedWait> all = appliedWaits.iterator(); all.hasNext(); ) {
             AppliedWait wait = all.next();
             if (wait.databaseId.equals(databaseId) && appliedNow.covers(wait.position)) {
                 all.remove();
-                ended.add(wait);
+                reached.add(wait);
             }
         }
-        ended.forEach(wait -> wait.done.complete(null));
+        reached.forEach(wait -> wait.completion.complete(null));
     }
 
-    private record AppliedWait(String databaseId, LogPosition position, CompletableFuture<Void> done) {}
+    private record AppliedWait(String databaseId, LogPosition position, CompletableFuture<Void> completion) {}
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabase.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabase.java
@@ -16,9 +16,9 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * A database that this proxy holds: its slots, its queue and its connections. Work takes a slot first and a connection
- * then, so that no more statements run than the database has slots, whichever proxy they came from. Owned by the
- * dispatcher's thread.
+ * A database that this proxy holds, with its slots, queue and connections. A statement takes a slot first and a
+ * connection second, so that the number of running statements never exceeds the number of slots, whichever proxy the
+ * statements came from. Owned by the dispatcher's thread.
  */
 final class HeldDatabase {
     private final Dispatcher dispatcher;
@@ -26,8 +26,10 @@
     private final ConnectionPool pool;
     private final SlotQueue queue;
 
-    /** The database is departing and not a primary: what is idle is closed and nothing is opened ahead. */
-    private boolean retired;
+    /**
+     * Whether the database is departing and not a primary: idle connections are closed and none is opened in advance.
+     */
+    private boolean draining;
 
     HeldDatabase(
             Dispatcher dispatcher,
@@ -41,15 +43,15 @@
         this.pool = new ConnectionPool(
                 dispatcher, transport, entry.getEndpoint(), proxyId, Math.max(1, entry.getConnectionLimit()));
         this.queue = new SlotQueue(dispatcher, scheduler, limits);
-        pool.warm(entry.getSlots());
+        pool.warmUp(entry.getSlots());
     }
 
     long holderEpoch() {
         return entry.getHolderEpoch();
     }
 
-    /** Whether an entry names the same endpoint and limits. */
-    boolean isFor(DatabaseEntry other) {
+    /** Whether an entry has the same endpoint, slots and connection limit. */
+    boolean hasSameEndpointAndLimits(DatabaseEntry other) {
         return other.getEndpoint().equals(entry.getEndpoint())
                 && other.getSlots() == entry.getSlots()
                 && other.getConnectionLimit() == entry.getConnectionLimit();
@@ -63,58 +65,64 @@
         return pool;
     }
 
-    /** Runs statements as a transaction of their own. */
+    /** Runs statements as a separate transaction. */
     CompletableFuture<StatementsExecuted> execute(RequestContext order, ExecuteStatements statements) {
         Envelope request =
                 Envelope.newBuilder().setExecuteStatements(statements).build();
-        return queue.run(order, () -> onConnection(order, connection -> send(connection, request, order)))
+        return queue.run(order, () -> withConnection(order, connection -> send(connection, request, order)))
                 .thenApply(Envelope::getStatementsExecuted);
     }
 
-    /** Sends a request on a connection that the caller owns, and types what went wrong after it was sent. */
+    /**
+     * Sends a request on a connection that was acquired from the pool, and converts a transport failure after the
+     * send to the failure type with the right effect. Fails with DEADLINE_BEFORE_START, not sent, if no time is left.
+     */
     CompletableFuture<Envelope> send(PeerConnection connection, Envelope request, RequestContext order) {
         Duration remaining = Duration.between(dispatcher.clock().instant(), order.deadline());
         if (remaining.isNegative() || remaining.isZero()) {
             return CompletableFuture.failedFuture(
                     new FailureException(FailureType.DEADLINE_BEFORE_START, entry.getDatabaseId()));
         }
-        return connection.request(request, remaining).handle((answer, error) -> {
+        return connection.request(request, remaining).handle((response, error) -> {
             if (error != null) {
-                throw new CompletionException(afterSend(FailureException.of(error)));
+                throw new CompletionException(toAfterSendFailure(FailureException.of(error)));
             }
-            return answer;
+            return response;
         });
     }
 
-    /** Refuses what waits; what runs ends by itself. */
+    /** Rejects waiting statements. Running statements finish normally. */
     void close() {
         queue.close();
         pool.close();
     }
 
-    /** Sets whether the database is departing and not a primary any more. */
-    void retire(boolean on) {
-        retired = on;
+    /** Sets whether the database is departing and not a primary. */
+    void setDraining(boolean drain) {
+        draining = drain;
     }
 
-    /** Refuses what can't start any more, and replaces broken connections. Called every now and then. */
-    void check() {
+    /**
+     * Rejects statements that can't start in time any more, and replaces broken connections or, while draining,
+     * closes idle ones. Called periodically.
+     */
+    void runMaintenance() {
         queue.expire();
-        if (retired) {
+        if (draining) {
             pool.closeIdle();
         } else {
-            pool.warm(entry.getSlots());
+            pool.warmUp(entry.getSlots());
         }
     }
 
-    /** Whether an answer on the connection may still come, so that it can't be used for anything else. */
-    static boolean leavesAnswerOpen(FailureException failure) {
+    /** Whether a late response may still arrive on the connection, so that the connection must not be reused. */
+    static boolean mayReceiveLateResponse(FailureException failure) {
         return failure.type() == FailureType.TIMEOUT_AFTER_SEND
                 || failure.type() == FailureType.CONNECTION_LOST_AFTER_SEND
                 || failure.type() == FailureType.INTERNAL;
     }
 
-    private CompletableFuture<Envelope> onConnection(
+    private CompletableFuture<Envelope> withConnection(
             RequestContext order, Function<PeerConnection, CompletableFuture<Envelope>> use) {
         CompletableFuture<Envelope> result = new CompletableFuture<>();
         Instant now = dispatcher.clock().instant();
@@ -131,21 +139,22 @@
             } else {
                 use.apply(connection)
                         .whenCompleteAsync(
-                                (answer, failure) -> settle(connection, result, answer, failure), dispatcher);
+                                (response, failure) -> finishAndReturnConnection(connection, result, response, failure),
+                                dispatcher);
             }
         });
         return result;
     }
 
-    private void settle(
-            PeerConnection connection, CompletableFuture<Envelope> result, Envelope answer, Throwable error) {
+    private void finishAndReturnConnection(
+            PeerConnection connection, CompletableFuture<Envelope> result, Envelope response, Throwable error) {
         if (error == null) {
             pool.release(connection);
-            result.complete(answer);
+            result.complete(response);
             return;
         }
         FailureException failure = FailureException.of(error);
-        if (leavesAnswerOpen(failure)) {
+        if (mayReceiveLateResponse(failure)) {
             pool.discard(connection);
         } else {
             pool.release(connection);
@@ -153,7 +162,7 @@
         result.completeExceptionally(failure);
     }
 
-    private FailureException afterSend(FailureException failure) {
+    private FailureException toAfterSendFailure(FailureException failure) {
         return switch (failure.type()) {
             case REQUEST_TIMEOUT -> new FailureException(FailureType.TIMEOUT_AFTER_SEND, entry.getDatabaseId());
             case CONNECTION_LOST -> new FailureException(FailureType.CONNECTION_LOST_AFTER_SEND, entry.getDatabaseId());
--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
@@ -20,54 +20,59 @@
 /**
  * The databases whose slots and connections this proxy holds.
  *
- * <p>{@link HoldingRule} says when work may start. Connections of a database that is no longer held are closed when idle
- * at once, and otherwise when what runs on them has ended.
+ * <p>{@link HolderAdmissionRule} decides when work may start. When this proxy no longer holds a database, idle
+ * connections are closed at once, and connections in use when their work has ended.
  *
  * <p>Owned by the dispatcher's thread.
  */
 final class HeldDatabases {
-    private static final Duration FOREVER = Duration.ofDays(1);
-    private static final Duration CHECK_INTERVAL = Duration.ofMillis(20);
+    /** The report age of a database without an administrative connection; longer than any accepted age. */
+    private static final Duration NO_REPORT_AGE = Duration.ofDays(1);
+
+    private static final Duration MAINTENANCE_INTERVAL = Duration.ofMillis(20);
 
     private final Dispatcher dispatcher;
     private final PeerTransport transport;
     private final ViewPublisher publisher;
-    private final Databases databases;
+    private final ClusterMonitor clusterMonitor;
     private final SchedulerFactory schedulers;
     private final String proxyId;
     private final Map<String, HeldDatabase> held = new HashMap<>();
 
-    /** The ranks that the schedulers were made for. */
+    /** The ranks that the schedulers were created with. */
     private List<RankDefinition> ranks = List.of();
 
     HeldDatabases(
             Dispatcher dispatcher,
             PeerTransport transport,
             ViewPublisher publisher,
-            Databases databases,
+            ClusterMonitor clusterMonitor,
             SchedulerFactory schedulers,
             String proxyId) {
         this.dispatcher = dispatcher;
         this.transport = transport;
         this.publisher = publisher;
-        this.databases = databases;
+        this.clusterMonitor = clusterMonitor;
         this.schedulers = schedulers;
         this.proxyId = proxyId;
     }
 
     void start() {
-        dispatcher.schedule(CHECK_INTERVAL, this::check);
+        dispatcher.schedule(MAINTENANCE_INTERVAL, this::runMaintenance);
     }
 
-    /** Takes up what the view gives this proxy and lets go of the rest. */
-    void view(ViewSnapshot view) {
-        List<RankDefinition> ranksNow = view.configuration().getRanksList();
-        boolean sameRanks = ranksNow.equals(ranks);
-        ranks = ranksNow;
+    /**
+     * Adds the databases that the view assigns to this proxy, and closes the others. A change of the ranks replaces
+     * every held database, because the schedulers depend on the ranks.
+     */
+    void updateView(ViewSnapshot view) {
+        List<RankDefinition> newRanks = view.configuration().getRanksList();
+        boolean sameRanks = newRanks.equals(ranks);
+        ranks = newRanks;
         held.entrySet().removeIf(entry -> {
             boolean lost = !sameRanks
                     || view.database(entry.getKey())
-                            .filter(database -> isSameHolding(database, entry.getValue()))
+                            .filter(database -> isStillHeld(database, entry.getValue()))
                             .isEmpty();
             if (lost) {
                 entry.getValue().close();
@@ -77,26 +82,26 @@
         for (GroupView group : view.groups()) {
             for (DatabaseEntry database : group.getDatabasesList()) {
                 if (database.getHolderProxyId().equals(proxyId)) {
-                    held.computeIfAbsent(database.getDatabaseId(), id -> take(view, database))
-                            .retire(database.getDeparting()
+                    held.computeIfAbsent(database.getDatabaseId(), id -> createHeldDatabase(view, database))
+                            .setDraining(database.getDeparting()
                                     && !database.getDatabaseId().equals(group.getPrimaryId()));
                 }
             }
         }
     }
 
-    /** Runs statements at a database that this proxy holds at an epoch. Fails with WRONG_HOLDER, not run. */
+    /** Runs statements on a database that this proxy holds at an epoch. Otherwise fails with WRONG_HOLDER, not run. */
     CompletableFuture<StatementsExecuted> execute(
             String databaseId, long holderEpoch, RequestContext order, ExecuteStatements statements) {
-        Optional<HeldDatabase> database = usable(databaseId, holderEpoch, statements.getReadOnly());
+        Optional<HeldDatabase> database = findUsable(databaseId, holderEpoch, statements.getReadOnly());
         if (database.isEmpty()) {
             return CompletableFuture.failedFuture(new FailureException(FailureType.WRONG_HOLDER, databaseId));
         }
         return database.get().execute(order, statements);
     }
 
-    /** A database that this proxy may use now. */
-    Optional<HeldDatabase> usable(String databaseId, long holderEpoch, boolean readOnly) {
+    /** The database, if this proxy holds it at the epoch and may start work on it now. */
+    Optional<HeldDatabase> findUsable(String databaseId, long holderEpoch, boolean readOnly) {
         HeldDatabase database = held.get(databaseId);
         if (database == null || database.holderEpoch() != holderEpoch) {
             return Optional.empty();
@@ -104,15 +109,17 @@
         return mayStart(databaseId, database, readOnly) ? Optional.of(database) : Optional.empty();
     }
 
-    /** Whether a read may be sent: to another holder always, to this one while it may use the database. */
+    /**
+     * Whether a read may be sent: always if another proxy is the holder, else only if this proxy may start reads now.
+     */
     boolean mayRead(DatabaseEntry database) {
         return !database.getHolderProxyId().equals(proxyId)
-                || usable(database.getDatabaseId(), database.getHolderEpoch(), true)
+                || findUsable(database.getDatabaseId(), database.getHolderEpoch(), true)
                         .isPresent();
     }
 
-    /** Statements that wait or run at a held database. */
-    int waitingStatements(String databaseId) {
+    /** The number of waiting and running statements of a held database. */
+    int pendingStatements(String databaseId) {
         HeldDatabase database = held.get(databaseId);
         return database == null ? 0 : database.queue().outstandingStatements();
     }
@@ -121,8 +128,8 @@
         return held;
     }
 
-    /** What control is told of the holdings. */
-    List<org.hornbeamspread.protocol.schema.HeldDatabase> wire() {
+    /** The held databases as protocol messages, for lease renewals. */
+    List<org.hornbeamspread.protocol.schema.HeldDatabase> toProto() {
         return held.entrySet().stream()
                 .map(entry -> org.hornbeamspread.protocol.schema.HeldDatabase.newBuilder()
                         .setDatabaseId(entry.getKey())
@@ -131,32 +138,35 @@
                 .toList();
     }
 
-    private HeldDatabase take(ViewSnapshot view, DatabaseEntry database) {
+    private HeldDatabase createHeldDatabase(ViewSnapshot view, DatabaseEntry database) {
         SlotScheduler scheduler = schedulers.create(view.configuration(), database);
         QueueLimits limits = QueueLimits.of(view.configuration());
         return new HeldDatabase(dispatcher, transport, database, scheduler, limits, proxyId);
     }
 
     private boolean mayStart(String databaseId, HeldDatabase database, boolean readOnly) {
-        Optional<DatabaseLink> link = databases.link(databaseId).filter(DatabaseLink::isConnected);
-        Optional<PositionReport> report = link.flatMap(DatabaseLink::lastReport);
-        return HoldingRule.mayStart(
+        Optional<DatabaseMonitor> monitor = clusterMonitor.monitor(databaseId).filter(DatabaseMonitor::isConnected);
+        Optional<PositionReport> report = monitor.flatMap(DatabaseMonitor::lastReport);
+        return HolderAdmissionRule.mayStart(
                 publisher.isFresh(),
                 readOnly,
-                link.map(DatabaseLink::silence).orElse(FOREVER),
+                monitor.map(DatabaseMonitor::timeSinceLastReport).orElse(NO_REPORT_AGE),
                 report.map(PositionReport::getConnections).orElse(Integer.MAX_VALUE),
-                database.pool().openConnections());
+                database.pool().openConnectionCount());
     }
 
-    /** A database that restarted elsewhere needs new connections also when the holder stays. */
-    private boolean isSameHolding(DatabaseEntry database, HeldDatabase holding) {
+    /**
+     * Also compares endpoint and limits: a database restarted elsewhere needs new connections even with the same
+     * holder.
+     */
+    private boolean isStillHeld(DatabaseEntry database, HeldDatabase heldDatabase) {
         return database.getHolderProxyId().equals(proxyId)
-                && database.getHolderEpoch() == holding.holderEpoch()
-                && holding.isFor(database);
+                && database.getHolderEpoch() == heldDatabase.holderEpoch()
+                && heldDatabase.hasSameEndpointAndLimits(database);
     }
 
-    private void check() {
-        held.values().forEach(HeldDatabase::check);
-        dispatcher.schedule(CHECK_INTERVAL, this::check);
+    private void runMaintenance() {
+        held.values().forEach(HeldDatabase::runMaintenance);
+        dispatcher.schedule(MAINTENANCE_INTERVAL, this::runMaintenance);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/OpenTransaction.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/OpenTransaction.java
@@ -4,7 +4,7 @@
 import org.hornbeamspread.protocol.schema.GroupView;
 import org.hornbeamspread.transport.PeerConnection;
 
-/** An interactive transaction and the connection that is pinned to it. Owned by the dispatcher's thread. */
+/** An interactive transaction and its pinned connection. Owned by the dispatcher's thread. */
 final class OpenTransaction {
     private final TransactionId id;
     private final GroupView group;
@@ -15,7 +15,7 @@
     private final String callerId;
     private final int timeoutMs;
 
-    /** A request of it is in progress; no other may use the connection. */
+    /** Whether a request of this transaction is in progress; no other request may use the connection meanwhile. */
     private boolean busy;
 
     private Instant lastUsedAt;
@@ -44,7 +44,7 @@
         return id;
     }
 
-    /** The group as of the view that the transaction began under. */
+    /** The group in the view that was current when the transaction began. */
     GroupView group() {
         return group;
     }
@@ -69,16 +69,16 @@
         return lastUsedAt;
     }
 
-    /** Takes the connection for one request. */
-    RequestContext use(Instant now, int requestTimeoutMs) {
+    /** Reserves the connection for one request; a request without a timeout gets the transaction's timeout. */
+    RequestContext beginRequest(Instant now, int requestTimeoutMs) {
         busy = true;
         lastUsedAt = now;
-        int limitMs = requestTimeoutMs > 0 ? requestTimeoutMs : timeoutMs;
-        return new RequestContext(rank, callerId, now.plusMillis(limitMs));
+        int effectiveTimeoutMs = requestTimeoutMs > 0 ? requestTimeoutMs : timeoutMs;
+        return new RequestContext(rank, callerId, now.plusMillis(effectiveTimeoutMs));
     }
 
-    /** The request has ended. */
-    void free(Instant now) {
+    /** Makes the connection available for the next request of this transaction. */
+    void endRequest(Instant now) {
         busy = false;
         lastUsedAt = now;
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
@@ -30,17 +30,17 @@
 
     private final ProxySettings settings;
     private final long incarnation;
-    private final DutyDispatcher requestDispatcher;
-    private final DutyDispatcher controlDispatcher;
+    private final SingleThreadDispatcher requestDispatcher;
+    private final SingleThreadDispatcher controlDispatcher;
     private final PeerTransport transport;
     private final ViewPublisher publisher;
-    private final Databases databases;
+    private final ClusterMonitor databases;
     private final HeldDatabases held;
-    private final InFlight inFlight;
+    private final InFlightAttempts inFlight;
     private final WritePath writes;
-    private final Transactions transactions;
+    private final TransactionManager transactions;
     private final StatementsService statements;
-    private final ControlLink controlLink;
+    private final ViewLeaseRenewer controlLink;
     private final PeerService peerService;
     private final ProxyMetrics metrics;
     private final PrometheusRegistry registry = new PrometheusRegistry();
@@ -62,12 +62,12 @@
     ProxyServer(ProxySettings settings, Clock clock) {
         this.settings = settings;
         this.incarnation = clock.millis();
-        this.requestDispatcher = new DutyDispatcher("requests", clock);
-        this.controlDispatcher = new DutyDispatcher("control", clock);
+        this.requestDispatcher = new SingleThreadDispatcher("requests", clock);
+        this.controlDispatcher = new SingleThreadDispatcher("control", clock);
         this.transport = new PeerTransport(settings.networkThreads(), settings.translator());
         this.publisher = new ViewPublisher(clock);
         this.metrics = new ProxyMetrics(registry);
-        this.databases = new Databases(requestDispatcher, transport, publisher, metrics, settings.region());
+        this.databases = new ClusterMonitor(requestDispatcher, transport, publisher, metrics, settings.region());
         this.held = new HeldDatabases(
                 requestDispatcher,
                 transport,
@@ -77,24 +77,24 @@
                         .scheduler(configuration, Math.max(1, database.getSlots()), clock.instant()),
                 settings.proxyId());
         this.peerService = new PeerService(requestDispatcher, held, databases);
-        databases.onReport(peerService::forwardReport);
+        databases.setReportListener(peerService::forwardReport);
         RelayClient relayClient = new RelayClient(requestDispatcher, transport, RelayClient.refuseRequests(), metrics);
         DatabaseExecutor executor = new HolderExecutor(settings.proxyId(), settings.region(), held, relayClient);
-        this.inFlight = new InFlight();
+        this.inFlight = new InFlightAttempts();
         this.writes = new WritePath(requestDispatcher, publisher, databases, executor, inFlight);
         ReadPath reads =
                 new ReadPath(requestDispatcher, publisher, databases, held, executor, inFlight, metrics, settings);
-        this.transactions = new Transactions(requestDispatcher, publisher, held, writes, settings, incarnation);
+        this.transactions = new TransactionManager(requestDispatcher, publisher, held, writes, settings, incarnation);
         this.statements = new StatementsService(
                 requestDispatcher,
                 publisher,
                 writes,
                 reads,
-                new TransactionService(requestDispatcher, publisher, transactions, settings, incarnation),
+                new TransactionRouter(requestDispatcher, publisher, transactions, settings, incarnation),
                 new RetryLoop(requestDispatcher, metrics, publisher::isIsolatedFromControl),
                 metrics,
                 settings);
-        this.controlLink = new ControlLink(
+        this.controlLink = new ViewLeaseRenewer(
                 controlDispatcher, transport, settings.control(), publisher, this::renewalRequest, this::onView);
     }
 
@@ -120,13 +120,13 @@
 
     /** Completes once a position report shows that a database has applied a position. */
     CompletableFuture<Void> awaitApplied(String group, String databaseId, LogPosition position) {
-        return CompletableFuture.supplyAsync(() -> databases.group(group), requestDispatcher)
+        return CompletableFuture.supplyAsync(() -> databases.groupState(group), requestDispatcher)
                 .thenCompose(state -> state.awaitApplied(databaseId, position));
     }
 
     /** Requests the position of a group's primary, from which the staleness of the replicas is bounded. */
     CompletableFuture<LogPosition> requestPrimaryPosition(String group) {
-        return CompletableFuture.supplyAsync(() -> databases.askPrimary(group), requestDispatcher)
+        return CompletableFuture.supplyAsync(() -> databases.requestPrimaryPosition(group), requestDispatcher)
                 .thenCompose(future -> future);
     }
 
@@ -199,11 +199,11 @@
     /** Called on the "control" thread: applies a new view on the "requests" thread, then confirms it to control. */
     private void onView(ViewSnapshot view) {
         requestDispatcher.execute(() -> {
-            databases.view(view);
+            databases.updateView(view);
             writes.applyView(view);
-            inFlight.view(view);
-            held.view(view);
-            heldEntries = held.wire();
+            inFlight.updateView(view);
+            held.updateView(view);
+            heldEntries = held.toProto();
             appliedView = view;
             controlLink.renewNow();
         });
@@ -211,7 +211,7 @@
 
     private void observe() {
         observations = databases.observations(appliedView);
-        openTransactions = transactions.openTransactions();
+        openTransactions = transactions.openTransactionCount();
         requestDispatcher.schedule(OBSERVATION_INTERVAL, this::observe);
     }
 
@@ -220,7 +220,7 @@
                 .forEach((id, database) -> metrics.setDatabaseUsage(
                         id,
                         database.queue().outstandingStatements(),
-                        database.pool().openConnections()));
+                        database.pool().openConnectionCount()));
         requestDispatcher.schedule(GAUGE_INTERVAL, this::updateGauges);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
@@ -35,10 +35,10 @@
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
-    private final Databases databases;
+    private final ClusterMonitor databases;
     private final HeldDatabases held;
     private final DatabaseExecutor executor;
-    private final InFlight inFlight;
+    private final InFlightAttempts inFlight;
     private final ProxyMetrics metrics;
     private final String failureDomain;
     private final String region;
@@ -47,10 +47,10 @@
     ReadPath(
             Dispatcher dispatcher,
             ViewPublisher publisher,
-            Databases databases,
+            ClusterMonitor databases,
             HeldDatabases held,
             DatabaseExecutor executor,
-            InFlight inFlight,
+            InFlightAttempts inFlight,
             ProxyMetrics metrics,
             ProxySettings settings) {
         this.dispatcher = dispatcher;
@@ -91,7 +91,7 @@
             if (minPosition.isPresent()) {
                 return route(minPosition.get(), true);
             }
-            return databases.askPrimary(request.group()).thenCompose(position -> {
+            return databases.requestPrimaryPosition(request.group()).thenCompose(position -> {
                 minPosition = Optional.of(position);
                 return route(position, true);
             });
@@ -119,11 +119,11 @@
         }
 
         private CompletableFuture<Void> awaitReplica(ReadDecision.WaitForReplica wait, LogPosition position) {
-            GroupState state = databases.group(request.group());
+            GroupReplicationState state = databases.groupState(request.group());
             CompletableFuture<Void> applied = state.awaitApplied(wait.databaseId(), position);
             CompletableFuture<Void> result = new CompletableFuture<>();
             Dispatcher.Timer timer = dispatcher.schedule(wait.maxWait(), () -> {
-                state.forgetApplied(applied);
+                state.cancelAwaitApplied(applied);
                 result.complete(null);
             });
             applied.thenRun(() -> {
@@ -137,10 +137,10 @@
             DatabaseEntry database = view.database(databaseId).orElseThrow();
             Instant sentAt = dispatcher.clock().instant();
             boolean primaryUnderLease = databaseId.equals(group.getPrimaryId())
-                    && publisher.current().isFreshAt(sentAt);
+                    && publisher.current().isLeaseValidAt(sentAt);
             CompletableFuture<StatementsExecuted> answer =
                     executor.execute(view, database, attemptContext(sentAt), request.statements(0));
-            return inFlight.watch(group.getGroup(), 0, database, answer).handle((executed, error) -> {
+            return inFlight.track(group.getGroup(), 0, database, answer).handle((executed, error) -> {
                 if (error != null) {
                     failedDatabases.add(databaseId);
                     throw FailureException.of(error);
@@ -177,7 +177,7 @@
             Instant now = dispatcher.clock().instant();
             Optional<Duration> staleness = isPrimary
                     ? Optional.of(Duration.between(sentToPrimaryAt.get(), now))
-                    : databases.group(group.getGroup()).age().upperBound(state, now);
+                    : databases.groupState(group.getGroup()).staleness().upperBound(state, now);
             if (!isPrimary && (staleness.isEmpty() || staleness.get().compareTo(request.stalenessAllowance()) > 0)) {
                 failedDatabases.add(databaseId);
                 throw new FailureException(
@@ -202,21 +202,21 @@
          * treated as a replica, whose staleness must be bounded.
          */
         private List<ReadCandidate> candidates(GroupView group) {
-            GroupState state = databases.group(group.getGroup());
+            GroupReplicationState state = databases.groupState(group.getGroup());
             Instant now = dispatcher.clock().instant();
-            boolean leaseValid = publisher.current().isFreshAt(now);
+            boolean leaseValid = publisher.current().isLeaseValidAt(now);
             List<ReadCandidate> candidates = new ArrayList<>();
             for (DatabaseEntry database : group.getDatabasesList()) {
-                LogPosition applied = state.applied(database.getDatabaseId());
+                LogPosition applied = state.appliedPosition(database.getDatabaseId());
                 candidates.add(new ReadCandidate(
                         database.getDatabaseId(),
                         leaseValid && database.getDatabaseId().equals(group.getPrimaryId()),
                         isUsable(database),
                         Proximity.of(failureDomain, region, database.getFailureDomain(), database.getRegion()),
                         applied,
-                        state.age().upperBound(applied, now),
+                        state.staleness().upperBound(applied, now),
                         state.lag(database.getDatabaseId()).typicalLag(now),
-                        held.waitingStatements(database.getDatabaseId())));
+                        held.pendingStatements(database.getDatabaseId())));
             }
             return candidates;
         }
@@ -226,8 +226,8 @@
                     && !failedDatabases.contains(database.getDatabaseId())
                     && !database.getHolderProxyId().isEmpty()
                     && databases
-                            .link(database.getDatabaseId())
-                            .filter(DatabaseLink::isConnected)
+                            .monitor(database.getDatabaseId())
+                            .filter(DatabaseMonitor::isConnected)
                             .isPresent()
                     && held.mayRead(database);
         }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/TimerQueue.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TimerQueue.java
@@ -6,40 +6,40 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Timers in order of time. Not safe for use by several threads. */
+/** A queue of timers ordered by due time, then by the order of scheduling. Not thread-safe. */
 final class TimerQueue {
     private final Clock clock;
     private final PriorityQueue<Entry> entries = new PriorityQueue<>(
-            Comparator.<Entry, Instant>comparing(entry -> entry.at).thenComparingLong(entry -> entry.sequence));
+            Comparator.<Entry, Instant>comparing(entry -> entry.dueAt).thenComparingLong(entry -> entry.sequence));
     private long nextSequence;
 
     TimerQueue(Clock clock) {
         this.clock = clock;
     }
 
-    Dispatcher.Timer schedule(Duration pause, Runnable work) {
-        Entry entry = new Entry(clock.instant().plus(pause), nextSequence++, work);
+    Dispatcher.Timer schedule(Duration delay, Runnable work) {
+        Entry entry = new Entry(clock.instant().plus(delay), nextSequence++, work);
         entries.add(entry);
         return entry::cancel;
     }
 
-    /** Runs every timer that is due. */
+    /** Runs every due timer. */
     void runDue() {
         Instant now = clock.instant();
-        while (!entries.isEmpty() && !entries.peek().at.isAfter(now)) {
+        while (!entries.isEmpty() && !entries.peek().dueAt.isAfter(now)) {
             entries.poll().work.run();
         }
     }
 
     private static final class Entry {
-        private final Instant at;
+        private final Instant dueAt;
         private final long sequence;
 
-        /** Replaced when the timer is called off; the entry leaves the queue when it is due. */
+        /** Replaced by a no-op when the timer is canceled; the entry stays in the queue until it is due. */
         private Runnable work;
 
-        Entry(Instant at, long sequence, Runnable work) {
-            this.at = at;
+        Entry(Instant dueAt, long sequence, Runnable work) {
+            this.dueAt = dueAt;
             this.sequence = sequence;
             this.work = work;
         }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/Transactions.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TransactionManager.java
@@ -30,15 +30,16 @@
 import org.hornbeamspread.transport.PeerConnection;
 
 /**
- * The interactive transactions on this proxy's connections.
+ * Manages the interactive transactions on this proxy's connections.
  *
- * <p>A transaction runs at the primary, on one connection that is pinned to it from begin to end; nothing else is sent
- * there meanwhile. The connection goes back to the pool only after a commit or rollback that was answered in full. A
- * transaction that is idle for too long, whose answer is missing, or whose end is not known is closed with its
- * connection: the database then drops what was not committed. Owned by the dispatcher's thread.
+ * <p>A transaction runs on the primary, on one connection that is pinned to the transaction from begin to end; no
+ * other work uses the connection meanwhile. The connection returns to the pool only after a commit or rollback with a
+ * complete response. A transaction is closed together with its connection if it is idle for too long, if a response
+ * is missing, or if the outcome of its end is unknown; the database then rolls back uncommitted work. Owned by the
+ * dispatcher's thread.
  */
-final class Transactions {
-    private static final Duration CHECK_INTERVAL = Duration.ofMillis(50);
+final class TransactionManager {
+    private static final Duration IDLE_CHECK_INTERVAL = Duration.ofMillis(50);
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
@@ -46,10 +47,10 @@
     private final WritePath writes;
     private final String proxyId;
     private final long incarnation;
-    private final Duration idleLimit;
-    private final Map<TransactionId, OpenTransaction> open = new HashMap<>();
+    private final Duration idleTimeout;
+    private final Map<TransactionId, OpenTransaction> openTransactions = new HashMap<>();
 
-    Transactions(
+    TransactionManager(
             Dispatcher dispatcher,
             ViewPublisher publisher,
             HeldDatabases held,
@@ -62,35 +63,38 @@
         this.writes = writes;
         this.proxyId = settings.proxyId();
         this.incarnation = incarnation;
-        this.idleLimit = Duration.ofMillis(settings.idleTransactionMs());
+        this.idleTimeout = Duration.ofMillis(settings.idleTransactionMs());
     }
 
     void start() {
-        dispatcher.schedule(CHECK_INTERVAL, this::closeIdle);
+        dispatcher.schedule(IDLE_CHECK_INTERVAL, this::closeIdleTransactions);
     }
 
-    /** Transactions that are open. */
-    int openTransactions() {
-        return open.size();
+    /** The number of open transactions. */
+    int openTransactionCount() {
+        return openTransactions.size();
     }
 
-    /** The primary that a transaction would run at. Fails with the type of a refused write. */
+    /** The primary that a transaction would run on. Fails with the same types as a write before it is sent. */
     DatabaseEntry primary(BeginRequest request) {
         LeasedView leased = publisher.current();
-        return writes.primary(leased.view(), group(leased, request));
+        return writes.primary(leased.view(), writableGroup(leased, request));
     }
 
-    /** Begins a transaction at a database that this proxy holds. */
+    /**
+     * Begins a transaction on a primary that this proxy holds. Fails with CONNECTION_LIMIT if open transactions
+     * already use every connection that the slots don't need; one open transaction is always allowed.
+     */
     CompletableFuture<TransactionId> begin(BeginRequest request, Instant arrivedAt) {
         LeasedView leased = publisher.current();
         ServiceDefinition service = StatementRequest.service(leased.view(), request.getService());
         StatementRequest.checkRank(leased.view(), request.getRank());
-        GroupView group = group(leased, request);
+        GroupView group = writableGroup(leased, request);
         DatabaseEntry primary = writes.primary(leased.view(), group);
-        HeldDatabase database = held.usable(primary.getDatabaseId(), primary.getHolderEpoch(), false)
+        HeldDatabase database = held.findUsable(primary.getDatabaseId(), primary.getHolderEpoch(), false)
                 .orElseThrow(() -> new FailureException(FailureType.WRONG_HOLDER, primary.getDatabaseId()));
-        if (openAt(database) >= Math.max(1, primary.getConnectionLimit() - primary.getSlots())) {
-            throw new FailureException(FailureType.CONNECTION_LIMIT, "open transactions");
+        if (openTransactionsOn(database) >= Math.max(1, primary.getConnectionLimit() - primary.getSlots())) {
+            throw new FailureException(FailureType.CONNECTION_LIMIT, "too many open transactions");
         }
         int timeoutMs = StatementRequest.timeoutMs(request.getTimeoutMs(), service);
         RequestContext order =
@@ -102,8 +106,8 @@
 
     /** Runs statements inside a transaction. */
     CompletableFuture<ExecuteResponse> execute(TransactionId id, ExecuteRequest request) {
-        OpenTransaction transaction = find(id, FailureType.UNKNOWN_TRANSACTION);
-        RequestContext order = transaction.use(dispatcher.clock().instant(), request.getTimeoutMs());
+        OpenTransaction transaction = findIdle(id, FailureType.UNKNOWN_TRANSACTION);
+        RequestContext order = transaction.beginRequest(dispatcher.clock().instant(), request.getTimeoutMs());
         Envelope statements = Envelope.newBuilder()
                 .setExecuteStatements(ExecuteStatements.newBuilder()
                         .setTerm(
@@ -114,36 +118,37 @@
         HeldDatabase database = transaction.database();
         return database.queue()
                 .run(order, () -> database.send(transaction.connection(), statements, order))
-                .handle((answer, error) -> {
-                    transaction.free(dispatcher.clock().instant());
+                .handle((response, error) -> {
+                    transaction.endRequest(dispatcher.clock().instant());
                     if (error != null) {
-                        throw statementFailed(transaction, FailureException.of(error));
+                        throw toStatementFailure(transaction, FailureException.of(error));
                     }
-                    return executed(transaction, answer.getStatementsExecuted(), request);
+                    return executeResponse(transaction, response.getStatementsExecuted(), request);
                 });
     }
 
-    /** Commits, and answers once the commit may be acknowledged. */
+    /** Commits a transaction; completes when the commit may be acknowledged. */
     CompletableFuture<ExecuteResponse> commit(TransactionId id, EndRequest request) {
-        OpenTransaction transaction = find(id, FailureType.TRANSACTION_LOST);
+        OpenTransaction transaction = findIdle(id, FailureType.TRANSACTION_LOST);
         if (!transaction.readOnly()) {
             writes.writableGroup(publisher.current(), transaction.group().getGroup());
         }
-        RequestContext order = transaction.use(dispatcher.clock().instant(), 0);
+        RequestContext order = transaction.beginRequest(dispatcher.clock().instant(), 0);
         Envelope commit = Envelope.newBuilder()
                 .setCommitTransaction(CommitTransaction.newBuilder().setIdempotencyKey(request.getIdempotencyKey()))
                 .build();
-        return end(transaction, commit, order).thenCompose(ended -> acknowledged(transaction, ended, order, request));
+        return endTransaction(transaction, commit, order)
+                .thenCompose(ended -> acknowledge(transaction, ended, order, request));
     }
 
-    /** Drops a transaction's work. */
+    /** Rolls a transaction back. */
     CompletableFuture<ExecuteResponse> rollback(TransactionId id, EndRequest request) {
-        OpenTransaction transaction = find(id, FailureType.UNKNOWN_TRANSACTION);
-        RequestContext order = transaction.use(dispatcher.clock().instant(), 0);
+        OpenTransaction transaction = findIdle(id, FailureType.UNKNOWN_TRANSACTION);
+        RequestContext order = transaction.beginRequest(dispatcher.clock().instant(), 0);
         Envelope rollback = Envelope.newBuilder()
                 .setRollbackTransaction(RollbackTransaction.getDefaultInstance())
                 .build();
-        return end(transaction, rollback, order)
+        return endTransaction(transaction, rollback, order)
                 .handle((ended, error) -> ExecuteResponse.newBuilder()
                         .setEffect(Effect.DONE)
                         .setSessionToken(request.getSessionToken())
@@ -151,7 +156,7 @@
                         .build());
     }
 
-    private GroupView group(LeasedView leased, BeginRequest request) {
+    private GroupView writableGroup(LeasedView leased, BeginRequest request) {
         ServiceDefinition service = StatementRequest.service(leased.view(), request.getService());
         String name = GroupRouting.groupOf(service.getGroupsList(), request.getRoutingKey());
         return writes.writableGroup(leased, name);
@@ -171,14 +176,14 @@
                 .build();
         return database.send(connection, begin, order)
                 .handleAsync(
-                        (answer, error) -> {
+                        (response, error) -> {
                             if (error != null) {
                                 database.pool().discard(connection);
                                 throw FailureException.of(error);
                             }
                             TransactionId id = TransactionId.create(proxyId, incarnation);
                             Instant now = dispatcher.clock().instant();
-                            open.put(
+                            openTransactions.put(
                                     id,
                                     new OpenTransaction(
                                             id,
@@ -194,19 +199,21 @@
                         dispatcher);
     }
 
-    private OpenTransaction find(TransactionId id, FailureType missing) {
-        OpenTransaction transaction = open.get(id);
+    private OpenTransaction findIdle(TransactionId id, FailureType typeIfAbsent) {
+        OpenTransaction transaction = openTransactions.get(id);
         if (transaction == null) {
-            throw new FailureException(missing, "closed, or never open here");
+            throw new FailureException(typeIfAbsent, "the transaction is closed, or was never open on this proxy");
         }
         if (transaction.isBusy()) {
-            throw new FailureException(FailureType.INVALID_REQUEST, "a request of this transaction is in progress");
+            throw new FailureException(
+                    FailureType.INVALID_REQUEST, "another request of this transaction is in progress");
         }
         return transaction;
     }
 
-    private FailureException statementFailed(OpenTransaction transaction, FailureException failure) {
-        if (HeldDatabase.leavesAnswerOpen(failure) || !transaction.connection().isOpen()) {
+    private FailureException toStatementFailure(OpenTransaction transaction, FailureException failure) {
+        if (HeldDatabase.mayReceiveLateResponse(failure)
+                || !transaction.connection().isOpen()) {
             close(transaction);
             return new FailureException(
                     FailureType.TRANSACTION_LOST, failure.type().name());
@@ -214,10 +221,11 @@
         return failure;
     }
 
-    private ExecuteResponse executed(OpenTransaction transaction, StatementsExecuted executed, ExecuteRequest request) {
-        LogPosition state = Envelopes.position(executed.getPosition());
+    private ExecuteResponse executeResponse(
+            OpenTransaction transaction, StatementsExecuted executed, ExecuteRequest request) {
+        LogPosition position = Envelopes.position(executed.getPosition());
         SessionToken token = SessionToken.decode(request.getSessionToken())
-                .withRead(transaction.group().getGroup(), state);
+                .withRead(transaction.group().getGroup(), position);
         return ExecuteResponse.newBuilder()
                 .setEffect(Effect.DONE)
                 .addAllResults(executed.getResultsList())
@@ -226,26 +234,26 @@
                 .build();
     }
 
-    /** Ends the transaction at the database. Whatever comes back, the transaction is over. */
-    private CompletableFuture<TransactionEnded> end(
+    /** Sends the commit or rollback to the database. The transaction is closed whatever the outcome is. */
+    private CompletableFuture<TransactionEnded> endTransaction(
             OpenTransaction transaction, Envelope request, RequestContext order) {
         return transaction
                 .database()
                 .send(transaction.connection(), request, order)
                 .handleAsync(
-                        (answer, error) -> {
+                        (response, error) -> {
                             if (error != null) {
                                 close(transaction);
                                 throw FailureException.of(error);
                             }
-                            open.remove(transaction.id());
+                            openTransactions.remove(transaction.id());
                             transaction.database().pool().release(transaction.connection());
-                            return answer.getTransactionEnded();
+                            return response.getTransactionEnded();
                         },
                         dispatcher);
     }
 
-    private CompletableFuture<ExecuteResponse> acknowledged(
+    private CompletableFuture<ExecuteResponse> acknowledge(
             OpenTransaction transaction, TransactionEnded ended, RequestContext order, EndRequest request) {
         SessionToken token = SessionToken.decode(request.getSessionToken());
         String group = transaction.group().getGroup();
@@ -270,25 +278,25 @@
                         .build());
     }
 
-    private int openAt(HeldDatabase database) {
-        return (int) open.values().stream()
+    private int openTransactionsOn(HeldDatabase database) {
+        return (int) openTransactions.values().stream()
                 .filter(transaction -> transaction.database() == database)
                 .count();
     }
 
-    private void closeIdle() {
-        Instant limit = dispatcher.clock().instant().minus(idleLimit);
-        for (OpenTransaction transaction : List.copyOf(open.values())) {
-            boolean idle = !transaction.isBusy() && !transaction.lastUsedAt().isAfter(limit);
+    private void closeIdleTransactions() {
+        Instant idleBefore = dispatcher.clock().instant().minus(idleTimeout);
+        for (OpenTransaction transaction : List.copyOf(openTransactions.values())) {
+            boolean idle = !transaction.isBusy() && !transaction.lastUsedAt().isAfter(idleBefore);
             if (idle || !transaction.connection().isOpen()) {
                 close(transaction);
             }
         }
-        dispatcher.schedule(CHECK_INTERVAL, this::closeIdle);
+        dispatcher.schedule(IDLE_CHECK_INTERVAL, this::closeIdleTransactions);
     }
 
     private void close(OpenTransaction transaction) {
-        open.remove(transaction.id());
+        openTransactions.remove(transaction.id());
         transaction.database().pool().discard(transaction.connection());
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/TransactionService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TransactionRouter.java
@@ -20,25 +20,25 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * Brings a transaction's requests to the proxy that has its connection: a Begin goes to the primary's holder, everything
- * after it to the proxy that the id names. Both are passed on as whole calls, so that the queue, the connection and the
- * acknowledgement stay in one process. Owned by the dispatcher's thread.
+ * Routes a transaction's requests to the proxy that has the transaction's connection: a Begin to the holder of the
+ * primary, every later request to the proxy named in the transaction id. Requests are forwarded as whole RPCs, so
+ * that the queue, the connection and the acknowledgement stay in one process. Owned by the dispatcher's thread.
  */
-final class TransactionService {
-    private static final String METHODS = "hornbeamspread.Statements/";
-    private static final Duration MAX_WAIT = Duration.ofSeconds(60);
+final class TransactionRouter {
+    private static final String METHOD_PREFIX = "hornbeamspread.Statements/";
+    private static final Duration FORWARD_TIMEOUT = Duration.ofSeconds(60);
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
-    private final Transactions transactions;
+    private final TransactionManager transactions;
     private final ProxySettings settings;
     private final long incarnation;
     private final RpcClient client = new RpcClient();
 
-    TransactionService(
+    TransactionRouter(
             Dispatcher dispatcher,
             ViewPublisher publisher,
-            Transactions transactions,
+            TransactionManager transactions,
             ProxySettings settings,
             long incarnation) {
         this.dispatcher = dispatcher;
@@ -48,7 +48,7 @@
         this.incarnation = incarnation;
     }
 
-    /** Begins a transaction here or at the primary's holder. */
+    /** Begins a transaction on this proxy or on the holder of the primary. */
     CompletableFuture<BeginResponse> begin(BeginRequest request, Instant arrivedAt) {
         DatabaseEntry primary = transactions.primary(request);
         String holder = primary.getHolderProxyId();
@@ -56,31 +56,31 @@
             return transactions
                     .begin(request, arrivedAt)
                     .thenApply(id -> BeginResponse.newBuilder()
-                            .setTransactionId(id.text())
+                            .setTransactionId(id.encode())
                             .build());
         }
         if (request.getForwarded()) {
             throw new FailureException(FailureType.WRONG_HOLDER, primary.getDatabaseId());
         }
-        ProxyEntry entry = publisher
+        ProxyEntry holderEntry = publisher
                 .current()
                 .view()
                 .proxy(holder)
                 .orElseThrow(() -> new FailureException(
                         FailureType.DATABASE_UNREACHABLE, primary.getDatabaseId() + " has no holder"));
         return forward(
-                entry,
+                holderEntry,
                 "Begin",
                 request.toBuilder().setForwarded(true).build(),
                 BeginResponse.getDefaultInstance(),
                 failure -> failure.type().effect() == Effect.NOT_RUN
-                        ? new FailureException(FailureType.DATABASE_UNREACHABLE, "the holder can't be reached")
-                        : new FailureException(FailureType.TRANSACTION_LOST, "begin was not answered"));
+                        ? new FailureException(FailureType.DATABASE_UNREACHABLE, "the holder is unreachable")
+                        : new FailureException(FailureType.TRANSACTION_LOST, "no response to Begin"));
     }
 
     /** Runs statements inside a transaction. */
     CompletableFuture<ExecuteResponse> execute(ExecuteRequest request) {
-        return atOwner(
+        return runAtOwner(
                 request.getTransactionId(),
                 FailureType.UNKNOWN_TRANSACTION,
                 "Execute",
@@ -90,7 +90,7 @@
 
     /** Commits a transaction. */
     CompletableFuture<ExecuteResponse> commit(EndRequest request) {
-        return atOwner(
+        return runAtOwner(
                 request.getTransactionId(),
                 FailureType.TRANSACTION_LOST,
                 "Commit",
@@ -98,9 +98,9 @@
                 id -> transactions.commit(id, request));
     }
 
-    /** Drops a transaction's work. */
+    /** Rolls a transaction back. */
     CompletableFuture<ExecuteResponse> rollback(EndRequest request) {
-        return atOwner(
+        return runAtOwner(
                 request.getTransactionId(),
                 FailureType.UNKNOWN_TRANSACTION,
                 "Rollback",
@@ -108,55 +108,66 @@
                 id -> transactions.rollback(id, request));
     }
 
-    private <Q extends Message> CompletableFuture<ExecuteResponse> atOwner(
-            String text,
-            FailureType ownerGone,
+    private <Q extends Message> CompletableFuture<ExecuteResponse> runAtOwner(
+            String transactionId,
+            FailureType typeIfOwnerLost,
             String method,
             Q request,
-            Function<TransactionId, CompletableFuture<ExecuteResponse>> here) {
-        TransactionId id = TransactionId.parse(text)
-                .orElseThrow(() -> new FailureException(FailureType.UNKNOWN_TRANSACTION, "malformed id"));
+            Function<TransactionId, CompletableFuture<ExecuteResponse>> runLocally) {
+        TransactionId id = TransactionId.parse(transactionId)
+                .orElseThrow(() -> new FailureException(FailureType.UNKNOWN_TRANSACTION, "malformed transaction id"));
         if (id.proxyId().equals(settings.proxyId())) {
             if (id.incarnation() != incarnation) {
-                throw new FailureException(ownerGone, "its proxy has restarted");
+                throw new FailureException(typeIfOwnerLost, "the proxy of the transaction has restarted");
             }
-            return here.apply(id);
+            return runLocally.apply(id);
         }
         Optional<ProxyEntry> owner = publisher.current().view().proxy(id.proxyId());
         if (owner.isEmpty() || owner.get().getIncarnation() != id.incarnation()) {
-            throw new FailureException(ownerGone, "its proxy is gone");
+            throw new FailureException(
+                    typeIfOwnerLost, "the proxy of the transaction is not in the view or has restarted");
         }
         return forward(
                 owner.get(),
                 method,
                 request,
                 ExecuteResponse.getDefaultInstance(),
-                failure -> new FailureException(FailureType.TRANSACTION_LOST, "its proxy can't be reached"));
+                failure -> new FailureException(
+                        FailureType.TRANSACTION_LOST, "the proxy of the transaction is unreachable"));
     }
 
     private <Q extends Message, A extends Message> CompletableFuture<A> forward(
-            ProxyEntry to, String method, Q request, A answer, Function<FailureException, FailureException> typed) {
-        return client.call(settings.translator().translate(to.getHttp()), METHODS + method, request, answer, MAX_WAIT)
+            ProxyEntry owner,
+            String method,
+            Q request,
+            A responseType,
+            Function<FailureException, FailureException> mapFailure) {
+        return client.call(
+                        settings.translator().translate(owner.getHttp()),
+                        METHOD_PREFIX + method,
+                        request,
+                        responseType,
+                        FORWARD_TIMEOUT)
                 .handleAsync(
                         (response, error) -> {
                             if (error != null) {
-                                throw transportFailure(FailureException.of(error), typed);
+                                throw mapTransportFailure(FailureException.of(error), mapFailure);
                             }
                             return response;
                         },
                         dispatcher);
     }
 
-    private static FailureException transportFailure(
-            FailureException failure, Function<FailureException, FailureException> typed) {
+    private static FailureException mapTransportFailure(
+            FailureException failure, Function<FailureException, FailureException> mapFailure) {
         return switch (failure.type()) {
-            case CONNECTION_REFUSED, CONNECTION_LOST, REQUEST_TIMEOUT, INTERNAL -> typed.apply(failure);
+            case CONNECTION_REFUSED, CONNECTION_LOST, REQUEST_TIMEOUT, INTERNAL -> mapFailure.apply(failure);
             default -> failure;
         };
     }
 
-    /** A begin's failure as an answer. */
-    static BeginResponse failed(FailureException failure) {
+    /** A Begin response with a failure. */
+    static BeginResponse failureResponse(FailureException failure) {
         return BeginResponse.newBuilder().setFailure(Envelopes.failure(failure)).build();
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ViewPublisher.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ViewPublisher.java
@@ -23,12 +23,12 @@
 
     /** Whether the lease on the view is valid now. */
     boolean isFresh() {
-        return current.isFreshAt(clock.instant());
+        return current.isLeaseValidAt(clock.instant());
     }
 
     /** Whether the lease expired so long ago that a request should fail at once instead of waiting for control. */
     boolean isIsolatedFromControl() {
-        return !current.isFreshAt(clock.instant().minus(ISOLATION_THRESHOLD));
+        return !current.isLeaseValidAt(clock.instant().minus(ISOLATION_THRESHOLD));
     }
 
     /**
--- a/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
@@ -35,9 +35,9 @@
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
-    private final Databases databases;
+    private final ClusterMonitor databases;
     private final DatabaseExecutor executor;
-    private final InFlight inFlight;
+    private final InFlightAttempts inFlight;
 
     /** The time of the first view in which a database was departing, by database id. */
     private final Map<String, Instant> departingSince = new HashMap<>();
@@ -45,9 +45,9 @@
     WritePath(
             Dispatcher dispatcher,
             ViewPublisher publisher,
-            Databases databases,
+            ClusterMonitor databases,
             DatabaseExecutor executor,
-            InFlight inFlight) {
+            InFlightAttempts inFlight) {
         this.dispatcher = dispatcher;
         this.publisher = publisher;
         this.databases = databases;
@@ -81,7 +81,7 @@
         CompletableFuture<StatementsExecuted> answer =
                 executor.execute(leased.view(), primary, request.context(), request.statements(group.getTerm()));
         CompletableFuture<StatementsExecuted> executed = request.kind() == StatementKind.KEYED_WRITE
-                ? inFlight.watch(group.getGroup(), group.getTerm(), primary, answer)
+                ? inFlight.track(group.getGroup(), group.getTerm(), primary, answer)
                 : answer;
         return executed.thenCompose(result -> acknowledge(group, result, request.context())
                 .thenApply(position -> response(request, group, result, position)));
@@ -92,7 +92,7 @@
         GroupView group = leased.view()
                 .group(name)
                 .orElseThrow(() -> new FailureException(FailureType.NO_PRIMARY, name + " is not in the view"));
-        if (!leased.isFreshAt(dispatcher.clock().instant())) {
+        if (!leased.isLeaseValidAt(dispatcher.clock().instant())) {
             throw new FailureException(FailureType.VIEW_EXPIRED, name);
         }
         if (group.getPrimaryId().isEmpty() || !group.getWritable()) {
@@ -121,7 +121,7 @@
                     FailureType.TERM_CHANGED_AFTER_SEND, "executed at term " + executed.getTerm()));
             return result;
         }
-        GroupState state = databases.group(group.getGroup());
+        GroupReplicationState state = databases.groupState(group.getGroup());
         CompletableFuture<Void> quorumReached =
                 state.quorum().awaitQuorum(group.getTerm(), position, group.getPrimaryId());
         Dispatcher.Timer timer = dispatcher.schedule(remaining(context), () -> {
@@ -143,7 +143,7 @@
             GroupView group, LogPosition position, RequestContext context, CompletableFuture<LogPosition> result) {
         Instant now = dispatcher.clock().instant();
         LeasedView leased = publisher.current();
-        if (leased.allowsWrite(group.getGroup(), group.getTerm(), now)) {
+        if (leased.canAcknowledgeWrite(group.getGroup(), group.getTerm(), now)) {
             result.complete(position);
             return;
         }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/FakeControl.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/FakeControlLeader.java
@@ -19,17 +19,17 @@
 import org.hornbeamspread.transport.PeerServer;
 import org.hornbeamspread.transport.PeerTransport;
 
-/** A control leader on loopback that grants whatever view the test gives it. */
-final class FakeControl implements PeerHandler {
+/** A control leader on loopback that grants leases on a view set by the test. */
+final class FakeControlLeader implements PeerHandler {
     private final PeerServer server;
     private final Map<String, ProxyEntry> proxies = new ConcurrentHashMap<>();
     private final Map<String, RenewView> renewals = new ConcurrentHashMap<>();
     private final List<PeerConnection> connections = new CopyOnWriteArrayList<>();
     private volatile GroupView group = GroupView.getDefaultInstance();
-    private volatile long version;
-    private volatile boolean granting = true;
+    private volatile long viewVersion;
+    private volatile boolean grantsLeases = true;
 
-    FakeControl(PeerTransport transport) {
+    FakeControlLeader(PeerTransport transport) {
         server = transport
                 .listen(Endpoint.newBuilder().setHost("127.0.0.1").build(), this)
                 .join();
@@ -39,26 +39,26 @@
         return Endpoint.newBuilder().setHost("127.0.0.1").setPort(server.port()).build();
     }
 
-    /** Publishes a view, and waits until these proxies have confirmed it. */
-    void publish(GroupView next, String... confirmedBy) {
+    /** Publishes a view and waits until the given proxies have confirmed it. */
+    void publish(GroupView newGroup, String... confirmedBy) {
         synchronized (this) {
-            version++;
-            group = next;
+            viewVersion++;
+            group = newGroup;
         }
-        push();
+        pushViewChanged();
         for (String proxyId : confirmedBy) {
-            awaitConfirmed(proxyId, version);
+            awaitConfirmed(proxyId, viewVersion);
         }
     }
 
-    /** The last renewal of a proxy. */
-    RenewView renewal(String proxyId) {
+    /** The last renewal request of a proxy. */
+    RenewView lastRenewal(String proxyId) {
         return renewals.get(proxyId);
     }
 
-    /** Stops or starts to grant leases. */
-    void grant(boolean on) {
-        granting = on;
+    /** Sets whether renewals are granted; otherwise they fail with NOT_LEADER. */
+    void setGrantsLeases(boolean grant) {
+        grantsLeases = grant;
     }
 
     @Override
@@ -68,7 +68,7 @@
 
     @Override
     public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
-        if (!granting) {
+        if (!grantsLeases) {
             answer.accept(Envelopes.failureEnvelope(new FailureException(FailureType.NOT_LEADER, "")));
             return;
         }
@@ -77,27 +77,27 @@
         boolean isNew = proxies.put(proxyId, renewal.getProxy()) == null;
         Envelope lease;
         synchronized (this) {
-            version += isNew ? 1 : 0;
+            viewVersion += isNew ? 1 : 0;
             lease = Envelope.newBuilder()
-                    .setViewLease(TestViews.lease(version, group, List.copyOf(proxies.values())))
+                    .setViewLease(TestViews.lease(viewVersion, group, List.copyOf(proxies.values())))
                     .build();
             renewals.put(proxyId, renewal);
             notifyAll();
         }
         answer.accept(lease);
         if (isNew) {
-            push();
+            pushViewChanged();
         }
     }
 
-    private void push() {
+    private void pushViewChanged() {
         connections.forEach(connection -> connection.push(Envelope.newBuilder()
                 .setViewChanged(ViewChanged.getDefaultInstance())
                 .build()));
     }
 
-    private synchronized void awaitConfirmed(String proxyId, long wanted) {
-        while (!renewals.containsKey(proxyId) || renewals.get(proxyId).getViewVersion() < wanted) {
+    private synchronized void awaitConfirmed(String proxyId, long minViewVersion) {
+        while (!renewals.containsKey(proxyId) || renewals.get(proxyId).getViewVersion() < minViewVersion) {
             try {
                 wait();
             } catch (InterruptedException e) {
--- a/proxy/src/test/java/org/hornbeamspread/proxy/FakeDatabase.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/FakeDatabase.java
@@ -26,11 +26,11 @@
 import org.hornbeamspread.transport.PeerServer;
 import org.hornbeamspread.transport.PeerTransport;
 
-/** A database on loopback whose answers are given by the test: each statement request is handed to it. */
+/** A database on loopback that queues each statement request for the test; the test sends the response. */
 final class FakeDatabase implements PeerHandler {
-    /** A request that waits for its answer, and the connection it came on. */
+    /** A request that waits for a response, and its connection. */
     record Call(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
-        void executed(long term, long index, String value) {
+        void respondExecuted(long term, long index, String value) {
             answer.accept(Envelope.newBuilder()
                     .setStatementsExecuted(StatementsExecuted.newBuilder()
                             .setTerm(term)
@@ -40,7 +40,7 @@
                     .build());
         }
 
-        void ended(long term, long index) {
+        void respondEnded(long term, long index) {
             answer.accept(Envelope.newBuilder()
                     .setTransactionEnded(TransactionEnded.newBuilder()
                             .setTerm(term)
@@ -48,20 +48,20 @@
                     .build());
         }
 
-        void begun() {
+        void respondBegun() {
             answer.accept(Envelope.newBuilder()
                     .setTransactionBegun(TransactionBegun.getDefaultInstance())
                     .build());
         }
     }
 
-    private static final long WAIT_S = 30;
+    private static final long CALL_TIMEOUT_S = 30;
 
     private final String databaseId;
     private final PeerServer server;
     private final BlockingQueue<Call> calls = new LinkedBlockingQueue<>();
     private final List<PeerConnection> subscribers = new CopyOnWriteArrayList<>();
-    private final Map<String, CompletableFuture<Void>> closing = new ConcurrentHashMap<>();
+    private final Map<String, CompletableFuture<Void>> closeFutures = new ConcurrentHashMap<>();
     private volatile PositionReport report;
 
     FakeDatabase(PeerTransport transport, String databaseId, boolean primary) {
@@ -85,14 +85,14 @@
         return Endpoint.newBuilder().setHost("127.0.0.1").setPort(server.port()).build();
     }
 
-    /** Changes how many connections the reports count, and tells the subscribers. */
-    void countConnections(int count) {
+    /** Sets the connection count in the position reports, and pushes a report to the subscribers. */
+    void reportConnections(int count) {
         report = report.toBuilder().setConnections(count).build();
-        push();
+        pushReport();
     }
 
-    /** Moves the log's end and tells the subscribers. */
-    void moveTo(long term, long index) {
+    /** Sets term, synced and applied position, and pushes a report to the subscribers. */
+    void advanceLogTo(long term, long index) {
         Position position = Position.newBuilder().setTerm(term).setIndex(index).build();
         report = report.toBuilder()
                 .setTerm(term)
@@ -100,13 +100,13 @@
                 .setSynced(position)
                 .setApplied(position)
                 .build();
-        push();
+        pushReport();
     }
 
-    /** The next request of a kind other than Connect and Subscribe. */
-    Call next() {
+    /** Waits for the next request other than Connect and Subscribe. */
+    Call nextCall() {
         try {
-            Call call = calls.poll(WAIT_S, TimeUnit.SECONDS);
+            Call call = calls.poll(CALL_TIMEOUT_S, TimeUnit.SECONDS);
             if (call == null) {
                 throw new IllegalStateException("no request reached " + databaseId);
             }
@@ -116,19 +116,19 @@
         }
     }
 
-    /** Completes when the connection is closed. */
-    CompletableFuture<Void> closed(PeerConnection connection) {
-        return closing.computeIfAbsent(connection.remote(), remote -> new CompletableFuture<>());
+    /** A future that completes when the connection is closed. */
+    CompletableFuture<Void> closeFuture(PeerConnection connection) {
+        return closeFutures.computeIfAbsent(connection.remote(), remote -> new CompletableFuture<>());
     }
 
-    private void push() {
+    private void pushReport() {
         subscribers.forEach(subscriber ->
                 subscriber.push(Envelope.newBuilder().setPositionReport(report).build()));
     }
 
     @Override
     public void onClose(PeerConnection connection) {
-        closed(connection).complete(null);
+        closeFuture(connection).complete(null);
     }
 
     @Override
--- a/proxy/src/test/java/org/hornbeamspread/proxy/HotPathBenchmark.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/HotPathBenchmark.java
@@ -22,24 +22,24 @@
 import org.hornbeamspread.protocol.schema.ViewLease;
 
 /**
- * Measures the CPU time of the decisions that every statement passes, for a growing number of groups. Run its main;
- * it takes about a minute and prints a table.
+ * Measures the CPU time of the decisions made for every statement, for increasing numbers of groups. Run {@link #main};
+ * a run takes about a minute and prints a table.
  */
 public final class HotPathBenchmark {
-    private static final int[] GROUPS = {10, 100, 1_000, 5_000};
+    private static final int[] GROUP_COUNTS = {10, 100, 1_000, 5_000};
     private static final int REPETITIONS = 5;
-    private static final Duration WARM_UP = Duration.ofMillis(300);
-    private static final Duration MEASURED = Duration.ofMillis(200);
-    private static final int BATCH = 100;
+    private static final Duration WARM_UP_TIME = Duration.ofMillis(300);
+    private static final Duration MEASUREMENT_TIME = Duration.ofMillis(200);
+    private static final int OPERATIONS_PER_BATCH = 100;
     private static final Set<String> MEMBERS = Set.of("a", "b", "c");
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
-    /** Keeps results alive. */
+    /** Consumes the results, so that the JIT compiler can't eliminate the measured code. */
     private static volatile Object sink;
 
     private HotPathBenchmark() {}
 
-    /** Prints the table. */
+    /** Runs all benchmarks and prints the table. */
     public static void main(String[] arguments) {
         System.out.println("| decision | groups | microseconds of CPU, median | lowest | highest |");
         System.out.println("|---|---|---|---|---|");
@@ -53,33 +53,33 @@
                     i -> sink = token.withWrite("group-0", new LogPosition(3, 1_000_000L + i))
                             .encode());
         }
-        for (int groups : GROUPS) {
-            List<String> names = names(groups);
+        for (int groups : GROUP_COUNTS) {
+            List<String> names = groupNames(groups);
             report("group of a routing key", groups, i -> sink = GroupRouting.groupOf(names, "club-" + i));
-            routing(groups);
-            quorum(groups);
-            delta(groups);
+            benchmarkRouting(groups);
+            benchmarkQuorum(groups);
+            benchmarkViewDelta(groups);
         }
     }
 
-    private static void routing(int groups) {
+    private static void benchmarkRouting(int groups) {
         ReadRouter router = new ReadRouter(Duration.ofMillis(20), Duration.ofMillis(16));
         Instant now = Instant.EPOCH.plusSeconds(100);
-        List<ReplicaStaleness> ages = new ArrayList<>();
+        List<ReplicaStaleness> stalenessByGroup = new ArrayList<>();
         for (int i = 0; i < groups; i++) {
-            ReplicaStaleness age = new ReplicaStaleness(128);
+            ReplicaStaleness staleness = new ReplicaStaleness(128);
             for (int sample = 0; sample < 128; sample++) {
-                age.addSample(now.minusMillis(12_800 - 100L * sample), new LogPosition(1, sample));
+                staleness.addSample(now.minusMillis(12_800 - 100L * sample), new LogPosition(1, sample));
             }
-            ages.add(age);
+            stalenessByGroup.add(staleness);
         }
         report("read: ages, candidates, decision", groups, i -> {
-            ReplicaStaleness age = ages.get(i % groups);
+            ReplicaStaleness staleness = stalenessByGroup.get(i % groups);
             sink = router.decide(
                     List.of(
-                            candidate("a", true, new LogPosition(1, 127), age, now),
-                            candidate("b", false, new LogPosition(1, 120), age, now),
-                            candidate("c", false, new LogPosition(1, 126), age, now)),
+                            candidate("a", true, new LogPosition(1, 127), staleness, now),
+                            candidate("b", false, new LogPosition(1, 120), staleness, now),
+                            candidate("c", false, new LogPosition(1, 126), staleness, now)),
                     new LogPosition(1, 125),
                     Duration.ofSeconds(2),
                     true);
@@ -87,19 +87,19 @@
     }
 
     private static ReadCandidate candidate(
-            String id, boolean primary, LogPosition applied, ReplicaStaleness age, Instant now) {
+            String id, boolean primary, LogPosition applied, ReplicaStaleness staleness, Instant now) {
         return new ReadCandidate(
                 id,
                 primary,
                 true,
                 Proximity.SAME_REGION,
                 applied,
-                age.upperBound(applied, now),
+                staleness.upperBound(applied, now),
                 java.util.Optional.of(Duration.ofMillis(2)),
                 0);
     }
 
-    private static void quorum(int groups) {
+    private static void benchmarkQuorum(int groups) {
         List<QuorumTracker> trackers = new ArrayList<>();
         long[] index = new long[groups];
         for (int i = 0; i < groups; i++) {
@@ -119,9 +119,9 @@
         });
     }
 
-    private static void delta(int groups) {
+    private static void benchmarkViewDelta(int groups) {
         ViewLease.Builder full = TestViews.lease(1, TestViews.group(1, true, databases("x")), List.of()).toBuilder();
-        for (String name : names(groups)) {
+        for (String name : groupNames(groups)) {
             full.addGroups(TestViews.group(1, true, databases(name)).toBuilder().setGroup(name));
         }
         ViewSnapshot snapshot = ViewSnapshot.NONE.apply(full.build());
@@ -151,7 +151,7 @@
         return token;
     }
 
-    private static List<String> names(int groups) {
+    private static List<String> groupNames(int groups) {
         List<String> names = new ArrayList<>();
         for (int i = 0; i < groups; i++) {
             names.add("group-" + i);
@@ -160,10 +160,10 @@
     }
 
     private static void report(String decision, int groups, IntConsumer operation) {
-        measure(operation, WARM_UP);
+        measure(operation, WARM_UP_TIME);
         double[] micros = new double[REPETITIONS];
         for (int i = 0; i < REPETITIONS; i++) {
-            micros[i] = measure(operation, MEASURED);
+            micros[i] = measure(operation, MEASUREMENT_TIME);
         }
         java.util.Arrays.sort(micros);
         System.out.printf(
@@ -171,16 +171,16 @@
                 decision, groups, micros[REPETITIONS / 2], micros[0], micros[REPETITIONS - 1]);
     }
 
-    /** Microseconds of this thread's CPU time for one operation. */
+    /** CPU time of this thread per operation, in microseconds. */
     private static double measure(IntConsumer operation, Duration duration) {
         long endNs = System.nanoTime() + duration.toNanos();
         long startCpuNs = THREADS.getCurrentThreadCpuTime();
         int operations = 0;
         while (System.nanoTime() < endNs) {
-            for (int i = 0; i < BATCH; i++) {
+            for (int i = 0; i < OPERATIONS_PER_BATCH; i++) {
                 operation.accept(operations + i);
             }
-            operations += BATCH;
+            operations += OPERATIONS_PER_BATCH;
         }
         return (THREADS.getCurrentThreadCpuTime() - startCpuNs) / 1_000.0 / operations;
     }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ProxyServerTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ProxyServerTest.java
@@ -28,9 +28,9 @@
     @CsvSource({"at the holder, p1", "relayed to the holder, p2"})
     void aWriteIsAcknowledgedOnceAReplicaHoldsIt(String name, String proxyId) {
         CompletableFuture<ExecuteResponse> write = bed.execute(proxyId, TestBed.write("key-1"));
-        bed.primary.next().executed(1, 6, "done");
+        bed.primary.nextCall().respondExecuted(1, 6, "done");
         assertThat(write.isDone()).isFalse();
-        bed.sameRegionReplica.moveTo(1, 6);
+        bed.sameRegionReplica.advanceLogTo(1, 6);
         ExecuteResponse answer = write.join();
         assertThat(answer.getEffect()).isEqualTo(Effect.DONE);
         assertThat(answer.getProxyId()).isEqualTo(proxyId);
@@ -40,14 +40,14 @@
     @Test
     void sessionReadsItsOwnWriteThroughAnotherProxyAtAReplica() {
         CompletableFuture<ExecuteResponse> write = bed.execute("p1", TestBed.write("key-1"));
-        bed.primary.next().executed(1, 6, "done");
-        bed.primary.moveTo(1, 6);
-        bed.otherRegionReplica.moveTo(1, 6);
+        bed.primary.nextCall().respondExecuted(1, 6, "done");
+        bed.primary.advanceLogTo(1, 6);
+        bed.otherRegionReplica.advanceLogTo(1, 6);
         TestBed.awaitReadableAt(bed.second, "c", new LogPosition(1, 6));
         CompletableFuture<ExecuteResponse> read = bed.execute(
                 "p2",
                 TestBed.read().setSessionToken(write.join().getSessionToken()).build());
-        bed.otherRegionReplica.next().executed(1, 6, "seen");
+        bed.otherRegionReplica.nextCall().respondExecuted(1, 6, "seen");
         assertThat(read.join().getFromReplica()).isTrue();
         assertThat(read.join().getDatabaseId()).isEqualTo("c");
     }
@@ -56,15 +56,15 @@
     void readResultBehindTheSessionPositionIsDiscarded() {
         TestBed.awaitReadableAt(bed.second, "c", new LogPosition(1, 5));
         CompletableFuture<ExecuteResponse> write = bed.execute("p1", TestBed.write("key-1"));
-        bed.primary.next().executed(1, 6, "done");
-        bed.primary.moveTo(1, 6);
-        bed.otherRegionReplica.moveTo(1, 6);
+        bed.primary.nextCall().respondExecuted(1, 6, "done");
+        bed.primary.advanceLogTo(1, 6);
+        bed.otherRegionReplica.advanceLogTo(1, 6);
         TestBed.awaitReadableAt(bed.second, "c", new LogPosition(1, 6));
         CompletableFuture<ExecuteResponse> read = bed.execute(
                 "p2",
                 TestBed.read().setSessionToken(write.join().getSessionToken()).build());
-        bed.otherRegionReplica.next().executed(1, 5, "stale");
-        bed.primary.next().executed(1, 6, "fresh");
+        bed.otherRegionReplica.nextCall().respondExecuted(1, 5, "stale");
+        bed.primary.nextCall().respondExecuted(1, 6, "fresh");
         assertThat(read.join().getResults(0).getRows(0).getColumns(0)).isEqualTo("fresh");
     }
 
@@ -74,29 +74,29 @@
         bed.publish(1, "p1", 1, "b");
         CompletableFuture<ExecuteResponse> read =
                 bed.execute("p1", TestBed.read().build());
-        bed.primary.next().executed(1, 5, "at the primary");
+        bed.primary.nextCall().respondExecuted(1, 5, "at the primary");
         assertThat(read.join().getDatabaseId()).isEqualTo("a");
     }
 
     @Test
     void sessionWithoutTokenReadsAtThePrimarysCurrentPosition() {
-        bed.primary.moveTo(1, 9);
+        bed.primary.advanceLogTo(1, 9);
         CompletableFuture<ExecuteResponse> read =
                 bed.execute("p1", TestBed.read().setSessionId("agent-7").build());
-        bed.primary.next().executed(1, 9, "fresh");
+        bed.primary.nextCall().respondExecuted(1, 9, "fresh");
         assertThat(read.join().getDatabaseId()).isEqualTo("a");
     }
 
     @Test
     void keyedWriteIsRetriedAtTheNewHolder() {
         CompletableFuture<ExecuteResponse> write = bed.execute("p2", TestBed.write("key-1"));
-        FakeDatabase.Call firstCall = bed.primary.next();
+        FakeDatabase.Call firstCall = bed.primary.nextCall();
         bed.publish(1, "p2", 2);
-        FakeDatabase.Call retry = bed.primary.next();
+        FakeDatabase.Call retry = bed.primary.nextCall();
         assertThat(retry.request().getExecuteStatements())
                 .isEqualTo(firstCall.request().getExecuteStatements());
-        retry.executed(1, 6, "done");
-        bed.sameRegionReplica.moveTo(1, 6);
+        retry.respondExecuted(1, 6, "done");
+        bed.sameRegionReplica.advanceLogTo(1, 6);
         assertThat(write.join().getEffect()).isEqualTo(Effect.DONE);
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/TestBed.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/TestBed.java
@@ -24,7 +24,7 @@
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
     final PeerTransport transport = new PeerTransport(2);
-    final FakeControl control = new FakeControl(transport);
+    final FakeControlLeader control = new FakeControlLeader(transport);
     final FakeDatabase primary = new FakeDatabase(transport, "a", true);
     final FakeDatabase sameRegionReplica = new FakeDatabase(transport, "b", false);
     final FakeDatabase otherRegionReplica = new FakeDatabase(transport, "c", false);
@@ -36,9 +36,9 @@
     TestBed(Clock clock) {
         first = proxy("p1", "bole", "addis", clock);
         second = proxy("p2", "sabian", "dire-dawa", clock);
-        primary.moveTo(1, 5);
-        sameRegionReplica.moveTo(1, 5);
-        otherRegionReplica.moveTo(1, 5);
+        primary.advanceLogTo(1, 5);
+        sameRegionReplica.advanceLogTo(1, 5);
+        otherRegionReplica.advanceLogTo(1, 5);
         first.start();
         second.start();
         publish(1, "p1", 1);
--- a/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
@@ -38,9 +38,9 @@
     private final ManualDispatcher dispatcher = new ManualDispatcher();
     private final ViewPublisher publisher = new ViewPublisher(dispatcher.clock());
     private final PeerTransport transport = new PeerTransport(1);
-    private final Databases databases =
-            new Databases(dispatcher, transport, publisher, new ProxyMetrics(new PrometheusRegistry()), "addis");
-    private final InFlight inFlight = new InFlight();
+    private final ClusterMonitor databases =
+            new ClusterMonitor(dispatcher, transport, publisher, new ProxyMetrics(new PrometheusRegistry()), "addis");
+    private final InFlightAttempts inFlight = new InFlightAttempts();
     private final List<ExecuteStatements> sentStatements = new ArrayList<>();
     private final List<CompletableFuture<StatementsExecuted>> databaseResponses = new ArrayList<>();
     private final WritePath writes = new WritePath(dispatcher, publisher, databases, this::executeAtDatabase, inFlight);
@@ -82,7 +82,7 @@
         pauseIf(pausePoint.equals("before the majority"));
         pauseIf(pausePoint.equals("between the majority and the answer"));
         report("b", 7);
-        dispatcher.run();
+        dispatcher.runPending();
         assertThat(write.isDone()).isFalse();
         renewView(3, true);
         dispatcher.advance(Duration.ofMillis(10));
@@ -93,7 +93,7 @@
     void writeIsAcknowledgedAfterLeaseRenewalAtTheSameTerm() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
         databaseResponses.get(0).complete(executed(2, 7));
-        dispatcher.sleep(LEASE);
+        dispatcher.jumpClock(LEASE);
         report("b", 7);
         assertThat(write.isDone()).isFalse();
         renewView(2, true);
@@ -105,7 +105,7 @@
     void outcomeIsUnknownWhenTheLeaseIsNotRenewed() {
         CompletableFuture<ExecuteResponse> write = write("key-1");
         databaseResponses.get(0).complete(executed(2, 7));
-        dispatcher.sleep(LEASE);
+        dispatcher.jumpClock(LEASE);
         report("b", 7);
         dispatcher.advance(Duration.ofSeconds(2));
         assertThat(failureOf(write)).isEqualTo(FailureType.LEASE_LOST_AFTER_SEND);
@@ -113,7 +113,7 @@
 
     @Test
     void writeIsNotSentWithoutAValidLeaseAndAWritablePrimary() {
-        dispatcher.sleep(LEASE);
+        dispatcher.jumpClock(LEASE);
         assertThat(failureOf(write("key-1"))).isEqualTo(FailureType.VIEW_EXPIRED);
         renewView(2, false);
         assertThat(failureOf(write("key-1"))).isEqualTo(FailureType.NO_PRIMARY);
@@ -125,7 +125,7 @@
     void newTermFailsPendingKeyedWritesAtOnce(String name, String key, boolean failsAtOnce) {
         CompletableFuture<ExecuteResponse> write = write(key);
         renewView(3, true);
-        inFlight.view(publisher.current().view());
+        inFlight.updateView(publisher.current().view());
         assertThat(write.isDone()).isEqualTo(failsAtOnce);
         databaseResponses.get(0).complete(executed(2, 7));
         assertThat(failureOf(write)).isEqualTo(FailureType.TERM_CHANGED_AFTER_SEND);
@@ -145,17 +145,17 @@
     void departingPrimaryAcceptsWritesOnlyDuringTheGracePeriod() {
         departing = true;
         renewView(2, true);
-        dispatcher.sleep(Duration.ofMillis(1_999));
+        dispatcher.jumpClock(Duration.ofMillis(1_999));
         renewView(2, true);
         assertThat(write("key-1").isDone()).isFalse();
-        dispatcher.sleep(Duration.ofMillis(1));
+        dispatcher.jumpClock(Duration.ofMillis(1));
         assertThat(failureOf(write("key-2"))).isEqualTo(FailureType.DEPARTING);
         assertThat(sentStatements).hasSize(1);
     }
 
     private void pauseIf(boolean condition) {
         if (condition) {
-            dispatcher.sleep(LEASE);
+            dispatcher.jumpClock(LEASE);
         }
     }
 
@@ -189,15 +189,17 @@
                 TestViews.lease(version, TestViews.group(term, writable, entries), List.of()),
                 dispatcher.clock().instant());
         ViewSnapshot view = publisher.current().view();
-        databases.group(TestViews.GROUP).view(view.group(TestViews.GROUP).orElseThrow(), 3);
+        databases
+                .groupState(TestViews.GROUP)
+                .updateView(view.group(TestViews.GROUP).orElseThrow(), 3);
         writes.applyView(view);
     }
 
     private void report(String id, long index) {
         Position position = Position.newBuilder().setTerm(2).setIndex(index).build();
         databases
-                .group(TestViews.GROUP)
-                .report(
+                .groupState(TestViews.GROUP)
+                .onReport(
                         PositionReport.newBuilder()
                                 .setDatabaseId(id)
                                 .setIncarnation(1)
