--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
@@ -38,19 +38,19 @@
 /** Carries events to the decision and its effects out. Used by the consensus thread, but for what is volatile. */
 final class ConsensusLoop {
     private static final Logger LOG = System.getLogger(ConsensusLoop.class.getName());
-    private static final int BATCH_EVENTS = 256;
-    private static final int HELD_REPLIES = 4_096;
+    private static final int MAX_BATCH_EVENTS = 256;
+    private static final int MAX_PENDING_REPLIES = 4_096;
 
     private final ConsensusSettings settings;
     private final StateMachine stateMachine;
     private final Clock clock;
     private final ConsensusNode node;
-    private final DiskDuty disk;
+    private final DiskWriter diskWriter;
     private final MemberDirectory directory;
-    private final PeerLinks links;
+    private final PeerConnections connections;
     private final ConsensusMetrics metrics;
-    private final PendingProposals pending;
-    private final Map<Long, Consumer<Envelope>> replies = new LinkedHashMap<>();
+    private final PendingProposals pendingProposals;
+    private final Map<Long, Consumer<Envelope>> pendingReplies = new LinkedHashMap<>();
     private final List<Consumer<Leadership>> leadershipListeners = new CopyOnWriteArrayList<>();
     private final List<Consumer<List<ControlMember>>> membersListeners = new CopyOnWriteArrayList<>();
     private final List<LongConsumer> appliedListeners = new CopyOnWriteArrayList<>();
@@ -59,7 +59,7 @@
     private int eventsSinceFlush;
 
     /** Present after an error that leaves the state in doubt. */
-    private Optional<FailureException> halted = Optional.empty();
+    private Optional<FailureException> haltCause = Optional.empty();
 
     private long lastSnapshotIndex;
     private volatile long appliedIndex;
@@ -71,22 +71,22 @@
             StateMachine stateMachine,
             Clock clock,
             StoredState stored,
-            DiskDuty disk,
+            DiskWriter disk,
             MemberDirectory directory,
-            PeerLinks links,
+            PeerConnections links,
             ConsensusMetrics metrics) {
         this.settings = settings;
         this.stateMachine = stateMachine;
         this.clock = clock;
-        this.disk = disk;
+        this.diskWriter = disk;
         this.directory = directory;
-        this.links = links;
+        this.connections = links;
         this.metrics = metrics;
-        this.pending = new PendingProposals(metrics);
+        this.pendingProposals = new PendingProposals(metrics);
         this.node = new ConsensusNode(
                 settings.memberId(),
                 settings.members().stream().map(ControlMember::getMemberId).toList(),
-                settings.mayForm(),
+                settings.mayBootstrap(),
                 stored,
                 ConsensusParameters.of(
                         settings.electionTimeout().toMillis(),
@@ -122,31 +122,31 @@
     }
 
     void handle(ConsensusTask task) {
-        if (halted.isPresent()) {
-            refuse(task, halted.get());
+        if (haltCause.isPresent()) {
+            refuse(task, haltCause.get());
             return;
         }
         eventsSinceFlush++;
         if (task instanceof ConsensusTask.Event event) {
             onEvent(event.event());
         } else if (task instanceof ConsensusTask.Request request) {
-            node.step(new ConsensusEvent.Received(request.message(), hold(request.answer())));
+            node.step(new ConsensusEvent.Received(request.message(), addPendingReply(request.answer())));
         } else if (task instanceof ConsensusTask.Propose propose) {
-            ControlCommand command = withIncarnations(withTime(propose.command()));
-            long id = pending.add(propose.outcome());
+            ControlCommand command = withIncarnations(withProposalTime(propose.command()));
+            long id = pendingProposals.add(propose.outcome());
             node.step(new ConsensusEvent.Proposal(id, RecordCodec.payload(command), RecordCodec.membership(command)));
-        } else if (task instanceof ConsensusTask.Confirm confirm) {
-            node.step(new ConsensusEvent.Read(pending.addRead(confirm.outcome())));
+        } else if (task instanceof ConsensusTask.ConfirmLeadership confirm) {
+            node.step(new ConsensusEvent.Read(pendingProposals.addRead(confirm.outcome())));
         }
     }
 
     /** Whether the steps since the last flush are enough for one batch. */
     boolean isBatchFull() {
-        return eventsSinceFlush >= BATCH_EVENTS;
+        return eventsSinceFlush >= MAX_BATCH_EVENTS;
     }
 
     void tick() {
-        if (halted.isPresent()) {
+        if (haltCause.isPresent()) {
             return;
         }
         node.step(new ConsensusEvent.Tick());
@@ -156,47 +156,47 @@
 
     /** Carries out what the steps since the last flush decided. */
     void flush() {
-        if (halted.isPresent()) {
+        if (haltCause.isPresent()) {
             return;
         }
         eventsSinceFlush = 0;
         List<ConsensusEffect> effects = node.drain();
         while (!effects.isEmpty()) {
-            effects.forEach(this::carryOut);
+            effects.forEach(this::execute);
             effects = node.drain();
         }
     }
 
     /** Takes no further part in the log. */
     void halt(FailureException failure) {
-        halted = Optional.of(failure);
-        pending.close();
-        publish(new Leadership(leadership.term(), Optional.empty(), false));
+        haltCause = Optional.of(failure);
+        pendingProposals.close();
+        publishLeadership(new Leadership(leadership.term(), Optional.empty(), false));
     }
 
     void close() {
-        pending.close();
-        links.close();
+        pendingProposals.close();
+        connections.close();
     }
 
     private void onEvent(ConsensusEvent event) {
         node.step(event);
         if (event instanceof ConsensusEvent.Synced) {
             metrics.onSync();
-            disk.onSynced();
+            diskWriter.onSynced();
         }
     }
 
-    private void carryOut(ConsensusEffect effect) {
+    private void execute(ConsensusEffect effect) {
         if (effect instanceof ConsensusEffect.Send send) {
             send(send.toMemberId(), send.message());
         } else if (effect instanceof ConsensusEffect.Reply reply) {
-            Consumer<Envelope> answer = replies.remove(reply.replyId());
+            Consumer<Envelope> answer = pendingReplies.remove(reply.replyId());
             if (answer != null) {
                 answer.accept(MessageCodec.envelope(reply.message(), directory.all()));
             }
         } else if (effect instanceof ConsensusEffect.Persist persist) {
-            disk.persist(persist);
+            diskWriter.persist(persist);
         } else if (effect instanceof ConsensusEffect.Apply apply) {
             apply(apply.records());
         } else if (effect instanceof ConsensusEffect.Restore restore) {
@@ -204,21 +204,21 @@
         } else if (effect instanceof ConsensusEffect.LeadershipChanged changed) {
             onLeadershipChanged(changed);
         } else if (effect instanceof ConsensusEffect.MembershipChangeNeeded needed) {
-            proposeMembers(needed.membership());
+            proposeMembership(needed.membership());
         } else {
-            carryOutcome(effect);
+            completePending(effect);
         }
     }
 
-    private void carryOutcome(ConsensusEffect effect) {
+    private void completePending(ConsensusEffect effect) {
         if (effect instanceof ConsensusEffect.ProposalAppended appended) {
-            pending.onAppended(appended.proposalId(), appended.index(), appended.term());
+            pendingProposals.onAppended(appended.proposalId(), appended.index(), appended.term());
         } else if (effect instanceof ConsensusEffect.ProposalRefused refused) {
-            pending.onRefused(refused.proposalId(), refusal(refused.reason()));
+            pendingProposals.onRefused(refused.proposalId(), refusal(refused.reason()));
         } else if (effect instanceof ConsensusEffect.ReadConfirmed confirmed) {
-            pending.onReadConfirmed(confirmed.readId());
+            pendingProposals.onReadConfirmed(confirmed.readId());
         } else if (effect instanceof ConsensusEffect.ReadRefused refused) {
-            pending.onReadRefused(refused.readId(), refusal(refused.reason()));
+            pendingProposals.onReadRefused(refused.readId(), refusal(refused.reason()));
         }
     }
 
@@ -235,14 +235,14 @@
         directory
                 .find(toMemberId)
                 .ifPresent(member ->
-                        links.send(member.getPeer(), MessageCodec.envelope(message, directory.all()), timeout));
+                        connections.send(member.getPeer(), MessageCodec.envelope(message, directory.all()), timeout));
     }
 
-    private long hold(Consumer<Envelope> answer) {
-        if (replies.size() >= HELD_REPLIES) {
-            replies.remove(replies.keySet().iterator().next());
+    private long addPendingReply(Consumer<Envelope> answer) {
+        if (pendingReplies.size() >= MAX_PENDING_REPLIES) {
+            pendingReplies.remove(pendingReplies.keySet().iterator().next());
         }
-        replies.put(nextReplyId, answer);
+        pendingReplies.put(nextReplyId, answer);
         return nextReplyId++;
     }
 
@@ -252,7 +252,7 @@
         metrics.onApplied(records.size());
         publishApplied();
         for (int i = 0; i < records.size(); i++) {
-            pending.onApplied(records.get(i).index(), records.get(i).term(), results.get(i));
+            pendingProposals.onApplied(records.get(i).index(), records.get(i).term(), results.get(i));
         }
         if (appliedIndex - lastSnapshotIndex >= settings.snapshotIntervalRecords()) {
             lastSnapshotIndex = appliedIndex;
@@ -264,7 +264,7 @@
 
     private CommandResult applyOne(LogRecord record) {
         ControlRecord wire = RecordCodec.wire(record);
-        directory.learn(wire.getCommand().getChangeMembers().getMembersList());
+        directory.update(wire.getCommand().getChangeMembers().getMembersList());
         return stateMachine.apply(wire);
     }
 
@@ -280,23 +280,23 @@
     private void onLeadershipChanged(ConsensusEffect.LeadershipChanged changed) {
         boolean leads = changed.leaderId().equals(Optional.of(settings.memberId()));
         Leadership next = new Leadership(changed.term(), changed.leaderId(), leads && changed.ready());
-        pending.onLeadership(leads ? changed.term() : 0);
+        pendingProposals.onLeadershipChange(leads ? changed.term() : 0);
         metrics.onLeadershipChange(changed.term());
         LOG.log(Level.INFO, "leadership of the control log: {0}", next);
-        publish(next);
+        publishLeadership(next);
     }
 
-    private void publish(Leadership next) {
+    private void publishLeadership(Leadership next) {
         leadership = next;
-        leadershipListeners.forEach(listener -> callBack(() -> listener.accept(next)));
+        leadershipListeners.forEach(listener -> notifyListener(() -> listener.accept(next)));
     }
 
     private void publishApplied() {
-        appliedListeners.forEach(listener -> callBack(() -> listener.accept(appliedIndex)));
+        appliedListeners.forEach(listener -> notifyListener(() -> listener.accept(appliedIndex)));
     }
 
     /** A listener's error is not the log's. */
-    private static void callBack(Runnable listener) {
+    private static void notifyListener(Runnable listener) {
         try {
             listener.run();
         } catch (RuntimeException e) {
@@ -306,14 +306,14 @@
 
     private void refuse(ConsensusTask task, FailureException failure) {
         if (task instanceof ConsensusTask.Propose propose) {
-            pending.onRefused(pending.add(propose.outcome()), failure);
-        } else if (task instanceof ConsensusTask.Confirm confirm) {
-            pending.onReadRefused(pending.addRead(confirm.outcome()), failure);
+            pendingProposals.onRefused(pendingProposals.add(propose.outcome()), failure);
+        } else if (task instanceof ConsensusTask.ConfirmLeadership confirm) {
+            pendingProposals.onReadRefused(pendingProposals.addRead(confirm.outcome()), failure);
         }
     }
 
     /** Has a membership recorded that the decision asks for. */
-    private void proposeMembers(Membership membership) {
+    private void proposeMembership(Membership membership) {
         ControlCommand command = ControlCommand.newBuilder()
                 .setProposedAtMs(clock.millis())
                 .setChangeMembers(
@@ -322,7 +322,7 @@
         node.step(new ConsensusEvent.Proposal(0, RecordCodec.payload(command), Optional.of(membership)));
     }
 
-    private ControlCommand withTime(ControlCommand command) {
+    private ControlCommand withProposalTime(ControlCommand command) {
         return command.getProposedAtMs() > 0
                 ? command
                 : command.toBuilder().setProposedAtMs(clock.millis()).build();
@@ -346,7 +346,7 @@
                             .setVoting(false)
                             .build()));
         }
-        directory.learn(members.getMembersList());
+        directory.update(members.getMembersList());
         return command.toBuilder().setChangeMembers(members).build();
     }
 
@@ -361,7 +361,7 @@
                         .build())
                 .toList();
         if (changed) {
-            membersListeners.forEach(listener -> callBack(() -> listener.accept(next)));
+            membersListeners.forEach(listener -> notifyListener(() -> listener.accept(next)));
         }
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
@@ -37,13 +37,13 @@
  */
 public final class ConsensusService implements ReplicatedLog, AutoCloseable {
     private static final Logger LOG = System.getLogger(ConsensusService.class.getName());
-    private static final int RING_EVENTS = 16_384;
+    private static final int RING_CAPACITY = 16_384;
     private static final Duration TICK_INTERVAL = Duration.ofMillis(10);
-    private static final Duration STOP_LIMIT = Duration.ofSeconds(10);
-    private static final long REPORT_RETRY_NS = Duration.ofMillis(1).toNanos();
+    private static final Duration STOP_TIMEOUT = Duration.ofSeconds(10);
+    private static final long ENQUEUE_RETRY_NS = Duration.ofMillis(1).toNanos();
 
     private final ConsensusLoop loop;
-    private final DiskDuty disk;
+    private final DiskWriter diskWriter;
     private final MemberDirectory directory;
     private final ConsensusMetrics metrics;
     private final DutyThread<ConsensusTask> thread;
@@ -72,23 +72,23 @@
         DiskLog files =
                 DiskLog.open(settings.dataDirectory(), settings.memberId(), settings.clusterId(), incarnation, guard);
         try {
-            directory.learn(files.snapshotMembers());
-            files.stored().records().forEach(record -> learn(RecordCodec.wire(record)));
-            this.disk = new DiskDuty("disk-" + settings.memberId(), files, directory, this::report);
-            PeerLinks links = new PeerLinks(transport, settings.electionTimeout(), this::onAnswer);
-            this.loop =
-                    new ConsensusLoop(settings, stateMachine, clock, files.stored(), disk, directory, links, metrics);
+            directory.update(files.snapshotMembers());
+            files.stored().records().forEach(record -> updateDirectory(RecordCodec.wire(record)));
+            this.diskWriter = new DiskWriter("disk-" + settings.memberId(), files, directory, this::enqueueDiskEvent);
+            PeerConnections links = new PeerConnections(transport, settings.electionTimeout(), this::onResponse);
+            this.loop = new ConsensusLoop(
+                    settings, stateMachine, clock, files.stored(), diskWriter, directory, links, metrics);
         } catch (RuntimeException e) {
             files.close();
             throw e;
         }
         this.thread = new DutyThread<>(
-                "consensus-" + settings.memberId(), RING_EVENTS, this::handle, TICK_INTERVAL, this::tick);
+                "consensus-" + settings.memberId(), RING_CAPACITY, this::handle, TICK_INTERVAL, this::tick);
     }
 
     /** Starts the threads. */
     public ConsensusService start() {
-        disk.start();
+        diskWriter.start();
         thread.start();
         return this;
     }
@@ -96,8 +96,8 @@
     /** Takes a request of the consensus protocol from the shared peer port. False, untouched, when it is another's. */
     public boolean handle(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
         Optional<Message> message = MessageCodec.message(request);
-        request.getAppend().getRecordsList().forEach(this::learn);
-        directory.learn(request.getInstallSnapshot().getMembersList());
+        request.getAppend().getRecordsList().forEach(this::updateDirectory);
+        directory.update(request.getInstallSnapshot().getMembersList());
         message.ifPresent(received -> thread.offer(new ConsensusTask.Request(received, answer)));
         return message.isPresent();
     }
@@ -105,14 +105,14 @@
     @Override
     public CompletableFuture<CommandResult> propose(ControlCommand command) {
         CompletableFuture<CommandResult> outcome = new CompletableFuture<>();
-        offer(new ConsensusTask.Propose(command, outcome), outcome);
+        enqueue(new ConsensusTask.Propose(command, outcome), outcome);
         return outcome;
     }
 
     @Override
     public CompletableFuture<Void> confirmLeadership() {
         CompletableFuture<Void> outcome = new CompletableFuture<>();
-        offer(new ConsensusTask.Confirm(outcome), outcome);
+        enqueue(new ConsensusTask.ConfirmLeadership(outcome), outcome);
         return outcome;
     }
 
@@ -151,7 +151,7 @@
     public void close() {
         thread.close();
         try {
-            if (thread.awaitStop(STOP_LIMIT)) {
+            if (thread.awaitStop(STOP_TIMEOUT)) {
                 loop.close();
             } else {
                 LOG.log(Level.WARNING, "the consensus thread does not stop");
@@ -159,16 +159,16 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        disk.close();
+        diskWriter.close();
     }
 
     /** Endpoints of members are needed from the moment that the log names them, committed or not. */
-    private void learn(ControlRecord record) {
-        directory.learn(record.getCommand().getChangeMembers().getMembersList());
+    private void updateDirectory(ControlRecord record) {
+        directory.update(record.getCommand().getChangeMembers().getMembersList());
     }
 
     private void handle(ConsensusTask task) {
-        guarded(() -> {
+        runOrHalt(() -> {
             loop.handle(task);
             if (thread.waitingEvents() == 0 || loop.isBatchFull()) {
                 loop.flush();
@@ -177,11 +177,11 @@
     }
 
     private void tick() {
-        guarded(loop::tick);
+        runOrHalt(loop::tick);
     }
 
     /** An error in the decision or in applying leaves the state in doubt: this member takes no further part. */
-    private void guarded(Runnable work) {
+    private void runOrHalt(Runnable work) {
         try {
             work.run();
         } catch (RuntimeException e) {
@@ -190,23 +190,23 @@
         }
     }
 
-    private void offer(ConsensusTask task, CompletableFuture<?> outcome) {
+    private void enqueue(ConsensusTask task, CompletableFuture<?> outcome) {
         if (!thread.offer(task)) {
             metrics.onRefusal(FailureType.RING_FULL);
             outcome.completeExceptionally(new FailureException(FailureType.RING_FULL, "consensus"));
         }
     }
 
-    private void onAnswer(Envelope answer) {
+    private void onResponse(Envelope answer) {
         MessageCodec.message(answer)
                 .ifPresent(message -> thread.offer(new ConsensusTask.Event(new ConsensusEvent.Received(message, 0))));
     }
 
     /** The disk's reports must not be lost: its thread waits until the ring takes them. */
-    private void report(ConsensusEvent event) {
+    private void enqueueDiskEvent(ConsensusEvent event) {
         ConsensusTask task = new ConsensusTask.Event(event);
         while (!thread.offer(task) && !thread.isClosed()) {
-            LockSupport.parkNanos(this, REPORT_RETRY_NS);
+            LockSupport.parkNanos(this, ENQUEUE_RETRY_NS);
         }
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusSettings.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusSettings.java
@@ -27,7 +27,7 @@
         Duration electionTimeout,
         Duration heartbeatInterval,
         int snapshotIntervalRecords,
-        boolean mayForm) {
+        boolean mayBootstrap) {
     private static final Duration ELECTION_TIMEOUT = Duration.ofMillis(500);
     private static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(100);
     private static final int SNAPSHOT_INTERVAL_RECORDS = 1_000;
--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusTask.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusTask.java
@@ -20,5 +20,5 @@
     record Propose(ControlCommand command, CompletableFuture<CommandResult> outcome) implements ConsensusTask {}
 
     /** A read to confirm. */
-    record Confirm(CompletableFuture<Void> outcome) implements ConsensusTask {}
+    record ConfirmLeadership(CompletableFuture<Void> outcome) implements ConsensusTask {}
 }
--- a/control/src/main/java/org/hornbeamspread/control/consensus/DiskDuty.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/DiskWriter.java
@@ -18,33 +18,33 @@
  * meanwhile, so that the slower the disk, the larger the batches. A full disk is tried again at intervals; until it
  * takes the batch nothing is answered for. A failed disk is not tried again.
  */
-final class DiskDuty {
-    private static final Logger LOG = System.getLogger(DiskDuty.class.getName());
+final class DiskWriter {
+    private static final Logger LOG = System.getLogger(DiskWriter.class.getName());
     private static final Duration RETRY_INTERVAL = Duration.ofMillis(200);
-    private static final Duration STOP_LIMIT = Duration.ofSeconds(10);
-    private static final int RING_EVENTS = 16;
+    private static final Duration STOP_TIMEOUT = Duration.ofSeconds(10);
+    private static final int RING_CAPACITY = 16;
 
-    private final DiskLog disk;
+    private final DiskLog diskLog;
     private final MemberDirectory directory;
-    private final Consumer<ConsensusEvent> report;
+    private final Consumer<ConsensusEvent> eventListener;
     private final DutyThread<List<ConsensusEffect.Persist>> thread;
 
     /** What the next batch is made of; the consensus thread's. */
-    private List<ConsensusEffect.Persist> gathered = new ArrayList<>();
+    private List<ConsensusEffect.Persist> nextBatch = new ArrayList<>();
 
     /** Whether a batch is with the disk thread; the consensus thread's. */
-    private boolean busy;
+    private boolean isBatchInFlight;
 
     /** The batch that a full disk refused, empty otherwise; the disk thread's. */
-    private List<ConsensusEffect.Persist> refused = List.of();
+    private List<ConsensusEffect.Persist> refusedBatch = List.of();
 
     private boolean failed;
 
-    DiskDuty(String name, DiskLog disk, MemberDirectory directory, Consumer<ConsensusEvent> report) {
-        this.disk = disk;
+    DiskWriter(String name, DiskLog disk, MemberDirectory directory, Consumer<ConsensusEvent> report) {
+        this.diskLog = disk;
         this.directory = directory;
-        this.report = report;
-        this.thread = new DutyThread<>(name, RING_EVENTS, this::write, RETRY_INTERVAL, this::retry);
+        this.eventListener = report;
+        this.thread = new DutyThread<>(name, RING_CAPACITY, this::write, RETRY_INTERVAL, this::retryRefusedBatch);
     }
 
     void start() {
@@ -53,33 +53,33 @@
 
     /** Called by the consensus thread. */
     void persist(ConsensusEffect.Persist persist) {
-        gathered.add(persist);
-        handOver();
+        nextBatch.add(persist);
+        submitNextBatch();
     }
 
     /** Called by the consensus thread when a batch was reported synced. */
     void onSynced() {
-        busy = false;
-        handOver();
+        isBatchInFlight = false;
+        submitNextBatch();
     }
 
     void close() {
         thread.close();
         try {
-            if (!thread.awaitStop(STOP_LIMIT)) {
+            if (!thread.awaitStop(STOP_TIMEOUT)) {
                 LOG.log(Level.WARNING, "the disk does not come back from a write");
                 return;
             }
-            disk.close();
+            diskLog.close();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void handOver() {
-        if (!busy && !gathered.isEmpty() && thread.offer(gathered)) {
-            busy = true;
-            gathered = new ArrayList<>();
+    private void submitNextBatch() {
+        if (!isBatchInFlight && !nextBatch.isEmpty() && thread.offer(nextBatch)) {
+            isBatchInFlight = true;
+            nextBatch = new ArrayList<>();
         }
     }
 
@@ -88,12 +88,13 @@
             return;
         }
         try {
-            disk.persist(batch, directory.all());
-            if (!refused.isEmpty()) {
+            diskLog.persist(batch, directory.all());
+            if (!refusedBatch.isEmpty()) {
                 LOG.log(Level.INFO, "the disk takes writes again");
             }
-            refused = List.of();
-            report.accept(new ConsensusEvent.Synced(batch.get(batch.size() - 1).persistId()));
+            refusedBatch = List.of();
+            eventListener.accept(
+                    new ConsensusEvent.Synced(batch.get(batch.size() - 1).persistId()));
         } catch (FailureException e) {
             onFailure(batch, e);
         }
@@ -101,16 +102,16 @@
 
     private void onFailure(List<ConsensusEffect.Persist> batch, FailureException failure) {
         failed = failure.type() != FailureType.DISK_FULL;
-        if (refused.isEmpty()) {
+        if (refusedBatch.isEmpty()) {
             LOG.log(Level.ERROR, "the disk refused a write", failure);
-            report.accept(new ConsensusEvent.StorageStalled(failure.type()));
+            eventListener.accept(new ConsensusEvent.StorageStalled(failure.type()));
         }
-        refused = batch;
+        refusedBatch = batch;
     }
 
-    private void retry() {
-        if (!refused.isEmpty()) {
-            write(refused);
+    private void retryRefusedBatch() {
+        if (!refusedBatch.isEmpty()) {
+            write(refusedBatch);
         }
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/consensus/MemberDirectory.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/MemberDirectory.java
@@ -11,11 +11,11 @@
     private final Map<String, ControlMember> members = new ConcurrentHashMap<>();
 
     MemberDirectory(List<ControlMember> members) {
-        learn(members);
+        update(members);
     }
 
     /** Takes endpoints over; a member without one keeps what is known. */
-    void learn(List<ControlMember> learned) {
+    void update(List<ControlMember> learned) {
         learned.stream().filter(ControlMember::hasPeer).forEach(member -> members.put(member.getMemberId(), member));
     }
 
--- a/control/src/main/java/org/hornbeamspread/control/consensus/PeerLinks.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/PeerConnections.java
@@ -15,21 +15,21 @@
  * again in time. A few wait for a connection that is being opened, so that a first request for a vote is not lost. Used
  * by the consensus thread; answers come on network threads.
  */
-final class PeerLinks {
-    private static final int MAX_WAITING = 16;
+final class PeerConnections {
+    private static final int MAX_QUEUED_MESSAGES = 16;
 
     private final PeerTransport transport;
     private final Duration connectTimeout;
-    private final Consumer<Envelope> onAnswer;
+    private final Consumer<Envelope> onResponse;
     private final Map<Endpoint, CompletableFuture<PeerConnection>> connections = new HashMap<>();
 
     /** How many messages wait for each connection that is being opened. */
-    private final Map<Endpoint, Integer> waiting = new HashMap<>();
+    private final Map<Endpoint, Integer> queuedMessages = new HashMap<>();
 
-    PeerLinks(PeerTransport transport, Duration connectTimeout, Consumer<Envelope> onAnswer) {
+    PeerConnections(PeerTransport transport, Duration connectTimeout, Consumer<Envelope> onAnswer) {
         this.transport = transport;
         this.connectTimeout = connectTimeout;
-        this.onAnswer = onAnswer;
+        this.onResponse = onAnswer;
     }
 
     /** Sends, once the connection is open. */
@@ -38,10 +38,10 @@
         if (connection == null || isBroken(connection)) {
             connection = transport.connect(endpoint, connectTimeout, (peer, unexpected, answer) -> peer.close());
             connections.put(endpoint, connection);
-            waiting.put(endpoint, 0);
+            queuedMessages.put(endpoint, 0);
         }
-        if (connection.isDone() || waiting.merge(endpoint, 1, Integer::sum) <= MAX_WAITING) {
-            connection.thenAccept(open -> open.request(request, timeout).thenAccept(onAnswer));
+        if (connection.isDone() || queuedMessages.merge(endpoint, 1, Integer::sum) <= MAX_QUEUED_MESSAGES) {
+            connection.thenAccept(open -> open.request(request, timeout).thenAccept(onResponse));
         }
     }
 
--- a/control/src/main/java/org/hornbeamspread/control/consensus/PendingProposals.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/PendingProposals.java
@@ -11,8 +11,8 @@
 /** The proposals and reads that wait for their outcome. Used by the consensus thread. */
 final class PendingProposals {
     private final ConsensusMetrics metrics;
-    private final Map<Long, CompletableFuture<CommandResult>> unplaced = new HashMap<>();
-    private final Map<Long, Placed> placed = new HashMap<>();
+    private final Map<Long, CompletableFuture<CommandResult>> unappended = new HashMap<>();
+    private final Map<Long, AppendedProposal> appended = new HashMap<>();
     private final Map<Long, CompletableFuture<Void>> reads = new HashMap<>();
     private long nextId = 1;
 
@@ -21,7 +21,7 @@
     }
 
     long add(CompletableFuture<CommandResult> outcome) {
-        unplaced.put(nextId, outcome);
+        unappended.put(nextId, outcome);
         return nextId++;
     }
 
@@ -31,28 +31,28 @@
     }
 
     void onAppended(long proposalId, long index, long term) {
-        CompletableFuture<CommandResult> outcome = unplaced.remove(proposalId);
+        CompletableFuture<CommandResult> outcome = unappended.remove(proposalId);
         if (outcome != null) {
-            placed.put(index, new Placed(term, outcome));
+            appended.put(index, new AppendedProposal(term, outcome));
         }
     }
 
     void onRefused(long proposalId, FailureException failure) {
-        CompletableFuture<CommandResult> outcome = unplaced.remove(proposalId);
+        CompletableFuture<CommandResult> outcome = unappended.remove(proposalId);
         if (outcome != null) {
             fail(outcome, failure);
         }
     }
 
     void onApplied(long index, long term, CommandResult result) {
-        Placed waiting = placed.remove(index);
+        AppendedProposal waiting = appended.remove(index);
         if (waiting == null) {
             return;
         }
         if (waiting.term() == term) {
             waiting.outcome().complete(result);
         } else {
-            fail(waiting.outcome(), lost(waiting.term()));
+            fail(waiting.outcome(), leadershipLost(waiting.term()));
         }
     }
 
@@ -71,24 +71,24 @@
     }
 
     /** Fails what was placed at other terms than the one this member leads in; 0 when it leads in none. */
-    void onLeadership(long leadingTerm) {
-        Iterator<Placed> waiting = placed.values().iterator();
+    void onLeadershipChange(long leadingTerm) {
+        Iterator<AppendedProposal> waiting = appended.values().iterator();
         while (waiting.hasNext()) {
-            Placed proposal = waiting.next();
+            AppendedProposal proposal = waiting.next();
             if (proposal.term() != leadingTerm) {
                 waiting.remove();
-                fail(proposal.outcome(), lost(proposal.term()));
+                fail(proposal.outcome(), leadershipLost(proposal.term()));
             }
         }
     }
 
     /** Fails everything, as the log stops. */
     void close() {
-        onLeadership(0);
+        onLeadershipChange(0);
         FailureException stopped = new FailureException(FailureType.NOT_LEADER, "the log is stopped");
-        unplaced.values().forEach(outcome -> fail(outcome, stopped));
+        unappended.values().forEach(outcome -> fail(outcome, stopped));
         reads.values().forEach(outcome -> fail(outcome, stopped));
-        unplaced.clear();
+        unappended.clear();
         reads.clear();
     }
 
@@ -97,10 +97,10 @@
         outcome.completeExceptionally(failure);
     }
 
-    private static FailureException lost(long term) {
+    private static FailureException leadershipLost(long term) {
         return new FailureException(FailureType.LEADERSHIP_LOST, "term " + term);
     }
 
     /** A proposal that has its place in the log. */
-    private record Placed(long term, CompletableFuture<CommandResult> outcome) {}
+    private record AppendedProposal(long term, CompletableFuture<CommandResult> outcome) {}
 }
--- a/control/src/test/java/org/hornbeamspread/control/consensus/ConsensusServiceTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/consensus/ConsensusServiceTest.java
@@ -31,7 +31,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3})
-    void anAcknowledgedChangeIsThereAfterAllRestart(int size) {
+    void acknowledgedChangesSurviveARestartOfAllMembers(int size) {
         try (LogCluster cluster = new LogCluster(directory, size, 50)) {
             cluster.startAll();
             String leader = cluster.awaitLeader();
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aMemberWithALostDiskIsReadmittedAndThenCarriesTheLog() throws IOException {
+    void aMemberWithALostDiskIsReadmittedAndCountsTowardTheQuorum() throws IOException {
         try (LogCluster cluster = new LogCluster(directory, 3, 50)) {
             cluster.startAll();
             String leader = cluster.awaitLeader();
@@ -63,7 +63,7 @@
             cluster.stop(lost);
             deleteAll(cluster.directory(lost));
             cluster.start(lost);
-            LogCluster.await(cluster.members(
+            LogCluster.await(cluster.membersMatching(
                     leader,
                     members -> members.stream()
                             .anyMatch(member -> member.getMemberId().equals(lost)
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aResendToTheNextLeaderGetsTheFirstOutcome() {
+    void aRetryAtTheNextLeaderReturnsTheFirstOutcome() {
         try (LogCluster cluster = new LogCluster(directory, 3, 50)) {
             cluster.startAll();
             String leader = cluster.awaitLeader();
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aReplacementTakesOverForAMemberThatIsGone() {
+    void aReplacementMemberTakesOverFromAStoppedMember() {
         try (LogCluster cluster = new LogCluster(directory, 3, 50)) {
             cluster.startAll();
             String leader = cluster.awaitLeader();
@@ -119,7 +119,7 @@
                     .setChangeMembers(ChangeMembers.newBuilder().addAllMembers(wanted))
                     .build();
             LogCluster.await(cluster.log(leader).propose(change));
-            LogCluster.await(cluster.members(
+            LogCluster.await(cluster.membersMatching(
                     leader,
                     members -> members.stream()
                             .anyMatch(member -> member.getMemberId().equals("c4") && member.getVoting())));
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void aFullDiskRefusesWithItsTypeAndGoesOnLater() {
+    void proposalsFailWhileTheDiskIsFullAndSucceedAfterwards() {
         AtomicBoolean full = new AtomicBoolean();
         try (LogCluster cluster = new LogCluster(directory, 1, 50)) {
             cluster.start("c1", bytes -> {
@@ -161,7 +161,7 @@
     }
 
     private static long incarnation(LogCluster cluster, String leader, String memberId) {
-        return LogCluster.await(cluster.members(leader, members -> members.size() == 3)).stream()
+        return LogCluster.await(cluster.membersMatching(leader, members -> members.size() == 3)).stream()
                 .filter(member -> member.getMemberId().equals(memberId))
                 .findFirst()
                 .orElseThrow()
--- a/control/src/test/java/org/hornbeamspread/control/consensus/LogBenchmark.java
+++ b/control/src/test/java/org/hornbeamspread/control/consensus/LogBenchmark.java
@@ -23,7 +23,7 @@
     private static final long RUN_NS = TimeUnit.SECONDS.toNanos(5);
     private static final long WARM_UP_NS = TimeUnit.SECONDS.toNanos(3);
     private static final int MAX_RECORDS = 200_000;
-    private static final int LOSSES = 20;
+    private static final int LEADER_LOSSES = 20;
     private static final double NS_PER_MS = 1e6;
 
     @TempDir
@@ -56,7 +56,7 @@
         try (LogCluster cluster = new LogCluster(directory, 3, 5_000)) {
             cluster.startAll();
             List<Long> gapsNs = new ArrayList<>();
-            for (int i = 0; i < LOSSES; i++) {
+            for (int i = 0; i < LEADER_LOSSES; i++) {
                 String lost = cluster.awaitLeader();
                 LogCluster.await(cluster.log(lost).propose(command(i)));
                 cluster.stop(lost);
@@ -69,7 +69,7 @@
             }
             System.out.printf(
                     "gap after a leader's loss, %d losses: p50 %.0f ms, max %.0f ms%n",
-                    LOSSES, percentileMs(gapsNs, 0.5), percentileMs(gapsNs, 1));
+                    LEADER_LOSSES, percentileMs(gapsNs, 0.5), percentileMs(gapsNs, 1));
         }
     }
 
--- a/control/src/test/java/org/hornbeamspread/control/consensus/LogCluster.java
+++ b/control/src/test/java/org/hornbeamspread/control/consensus/LogCluster.java
@@ -22,23 +22,23 @@
 
 /** Members of one log on loopback, with real files. */
 final class LogCluster implements AutoCloseable {
-    static final Duration LIMIT = Duration.ofSeconds(60);
+    static final Duration TIMEOUT = Duration.ofSeconds(60);
 
     private final PeerTransport transport = new PeerTransport(2);
     private final Path directory;
     private final int snapshotIntervalRecords;
     /** The members that the log is formed with. */
-    private final List<ControlMember> members = new ArrayList<>();
+    private final List<ControlMember> initialMembers = new ArrayList<>();
 
     private final Map<String, PeerServer> servers = new TreeMap<>();
     private final Map<String, AtomicReference<ConsensusService>> handlers = new TreeMap<>();
-    private final Map<String, Running> running = new TreeMap<>();
+    private final Map<String, RunningMember> running = new TreeMap<>();
 
     LogCluster(Path directory, int size, int snapshotIntervalRecords) {
         this.directory = directory;
         this.snapshotIntervalRecords = snapshotIntervalRecords;
         for (int i = 1; i <= size; i++) {
-            members.add(listen("c" + i));
+            initialMembers.add(listen("c" + i));
         }
     }
 
@@ -47,7 +47,7 @@
     }
 
     void start(String memberId, WriteGuard guard) {
-        start(memberId, members, guard);
+        start(memberId, initialMembers, guard);
     }
 
     void start(String memberId, List<ControlMember> members, WriteGuard guard) {
@@ -64,13 +64,13 @@
         ControlStateMachine state = new ControlStateMachine();
         ConsensusService log =
                 new ConsensusService(settings, state, new MonotonicClock(), transport, new PrometheusRegistry(), guard);
-        running.put(memberId, new Running(log, state));
+        running.put(memberId, new RunningMember(log, state));
         handlers.get(memberId).set(log);
         log.start();
     }
 
     void startAll() {
-        members.forEach(member -> start(member.getMemberId()));
+        initialMembers.forEach(member -> start(member.getMemberId()));
     }
 
     void stop(String memberId) {
@@ -91,7 +91,7 @@
     }
 
     static <T> T await(CompletableFuture<T> future) {
-        return future.orTimeout(LIMIT.toSeconds(), TimeUnit.SECONDS).join();
+        return future.orTimeout(TIMEOUT.toSeconds(), TimeUnit.SECONDS).join();
     }
 
     /** Waits for a running member that leads. */
@@ -111,7 +111,7 @@
     }
 
     /** Completes once a member has the members so. */
-    CompletableFuture<List<ControlMember>> members(String memberId, Predicate<List<ControlMember>> wanted) {
+    CompletableFuture<List<ControlMember>> membersMatching(String memberId, Predicate<List<ControlMember>> wanted) {
         CompletableFuture<List<ControlMember>> reached = new CompletableFuture<>();
         Consumer<List<ControlMember>> check = present -> {
             if (wanted.test(present)) {
@@ -164,5 +164,5 @@
     }
 
     /** A member that runs. */
-    private record Running(ConsensusService log, ControlStateMachine state) {}
+    private record RunningMember(ConsensusService log, ControlStateMachine state) {}
 }
