--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
@@ -18,7 +18,7 @@
 import org.hornbeamspread.control.StateMachine;
 import org.hornbeamspread.control.storage.DiskLog;
 import org.hornbeamspread.control.storage.RecordCodec;
-import org.hornbeamspread.control.storage.WriteGuard;
+import org.hornbeamspread.control.storage.WriteInterceptor;
 import org.hornbeamspread.core.consensus.ConsensusEvent;
 import org.hornbeamspread.core.consensus.Message;
 import org.hornbeamspread.core.misc.FailureException;
@@ -55,7 +55,7 @@
             Clock clock,
             PeerTransport transport,
             PrometheusRegistry registry) {
-        this(settings, stateMachine, clock, transport, registry, WriteGuard.NONE);
+        this(settings, stateMachine, clock, transport, registry, WriteInterceptor.NONE);
     }
 
     /** The same, with a guard that is asked before each write. */
@@ -65,7 +65,7 @@
             Clock clock,
             PeerTransport transport,
             PrometheusRegistry registry,
-            WriteGuard guard) {
+            WriteInterceptor guard) {
         long incarnation = new SplittableRandom().nextLong(1, Long.MAX_VALUE);
         this.metrics = new ConsensusMetrics(registry);
         this.directory = new MemberDirectory(settings.members());
@@ -73,11 +73,11 @@
                 DiskLog.open(settings.dataDirectory(), settings.memberId(), settings.clusterId(), incarnation, guard);
         try {
             directory.update(files.snapshotMembers());
-            files.stored().records().forEach(record -> updateDirectory(RecordCodec.wire(record)));
+            files.storedState().records().forEach(record -> updateDirectory(RecordCodec.wire(record)));
             this.diskWriter = new DiskWriter("disk-" + settings.memberId(), files, directory, this::enqueueDiskEvent);
             PeerConnections links = new PeerConnections(transport, settings.electionTimeout(), this::onResponse);
             this.loop = new ConsensusLoop(
-                    settings, stateMachine, clock, files.stored(), diskWriter, directory, links, metrics);
+                    settings, stateMachine, clock, files.storedState(), diskWriter, directory, links, metrics);
         } catch (RuntimeException e) {
             files.close();
             throw e;
--- a/control/src/main/java/org/hornbeamspread/control/storage/CheckedFiles.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/ChecksummedFiles.java
@@ -14,13 +14,13 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /** Small files of one directory that are replaced as a whole: written aside, synced, renamed, directory synced. */
-final class CheckedFiles {
-    private static final String ASIDE = ".new";
+final class ChecksummedFiles {
+    private static final String TEMPORARY_SUFFIX = ".new";
 
     private final Path directory;
-    private final WriteGuard guard;
+    private final WriteInterceptor guard;
 
-    CheckedFiles(Path directory, WriteGuard guard) {
+    ChecksummedFiles(Path directory, WriteInterceptor guard) {
         this.directory = directory;
         this.guard = guard;
     }
@@ -45,7 +45,7 @@
 
     /** Replaces a file by one of the given frames. */
     void replace(String name, List<byte[]> bodies) throws IOException {
-        Path aside = path(name + ASIDE);
+        Path aside = path(name + TEMPORARY_SUFFIX);
         try (FileChannel channel = FileChannel.open(
                 aside, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             for (byte[] body : bodies) {
@@ -78,7 +78,7 @@
     }
 
     /** DISK_FULL when the disk says so, else DISK_FAILED. */
-    static FailureException failure(IOException error) {
+    static FailureException toFailure(IOException error) {
         String message = String.valueOf(error.getMessage());
         boolean full = message.toLowerCase(Locale.ROOT).contains("no space left")
                 || message.toLowerCase(Locale.ROOT).contains("quota exceeded");
--- a/control/src/main/java/org/hornbeamspread/control/storage/DiskLog.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/DiskLog.java
@@ -32,23 +32,23 @@
  */
 public final class DiskLog implements AutoCloseable {
     private static final String IDENTITY = "identity";
-    private static final String FORMED = "formed";
+    private static final String INITIAL_MEMBERSHIP = "formed";
     private static final String VOTE = "vote";
     private static final String SNAPSHOT = "snapshot";
     private static final String LOG = "log";
     private static final String LOCK = "lock";
 
-    private final CheckedFiles files;
+    private final ChecksummedFiles files;
     private final FileChannel lock;
-    private final StoredState stored;
+    private final StoredState storedState;
     private final List<ControlMember> snapshotMembers;
     private FileChannel log;
 
-    private DiskLog(CheckedFiles files, FileChannel lock, StoredState stored, List<ControlMember> snapshotMembers)
+    private DiskLog(ChecksummedFiles files, FileChannel lock, StoredState stored, List<ControlMember> snapshotMembers)
             throws IOException {
         this.files = files;
         this.lock = lock;
-        this.stored = stored;
+        this.storedState = stored;
         this.snapshotMembers = snapshotMembers;
         this.log = openLog();
     }
@@ -60,24 +60,24 @@
      * @param newIncarnation the incarnation to take when the directory is empty
      */
     public static DiskLog open(
-            Path directory, String memberId, String clusterId, long newIncarnation, WriteGuard guard) {
+            Path directory, String memberId, String clusterId, long newIncarnation, WriteInterceptor guard) {
         try {
             Files.createDirectories(directory);
             FileChannel lock = lock(directory.resolve(LOCK));
             try {
-                return open(new CheckedFiles(directory, guard), lock, memberId, clusterId, newIncarnation);
+                return open(new ChecksummedFiles(directory, guard), lock, memberId, clusterId, newIncarnation);
             } catch (IOException | RuntimeException e) {
                 lock.close();
                 throw e;
             }
         } catch (IOException e) {
-            throw CheckedFiles.failure(e);
+            throw ChecksummedFiles.toFailure(e);
         }
     }
 
     /** What the directory held when it was opened. */
-    public StoredState stored() {
-        return stored;
+    public StoredState storedState() {
+        return storedState;
     }
 
     /** The members of the stored snapshot, with their endpoints. */
@@ -102,7 +102,7 @@
             List<LogRecord> records = new ArrayList<>();
             for (ConsensusEffect.Persist persist : persists) {
                 if (persist.initialMembership().isPresent()) {
-                    writeFormed(persist.initialMembership().get());
+                    writeInitialMembership(persist.initialMembership().get());
                 }
                 if (persist.rewrite().isPresent()) {
                     records.clear();
@@ -112,7 +112,7 @@
             }
             append(records);
         } catch (IOException e) {
-            throw CheckedFiles.failure(e);
+            throw ChecksummedFiles.toFailure(e);
         }
     }
 
@@ -122,12 +122,12 @@
             log.close();
             lock.close();
         } catch (IOException e) {
-            throw CheckedFiles.failure(e);
+            throw ChecksummedFiles.toFailure(e);
         }
     }
 
     private static DiskLog open(
-            CheckedFiles files, FileChannel lock, String memberId, String clusterId, long newIncarnation)
+            ChecksummedFiles files, FileChannel lock, String memberId, String clusterId, long newIncarnation)
             throws IOException {
         Optional<byte[]> identity = files.read(IDENTITY);
         long incarnation = newIncarnation;
@@ -141,23 +141,23 @@
         return new DiskLog(files, lock, load(files, incarnation, snapshot), snapshot.getMembersList());
     }
 
-    private static StoredState load(CheckedFiles files, long incarnation, InstallSnapshot wire) throws IOException {
-        Vote vote = Vote.parseFrom(required(files, VOTE));
-        Optional<byte[]> formed = files.read(FORMED);
+    private static StoredState load(ChecksummedFiles files, long incarnation, InstallSnapshot wire) throws IOException {
+        Vote vote = Vote.parseFrom(readRequired(files, VOTE));
+        Optional<byte[]> formed = files.read(INITIAL_MEMBERSHIP);
         Optional<Membership> members = formed.isPresent()
                 ? Optional.of(RecordCodec.membership(
                         ChangeMembers.parseFrom(formed.get()).getMembersList()))
                 : Optional.empty();
         Snapshot snapshot = snapshot(wire);
         if (!Files.exists(files.path(LOG))) {
-            throw CheckedFiles.corrupted(files.path(LOG), 0);
+            throw ChecksummedFiles.corrupted(files.path(LOG), 0);
         }
         LogReader reader = new LogReader(files.path(LOG)).read();
-        cutOff(files, reader.endBytes());
+        truncateTornTail(files, reader.validBytes());
         Optional<String> votedFor =
                 vote.getCandidateId().isEmpty() ? Optional.empty() : Optional.of(vote.getCandidateId());
         if (reader.baseIndex() > snapshot.lastIndex()) {
-            throw CheckedFiles.corrupted(files.path(SNAPSHOT), 0);
+            throw ChecksummedFiles.corrupted(files.path(SNAPSHOT), 0);
         }
         StoredState whole = new StoredState(
                 incarnation,
@@ -168,15 +168,15 @@
                 reader.baseIndex(),
                 reader.baseTerm(),
                 reader.records());
-        if (holds(reader, snapshot)) {
+        if (reachesSnapshot(reader, snapshot)) {
             return whole;
         }
-        files.replace(LOG, List.of(LogReader.base(snapshot.lastIndex(), snapshot.lastTerm())));
+        files.replace(LOG, List.of(LogReader.encodeBase(snapshot.lastIndex(), snapshot.lastTerm())));
         return withoutRecords(whole);
     }
 
     /** A crash between the two files of a rewrite leaves a log that does not reach, or contradicts, the snapshot. */
-    private static boolean holds(LogReader reader, Snapshot snapshot) {
+    private static boolean reachesSnapshot(LogReader reader, Snapshot snapshot) {
         long place = snapshot.lastIndex() - reader.baseIndex();
         if (place == 0) {
             return reader.baseTerm() == snapshot.lastTerm();
@@ -205,7 +205,7 @@
                 Payload.copyOf(wire.getState().toByteArray()));
     }
 
-    private static void cutOff(CheckedFiles files, long endBytes) throws IOException {
+    private static void truncateTornTail(ChecksummedFiles files, long endBytes) throws IOException {
         try (FileChannel channel = FileChannel.open(files.path(LOG), StandardOpenOption.WRITE)) {
             if (channel.size() > endBytes) {
                 channel.truncate(endBytes);
@@ -214,11 +214,11 @@
         }
     }
 
-    private static byte[] required(CheckedFiles files, String name) throws IOException {
-        return files.read(name).orElseThrow(() -> CheckedFiles.corrupted(files.path(name), 0));
+    private static byte[] readRequired(ChecksummedFiles files, String name) throws IOException {
+        return files.read(name).orElseThrow(() -> ChecksummedFiles.corrupted(files.path(name), 0));
     }
 
-    private static long checkIdentity(CheckedFiles files, byte[] bytes, String memberId, String clusterId)
+    private static long checkIdentity(ChecksummedFiles files, byte[] bytes, String memberId, String clusterId)
             throws InvalidProtocolBufferException {
         Introduced identity = Introduced.parseFrom(bytes);
         String owner = clusterId + "/" + memberId;
@@ -230,14 +230,14 @@
         return identity.getIncarnation();
     }
 
-    private static void create(CheckedFiles files, String memberId, String clusterId, long incarnation)
+    private static void create(ChecksummedFiles files, String memberId, String clusterId, long incarnation)
             throws IOException {
         if (Files.exists(files.path(LOG))
                 && !new LogReader(files.path(LOG)).read().records().isEmpty()) {
             throw new FailureException(FailureType.LOG_CORRUPTED, "the log has records but no identity");
         }
         writeVote(files, 0, Optional.empty());
-        files.replace(LOG, List.of(LogReader.base(0, 0)));
+        files.replace(LOG, List.of(LogReader.encodeBase(0, 0)));
         Introduced identity = Introduced.newBuilder()
                 .setMemberId(clusterId + "/" + memberId)
                 .setIncarnation(incarnation)
@@ -258,7 +258,7 @@
         throw new FailureException(FailureType.INVALID_SETTING, "the data directory is in use");
     }
 
-    private static void writeVote(CheckedFiles files, long term, Optional<String> votedFor) throws IOException {
+    private static void writeVote(ChecksummedFiles files, long term, Optional<String> votedFor) throws IOException {
         Vote vote = Vote.newBuilder()
                 .setTerm(term)
                 .setCandidateId(votedFor.orElse(""))
@@ -266,11 +266,11 @@
         files.replace(VOTE, List.of(vote.toByteArray()));
     }
 
-    private void writeFormed(Membership members) throws IOException {
+    private void writeInitialMembership(Membership members) throws IOException {
         ChangeMembers formed = ChangeMembers.newBuilder()
                 .addAllMembers(RecordCodec.wire(members))
                 .build();
-        files.replace(FORMED, List.of(formed.toByteArray()));
+        files.replace(INITIAL_MEMBERSHIP, List.of(formed.toByteArray()));
     }
 
     private void rewrite(ConsensusEffect.Rewrite rewrite, List<ControlMember> endpoints) throws IOException {
@@ -283,9 +283,9 @@
                 .build();
         files.replace(SNAPSHOT, List.of(wire.toByteArray()));
         List<byte[]> bodies = new ArrayList<>();
-        bodies.add(LogReader.base(rewrite.baseIndex(), rewrite.baseTerm()));
+        bodies.add(LogReader.encodeBase(rewrite.baseIndex(), rewrite.baseTerm()));
         if (!rewrite.records().isEmpty()) {
-            bodies.add(LogReader.body(rewrite.records()));
+            bodies.add(LogReader.encodeRecords(rewrite.records()));
         }
         files.replace(LOG, bodies);
         log.close();
@@ -298,7 +298,7 @@
         }
         long before = log.position();
         try {
-            files.write(log, Frame.encode(LogReader.body(records)));
+            files.write(log, Frame.encode(LogReader.encodeRecords(records)));
         } catch (IOException e) {
             log.truncate(before);
             throw e;
--- a/control/src/main/java/org/hornbeamspread/control/storage/Frame.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/Frame.java
@@ -7,13 +7,13 @@
 /** A checked run of bytes in a file: mark, length, CRC-32C of the body, body. */
 final class Frame {
     static final int HEADER_BYTES = 12;
-    private static final int MARK = 0x48424c47;
+    private static final int MAGIC_NUMBER = 0x48424c47;
 
     private Frame() {}
 
     static ByteBuffer encode(byte[] body) {
         ByteBuffer frame = ByteBuffer.allocate(HEADER_BYTES + body.length);
-        frame.putInt(MARK)
+        frame.putInt(MAGIC_NUMBER)
                 .putInt(body.length)
                 .putInt(checksum(body, 0, body.length))
                 .put(body);
@@ -29,7 +29,7 @@
         int mark = header.getInt();
         int length = header.getInt();
         int checksum = header.getInt();
-        if (mark != MARK || length < 0 || length > file.length - offset - HEADER_BYTES) {
+        if (mark != MAGIC_NUMBER || length < 0 || length > file.length - offset - HEADER_BYTES) {
             return Optional.empty();
         }
         int start = offset + HEADER_BYTES;
@@ -42,9 +42,9 @@
     }
 
     /** Whether a sound frame begins anywhere behind an offset. */
-    static boolean existsAfter(byte[] file, int offset) {
+    static boolean validFrameExistsAfter(byte[] file, int offset) {
         for (int at = offset + 1; at <= file.length - HEADER_BYTES; at++) {
-            boolean marked = ByteBuffer.wrap(file, at, Integer.BYTES).getInt() == MARK;
+            boolean marked = ByteBuffer.wrap(file, at, Integer.BYTES).getInt() == MAGIC_NUMBER;
             if (marked && decode(file, at).isPresent()) {
                 return true;
             }
--- a/control/src/main/java/org/hornbeamspread/control/storage/LogReader.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/LogReader.java
@@ -24,7 +24,7 @@
     private long baseTerm;
 
     /** Where the sound part of the file ends. */
-    private int endBytes;
+    private int validBytes;
 
     LogReader(Path path) {
         this.path = path;
@@ -35,22 +35,22 @@
         byte[] file = Files.readAllBytes(path);
         Optional<byte[]> base = Frame.decode(file, 0);
         if (base.isEmpty() || base.get().length != 2 * Long.BYTES) {
-            throw CheckedFiles.corrupted(path, 0);
+            throw ChecksummedFiles.corrupted(path, 0);
         }
         ByteBuffer numbers = ByteBuffer.wrap(base.get());
         baseIndex = numbers.getLong();
         baseTerm = numbers.getLong();
-        endBytes = Frame.HEADER_BYTES + base.get().length;
-        while (endBytes < file.length) {
-            Optional<byte[]> body = Frame.decode(file, endBytes);
+        validBytes = Frame.HEADER_BYTES + base.get().length;
+        while (validBytes < file.length) {
+            Optional<byte[]> body = Frame.decode(file, validBytes);
             if (body.isEmpty()) {
-                if (Frame.existsAfter(file, endBytes)) {
-                    throw CheckedFiles.corrupted(path, endBytes);
+                if (Frame.validFrameExistsAfter(file, validBytes)) {
+                    throw ChecksummedFiles.corrupted(path, validBytes);
                 }
                 break;
             }
-            take(body.get());
-            endBytes += Frame.HEADER_BYTES + body.get().length;
+            addRecords(body.get());
+            validBytes += Frame.HEADER_BYTES + body.get().length;
         }
         return this;
     }
@@ -63,35 +63,35 @@
         return baseTerm;
     }
 
-    int endBytes() {
-        return endBytes;
+    int validBytes() {
+        return validBytes;
     }
 
     List<LogRecord> records() {
         return records;
     }
 
-    static byte[] base(long index, long term) {
+    static byte[] encodeBase(long index, long term) {
         return ByteBuffer.allocate(2 * Long.BYTES).putLong(index).putLong(term).array();
     }
 
-    static byte[] body(List<LogRecord> records) {
+    static byte[] encodeRecords(List<LogRecord> records) {
         Append.Builder body = Append.newBuilder();
         records.forEach(record -> body.addRecords(RecordCodec.wire(record)));
         return body.build().toByteArray();
     }
 
-    private void take(byte[] body) {
+    private void addRecords(byte[] body) {
         Append frame;
         try {
             frame = Append.parseFrom(body);
         } catch (InvalidProtocolBufferException e) {
-            throw CheckedFiles.corrupted(path, endBytes);
+            throw ChecksummedFiles.corrupted(path, validBytes);
         }
         for (ControlRecord wire : frame.getRecordsList()) {
             long place = wire.getIndex() - baseIndex - 1;
             if (place < 0 || place > records.size()) {
-                throw CheckedFiles.corrupted(path, endBytes);
+                throw ChecksummedFiles.corrupted(path, validBytes);
             }
             records.subList((int) place, records.size()).clear();
             records.add(RecordCodec.record(wire));
--- a/control/src/main/java/org/hornbeamspread/control/storage/WriteGuard.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/WriteInterceptor.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 
 /** Asked before each write of the data directory; fails as the disk would. */
-public interface WriteGuard {
+public interface WriteInterceptor {
     /** Lets every write through. */
-    WriteGuard NONE = bytes -> {};
+    WriteInterceptor NONE = bytes -> {};
 
     /** Fails with an {@link IOException} to refuse a write of so many bytes. */
     void beforeWrite(long bytes) throws IOException;
--- a/control/src/test/java/org/hornbeamspread/control/consensus/ConsensusServiceTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/consensus/ConsensusServiceTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.stream.Stream;
 import org.hornbeamspread.control.CommandResult;
-import org.hornbeamspread.control.storage.WriteGuard;
+import org.hornbeamspread.control.storage.WriteInterceptor;
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
 import org.hornbeamspread.protocol.schema.ChangeMembers;
@@ -114,7 +114,7 @@
             List<ControlMember> wanted = new ArrayList<>(cluster.log(leader).members());
             wanted.removeIf(member -> member.getMemberId().equals(gone));
             wanted.add(added);
-            cluster.start("c4", wanted, WriteGuard.NONE);
+            cluster.start("c4", wanted, WriteInterceptor.NONE);
             ControlCommand change = ControlCommand.newBuilder()
                     .setChangeMembers(ChangeMembers.newBuilder().addAllMembers(wanted))
                     .build();
--- a/control/src/test/java/org/hornbeamspread/control/consensus/LogCluster.java
+++ b/control/src/test/java/org/hornbeamspread/control/consensus/LogCluster.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import org.hornbeamspread.control.state.ControlStateMachine;
-import org.hornbeamspread.control.storage.WriteGuard;
+import org.hornbeamspread.control.storage.WriteInterceptor;
 import org.hornbeamspread.protocol.schema.ControlMember;
 import org.hornbeamspread.protocol.schema.Endpoint;
 import org.hornbeamspread.runtime.MonotonicClock;
@@ -43,14 +43,14 @@
     }
 
     void start(String memberId) {
-        start(memberId, WriteGuard.NONE);
+        start(memberId, WriteInterceptor.NONE);
     }
 
-    void start(String memberId, WriteGuard guard) {
+    void start(String memberId, WriteInterceptor guard) {
         start(memberId, initialMembers, guard);
     }
 
-    void start(String memberId, List<ControlMember> members, WriteGuard guard) {
+    void start(String memberId, List<ControlMember> members, WriteInterceptor guard) {
         ConsensusSettings usual = ConsensusSettings.of(memberId, "test", members, directory(memberId));
         ConsensusSettings settings = new ConsensusSettings(
                 memberId,
--- a/control/src/test/java/org/hornbeamspread/control/storage/DiskLogTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/storage/DiskLogTest.java
@@ -35,12 +35,12 @@
     private long nextPersistId = 1;
 
     @Test
-    void whatWasPersistedIsFoundAgain() {
+    void persistedVoteAndRecordsAreReadBack() {
         try (DiskLog log = open()) {
             persist(log, vote(3, "c2"), records(1, 4, 2));
             persist(log, vote(4, "c1"), records(3, 6, 4));
         }
-        StoredState stored = reopened();
+        StoredState stored = reopenedState();
         assertThat(stored.incarnation()).isEqualTo(5);
         assertThat(stored.term()).isEqualTo(4);
         assertThat(stored.votedFor()).isEqualTo(Optional.of("c1"));
@@ -50,14 +50,14 @@
     }
 
     @Test
-    void aRewriteKeepsTheSnapshotAndTheRecordsBehindIt() {
+    void aRewriteKeepsTheSnapshotAndTheRecordsAfterIt() {
         Snapshot snapshot = new Snapshot(4, 2, MEMBERS, Payload.copyOf(new byte[] {9}));
         try (DiskLog log = open()) {
             persist(log, Optional.empty(), records(1, 5, 2));
             rewrite(log, new ConsensusEffect.Rewrite(snapshot, 3, 2, records(4, 5, 2)));
             persist(log, Optional.empty(), records(6, 6, 3));
         }
-        StoredState stored = reopened();
+        StoredState stored = reopenedState();
         assertThat(stored.snapshot()).isEqualTo(snapshot);
         assertThat(stored.baseIndex()).isEqualTo(3);
         assertThat(stored.records().stream().map(LogRecord::index).toList()).containsExactly(4L, 5L, 6L);
@@ -65,7 +65,7 @@
 
     /** The log of before the rewrite does not go with a leader's snapshot: nothing of it may count. */
     @Test
-    void aStopBetweenTheFilesOfARewriteLeavesNoContradictingRecords() throws IOException {
+    void aCrashBetweenTheFilesOfARewriteLeavesNoConflictingRecords() throws IOException {
         byte[] before;
         try (DiskLog log = open()) {
             persist(log, Optional.empty(), records(1, 6, 2));
@@ -75,16 +75,16 @@
         }
         Files.write(file("log"), before);
         try (DiskLog log = open()) {
-            assertThat(log.stored().records()).isEmpty();
-            assertThat(log.stored().baseIndex()).isEqualTo(4);
+            assertThat(log.storedState().records()).isEmpty();
+            assertThat(log.storedState().baseIndex()).isEqualTo(4);
             persist(log, Optional.empty(), records(5, 5, 3));
         }
-        assertThat(reopened().records()).hasSize(1);
+        assertThat(reopenedState().records()).hasSize(1);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 5, 12, 20})
-    void aTornLastWriteIsCutOff(int missingBytes) throws IOException {
+    void aTornLastWriteIsTruncated(int missingBytes) throws IOException {
         try (DiskLog log = open()) {
             persist(log, Optional.empty(), records(1, 2, 1));
             persist(log, Optional.empty(), records(3, 3, 1));
@@ -92,10 +92,10 @@
         byte[] whole = Files.readAllBytes(file("log"));
         Files.write(file("log"), Arrays.copyOf(whole, whole.length - missingBytes));
         try (DiskLog log = open()) {
-            assertThat(log.stored().records()).hasSize(2);
+            assertThat(log.storedState().records()).hasSize(2);
             persist(log, Optional.empty(), records(3, 4, 2));
         }
-        assertThat(reopened().records()).hasSize(4);
+        assertThat(reopenedState().records()).hasSize(4);
     }
 
     @ParameterizedTest
@@ -105,7 +105,7 @@
         "vote, 13, vote at byte 0",
         "identity, 14, identity at byte 0"
     })
-    void corruptionOfWhatWasSyncedIsRefusedByFileAndOffset(String name, int atByte, String place) throws IOException {
+    void corruptionOfSyncedDataIsReportedWithFileAndOffset(String name, int atByte, String place) throws IOException {
         try (DiskLog log = open()) {
             persist(log, vote(3, "c2"), records(1, 2, 1));
             persist(log, Optional.empty(), records(3, 3, 1));
@@ -131,7 +131,7 @@
             flipped[bit / Byte.SIZE] ^= (byte) (1 << bit % Byte.SIZE);
             Files.write(file("log"), flipped);
             try (DiskLog log = open()) {
-                assertThat(log.stored().records()).isEqualTo(records(1, 2, 1));
+                assertThat(log.storedState().records()).isEqualTo(records(1, 2, 1));
             } catch (FailureException e) {
                 assertThat(e.type()).isEqualTo(FailureType.LOG_CORRUPTED);
             }
@@ -152,10 +152,10 @@
 
     @ParameterizedTest
     @CsvSource({"c2, test", "c1, other"})
-    void aForeignDirectoryIsRefused(String memberId, String clusterId) {
+    void aDirectoryOfAnotherMemberOrClusterIsRefused(String memberId, String clusterId) {
         open().close();
         FailureException failure = assertThrows(
-                FailureException.class, () -> DiskLog.open(directory, memberId, clusterId, 6, WriteGuard.NONE));
+                FailureException.class, () -> DiskLog.open(directory, memberId, clusterId, 6, WriteInterceptor.NONE));
         assertThat(failure.type()).isEqualTo(FailureType.INVALID_SETTING);
     }
 
@@ -168,9 +168,9 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aFullDiskRefusesAndTakesTheSameWriteLater(boolean withSnapshot) {
+    void aWriteRefusedByAFullDiskCanBeRepeated(boolean withSnapshot) {
         boolean[] full = {false};
-        WriteGuard guard = bytes -> {
+        WriteInterceptor guard = bytes -> {
             if (full[0]) {
                 throw new IOException("No space left on device");
             }
@@ -189,17 +189,17 @@
             full[0] = false;
             log.persist(batch, List.of());
         }
-        StoredState stored = reopened();
+        StoredState stored = reopenedState();
         assertThat(stored.baseIndex() + stored.records().size()).isEqualTo(3);
     }
 
     private DiskLog open() {
-        return DiskLog.open(directory, "c1", "test", 5, WriteGuard.NONE);
+        return DiskLog.open(directory, "c1", "test", 5, WriteInterceptor.NONE);
     }
 
-    private StoredState reopened() {
+    private StoredState reopenedState() {
         try (DiskLog log = open()) {
-            return log.stored();
+            return log.storedState();
         }
     }
 
