--- a/control/src/main/java/org/hornbeamspread/control/ControlDaemon.java
+++ b/control/src/main/java/org/hornbeamspread/control/ControlDaemon.java
@@ -62,7 +62,7 @@
         Coordinator coordinator = new Coordinator(
                 log,
                 state,
-                endpoints(settings, log, ControlMember::getPeer),
+                endpointLookup(settings, log, ControlMember::getPeer),
                 settings.lease(),
                 clock,
                 transport,
@@ -71,14 +71,14 @@
                 log,
                 state,
                 log::members,
-                endpoints(settings, log, ControlMember::getHttp),
+                endpointLookup(settings, log, ControlMember::getHttp),
                 coordinator,
                 clock,
                 metrics);
         PeerServer peerServer = transport
                 .listen(
                         settings.peer(),
-                        new SharedPort(log, new ClusterGuard(settings.clusterId(), coordinator, metrics)))
+                        new PeerRequestRouter(log, new ClusterGuard(settings.clusterId(), coordinator, metrics)))
                 .join();
         log.start();
         coordinator.start();
@@ -110,7 +110,7 @@
     }
 
     /** Looks a member up in the log, and while the log does not name it, in the settings. */
-    private static Function<String, String> endpoints(
+    private static Function<String, String> endpointLookup(
             ControlSettings settings, ConsensusService log, Function<ControlMember, Endpoint> endpoint) {
         return memberId -> Stream.concat(log.members().stream(), settings.members().stream())
                 .filter(member -> member.getMemberId().equals(memberId))
@@ -122,7 +122,7 @@
     }
 
     /** Gives the log its own requests, and everything else to the coordinator. */
-    private record SharedPort(ConsensusService log, PeerHandler coordinator) implements PeerHandler {
+    private record PeerRequestRouter(ConsensusService log, PeerHandler coordinator) implements PeerHandler {
         @Override
         public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
             if (!log.handle(connection, request, answer)) {
--- a/control/src/test/java/org/hornbeamspread/control/settings/ControlSettingsTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/settings/ControlSettingsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 final class ControlSettingsTest {
-    private static final String[] GOOD = {
+    private static final String[] VALID_FLAGS = {
         "--member-id", "c1",
         "--peer-endpoint", "127.0.0.1:7001",
         "--http-endpoint", "127.0.0.1:8001",
@@ -24,7 +24,7 @@
     };
 
     @Test
-    void everySettingIsTaken() {
+    void flagsAreParsed() {
         ControlSettings settings = settings();
         assertThat(settings.members()).hasSize(2);
         assertThat(settings.members().get(1).getHttp().getPort()).isEqualTo(8002);
@@ -49,15 +49,15 @@
                 "--members ! c1=127.0.0.1:1/127.0.0.1:2,c1=127.0.0.1:3/127.0.0.1:4",
                 "--address-map ! no-such-file"
             })
-    void aWrongSettingIsRefused(String flag, String value) {
+    void anInvalidSettingIsRefused(String flag, String value) {
         FailureException refusal = assertThrows(FailureException.class, () -> settings(flag, value));
         assertThat(refusal.type()).isEqualTo(FailureType.INVALID_SETTING);
     }
 
     private static ControlSettings settings(String... more) {
-        String[] all = new String[GOOD.length + more.length];
-        System.arraycopy(GOOD, 0, all, 0, GOOD.length);
-        System.arraycopy(more, 0, all, GOOD.length, more.length);
+        String[] all = new String[VALID_FLAGS.length + more.length];
+        System.arraycopy(VALID_FLAGS, 0, all, 0, VALID_FLAGS.length);
+        System.arraycopy(more, 0, all, VALID_FLAGS.length, more.length);
         return ControlSettings.of(CommandLine.parse(new ControlOptions(), Map.of(), all));
     }
 }
