--- a/control/src/main/java/org/hornbeamspread/control/operations/Operations.java
+++ b/control/src/main/java/org/hornbeamspread/control/operations/Operations.java
@@ -11,7 +11,7 @@
 import org.hornbeamspread.control.ReplicatedLog;
 import org.hornbeamspread.control.failover.ControlMetrics;
 import org.hornbeamspread.control.failover.Coordinator;
-import org.hornbeamspread.control.state.Configurations;
+import org.hornbeamspread.control.state.ConfigurationCodec;
 import org.hornbeamspread.core.configuration.ConfigurationValidator;
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
@@ -138,7 +138,7 @@
         ApplyConfigurationResponse.Builder answer =
                 ApplyConfigurationResponse.newBuilder().setVersion(version);
         Optional<FailureException> refusal = request.getExpectedVersion() == version
-                ? ConfigurationValidator.check(Configurations.declared(request.getConfiguration()))
+                ? ConfigurationValidator.check(ConfigurationCodec.declared(request.getConfiguration()))
                 : Optional.of(new FailureException(
                         FailureType.VERSION_CONFLICT,
                         "expected " + request.getExpectedVersion() + ", current " + version));
--- a/control/src/main/java/org/hornbeamspread/control/state/Configurations.java
+++ b/control/src/main/java/org/hornbeamspread/control/state/ConfigurationCodec.java
@@ -10,16 +10,16 @@
 import org.hornbeamspread.protocol.schema.ServiceDefinition;
 
 /** Conversions between the wire form of a configuration and the records of {@code core}. */
-public final class Configurations {
-    private Configurations() {}
+public final class ConfigurationCodec {
+    private ConfigurationCodec() {}
 
     /** From the wire form. */
     public static DeclaredConfiguration declared(Configuration wire) {
         return new DeclaredConfiguration(
                 wire.getVersion(),
-                wire.getRanksList().stream().map(Configurations::rank).toList(),
-                wire.getGroupsList().stream().map(Configurations::group).toList(),
-                wire.getServicesList().stream().map(Configurations::service).toList());
+                wire.getRanksList().stream().map(ConfigurationCodec::rank).toList(),
+                wire.getGroupsList().stream().map(ConfigurationCodec::group).toList(),
+                wire.getServicesList().stream().map(ConfigurationCodec::service).toList());
     }
 
     /** To the wire form. */
--- a/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
+++ b/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
@@ -34,7 +34,7 @@
  */
 public final class ControlStateMachine implements StateMachine {
     /** How long a request id is remembered. */
-    public static final Duration REPLAY_AGE = Duration.ofHours(24);
+    public static final Duration REQUEST_RETENTION = Duration.ofHours(24);
 
     private final ConfigurationStore configuration = new ConfigurationStore();
     private final NavigableMap<String, GroupTerm> groups = new TreeMap<>();
@@ -42,50 +42,50 @@
     private final NavigableSet<String> departingDatabaseIds = new TreeSet<>();
     private final InstanceRegistry instances = new InstanceRegistry();
     private RouteConfigurationDocument routes = RouteConfigurationDocument.getDefaultInstance();
-    private final ReplayTable requests;
+    private final RequestOutcomeTable requestOutcomes;
     private List<ControlMember> members = List.of();
 
     /** The state built so far; null after a change until it is asked for again. */
-    private ControlState built;
+    private ControlState cachedState;
 
     /** Starts empty, with the usual age of request ids. */
     public ControlStateMachine() {
-        this(REPLAY_AGE);
+        this(REQUEST_RETENTION);
     }
 
     /** Starts empty. */
     public ControlStateMachine(Duration replayAge) {
-        this.requests = new ReplayTable(replayAge);
+        this.requestOutcomes = new RequestOutcomeTable(replayAge);
     }
 
     @Override
     public CommandResult apply(ControlRecord record) {
-        built = null;
+        cachedState = null;
         ControlCommand command = record.getCommand();
-        requests.advance(command.getProposedAtMs());
+        requestOutcomes.advanceTime(command.getProposedAtMs());
         if (command.getRequestId().isEmpty()) {
             return result(applyCommand(command));
         }
-        Optional<CommandResult> first = requests.find(command);
+        Optional<CommandResult> first = requestOutcomes.find(command);
         if (first.isPresent()) {
             return first.get();
         }
         CommandResult result = result(applyCommand(command));
-        requests.put(command, result);
+        requestOutcomes.put(command, result);
         return result;
     }
 
     /** Everything applied so far, immutable. */
     public ControlState state() {
-        if (built == null) {
-            built = ControlState.newBuilder()
-                    .setConfiguration(Configurations.wire(configuration.current()))
+        if (cachedState == null) {
+            cachedState = ControlState.newBuilder()
+                    .setConfiguration(ConfigurationCodec.wire(configuration.current()))
                     .addAllGroups(groups.values())
                     .addAllDatabases(databases.values())
                     .addAllDepartingDatabaseIds(departingDatabaseIds)
-                    .addAllRequests(requests.entries())
+                    .addAllRequests(requestOutcomes.entries())
                     .addAllMembers(members)
-                    .setLatestProposedAtMs(requests.latestProposedAtMs())
+                    .setLatestProposedAtMs(requestOutcomes.latestProposedAtMs())
                     .setRoutes(routes)
                     .addAllInstances(
                             instances.all().stream().map(RouteMessages::wire).toList())
@@ -97,7 +97,7 @@
                             .toList())
                     .build();
         }
-        return built;
+        return cachedState;
     }
 
     @Override
@@ -113,18 +113,18 @@
         } catch (InvalidProtocolBufferException e) {
             throw new FailureException(FailureType.LOG_CORRUPTED, "snapshot of the state", e);
         }
-        configuration.restore(Configurations.declared(state.getConfiguration()));
+        configuration.restore(ConfigurationCodec.declared(state.getConfiguration()));
         groups.clear();
         state.getGroupsList().forEach(group -> groups.put(group.getGroup(), group));
         databases.clear();
         state.getDatabasesList().forEach(database -> databases.put(database.getDatabaseId(), database));
         departingDatabaseIds.clear();
         departingDatabaseIds.addAll(state.getDepartingDatabaseIdsList());
-        requests.restore(state.getRequestsList(), state.getLatestProposedAtMs());
+        requestOutcomes.restore(state.getRequestsList(), state.getLatestProposedAtMs());
         members = state.getMembersList();
         routes = state.getRoutes();
         RouteMessages.restore(instances, state);
-        built = state;
+        cachedState = state;
     }
 
     private CommandResult result(Optional<FailureException> failure) {
@@ -148,7 +148,8 @@
     }
 
     private Optional<FailureException> replaceConfiguration(ReplaceConfiguration change) {
-        return configuration.replace(Configurations.declared(change.getConfiguration()), change.getExpectedVersion());
+        return configuration.replace(
+                ConfigurationCodec.declared(change.getConfiguration()), change.getExpectedVersion());
     }
 
     /** Each group is decided alone; the result fails with WRONG_TERM and names the groups that were passed over. */
@@ -156,7 +157,7 @@
         NavigableSet<String> refused = new TreeSet<>();
         for (GroupTerm change : changes) {
             GroupTerm present = groups.getOrDefault(change.getGroup(), GroupTerm.getDefaultInstance());
-            if (mayFollow(present, change)) {
+            if (isValidTransition(present, change)) {
                 groups.put(
                         change.getGroup(),
                         change.toBuilder().clearExpectedTerm().build());
@@ -170,7 +171,7 @@
     }
 
     /** The term never goes back, and a term has one primary at most. */
-    private static boolean mayFollow(GroupTerm present, GroupTerm change) {
+    private static boolean isValidTransition(GroupTerm present, GroupTerm change) {
         if (change.getExpectedTerm() != present.getTerm() || change.getTerm() < present.getTerm()) {
             return false;
         }
--- a/control/src/main/java/org/hornbeamspread/control/state/ReplayTable.java
+++ b/control/src/main/java/org/hornbeamspread/control/state/RequestOutcomeTable.java
@@ -19,19 +19,19 @@
  * The first outcome of each request id, so that a resend gets it again. Entries expire by age; the age counts from the
  * latest time in the records themselves, so that every member drops the same entry at the same record.
  */
-final class ReplayTable {
+final class RequestOutcomeTable {
     private final long maxAgeMs;
-    private final Map<String, ReplayedRequest> requests = new LinkedHashMap<>();
+    private final Map<String, ReplayedRequest> outcomes = new LinkedHashMap<>();
     private long latestProposedAtMs;
 
-    ReplayTable(Duration maxAge) {
+    RequestOutcomeTable(Duration maxAge) {
         this.maxAgeMs = maxAge.toMillis();
     }
 
     /** Moves the table's time forward and drops what is too old. */
-    void advance(long proposedAtMs) {
+    void advanceTime(long proposedAtMs) {
         latestProposedAtMs = Math.max(latestProposedAtMs, proposedAtMs);
-        Iterator<ReplayedRequest> oldestFirst = requests.values().iterator();
+        Iterator<ReplayedRequest> oldestFirst = outcomes.values().iterator();
         while (oldestFirst.hasNext() && oldestFirst.next().getProposedAtMs() < latestProposedAtMs - maxAgeMs) {
             oldestFirst.remove();
         }
@@ -39,7 +39,7 @@
 
     /** The outcome for a request id that was seen before. */
     Optional<CommandResult> find(ControlCommand command) {
-        ReplayedRequest first = requests.get(command.getRequestId());
+        ReplayedRequest first = outcomes.get(command.getRequestId());
         if (first == null) {
             return Optional.empty();
         }
@@ -60,11 +60,11 @@
                 .setProposedAtMs(latestProposedAtMs)
                 .setBodyDigest(digest(command));
         result.failure().ifPresent(failure -> request.setFailure(Envelopes.failure(failure)));
-        requests.put(command.getRequestId(), request.build());
+        outcomes.put(command.getRequestId(), request.build());
     }
 
     List<ReplayedRequest> entries() {
-        return List.copyOf(requests.values());
+        return List.copyOf(outcomes.values());
     }
 
     long latestProposedAtMs() {
@@ -72,8 +72,8 @@
     }
 
     void restore(List<ReplayedRequest> entries, long latestMs) {
-        requests.clear();
-        entries.forEach(entry -> requests.put(entry.getRequestId(), entry));
+        outcomes.clear();
+        entries.forEach(entry -> outcomes.put(entry.getRequestId(), entry));
         latestProposedAtMs = latestMs;
     }
 
--- a/control/src/test/java/org/hornbeamspread/control/state/ControlStateMachineTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/state/ControlStateMachineTest.java
@@ -34,13 +34,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 final class ControlStateMachineTest {
-    private static final Duration REPLAY_AGE = Duration.ofSeconds(60);
+    private static final Duration REQUEST_RETENTION = Duration.ofSeconds(60);
 
-    private final ControlStateMachine machine = new ControlStateMachine(REPLAY_AGE);
+    private final ControlStateMachine machine = new ControlStateMachine(REQUEST_RETENTION);
     private long nextIndex = 1;
 
     @Test
-    void ofTwoChangesAgainstOneVersionTheFirstWins() {
+    void theFirstOfTwoChangesWithTheSameExpectedVersionWins() {
         assertThat(apply(machine, change("a", 0, 5, 0)).version()).isEqualTo(1);
         CommandResult second = apply(machine, change("b", 0, 7, 0));
         assertThat(type(second)).isEqualTo(Optional.of(FailureType.VERSION_CONFLICT));
@@ -51,10 +51,10 @@
     /** A refusal is a first outcome too. */
     @ParameterizedTest
     @CsvSource({"0, ", "4, VERSION_CONFLICT"})
-    void aResendGetsTheFirstOutcomeAlsoFromASnapshot(long expectedVersion, FailureType failure) {
+    void aRetryReturnsTheFirstOutcomeAlsoAfterASnapshotRestore(long expectedVersion, FailureType failure) {
         CommandResult first = apply(machine, change("a", expectedVersion, 5, 0));
         apply(machine, change("b", machine.state().getConfiguration().getVersion(), 6, 1));
-        ControlStateMachine restored = new ControlStateMachine(REPLAY_AGE);
+        ControlStateMachine restored = new ControlStateMachine(REQUEST_RETENTION);
         restored.restore(machine.snapshot());
         for (ControlStateMachine each : new ControlStateMachine[] {machine, restored}) {
             CommandResult again = apply(each, change("a", expectedVersion, 5, 2));
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void aRequestIdIsForOneRequest() {
+    void aRequestIdCannotBeReusedForAnotherCommand() {
         apply(machine, change("a", 0, 5, 0));
         assertThat(type(apply(machine, change("a", 1, 6, 1)))).isEqualTo(Optional.of(FailureType.REQUEST_ID_REUSED));
         assertThat(machine.state().getConfiguration().getVersion()).isEqualTo(1);
@@ -73,7 +73,7 @@
 
     @ParameterizedTest
     @CsvSource({"59999, true", "60001, false"})
-    void aRequestIdIsForgottenByAgeInTheRecords(long laterMs, boolean replayed) {
+    void aRequestIdExpiresByTheTimesInTheRecords(long laterMs, boolean replayed) {
         apply(machine, change("a", 0, 5, 0));
         assertThat(apply(machine, change("a", 0, 5, laterMs)).replayed()).isEqualTo(replayed);
     }
@@ -87,7 +87,7 @@
         "2, 4, '', false",
         "3, 2, '', false"
     })
-    void aGroupsTermGoesForwardAndHasOnePrimary(long expectedTerm, long term, String primaryId, boolean applied) {
+    void aGroupTermNeverDecreasesAndHasOnePrimary(long expectedTerm, long term, String primaryId, boolean applied) {
         if (expectedTerm > 0) {
             apply(machine, terms(0, 3, ""));
             apply(machine, terms(3, 3, "p"));
@@ -102,9 +102,9 @@
     /** Random changes, resends and restores: members agree, first outcomes stay, versions only rise. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
-    void membersAgreeAndNothingGoesBack(long seed) {
+    void membersHoldEqualStateAndVersionsNeverDecrease(long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        ControlStateMachine restarted = new ControlStateMachine(REPLAY_AGE);
+        ControlStateMachine restarted = new ControlStateMachine(REQUEST_RETENTION);
         Map<String, CommandResult> firstOutcomes = new HashMap<>();
         long version = 0;
         for (int step = 0; step < 600; step++) {
@@ -126,7 +126,7 @@
             version = next;
             if (random.nextInt(20) == 0) {
                 ByteString snapshot = machine.snapshot();
-                restarted = new ControlStateMachine(REPLAY_AGE);
+                restarted = new ControlStateMachine(REQUEST_RETENTION);
                 restarted.restore(snapshot);
             }
             assertThat(restarted.state()).isEqualTo(machine.state());
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void departuresAreSetAndTakenBack() {
+    void departuresAreSetAndCleared() {
         apply(machine, departure(true));
         assertThat(machine.state().getDepartingDatabaseIdsList()).containsExactly("d1");
         apply(machine, departure(false));
@@ -147,7 +147,7 @@
         apply(machine, instances(born("a", 1, 100), born("b", 2, 100), born("c", 3, 100)));
         apply(machine, instances(born("a", 1, 200), born("b", 2, 200), born("c", 3, 200)));
         apply(machine, instances(born("b", 2, 300)));
-        ControlStateMachine restored = new ControlStateMachine(REPLAY_AGE);
+        ControlStateMachine restored = new ControlStateMachine(REQUEST_RETENTION);
         restored.restore(machine.snapshot());
 
         for (ControlStateMachine each : List.of(machine, restored)) {
@@ -163,7 +163,7 @@
     }
 
     @Test
-    void aSnapshotWithoutLostCopiesRestoresToNone() {
+    void restoringASnapshotWithoutLostCopiesClearsThem() {
         apply(machine, instances(born("a", 1, 100)));
         apply(machine, instances(born("a", 1, 200)));
         assertThat(machine.state().getLostCopiesList()).containsExactly(lost("a", 1, 100));
