--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
@@ -35,10 +35,15 @@
 import org.hornbeamspread.protocol.schema.ControlRecord;
 import org.hornbeamspread.protocol.schema.Envelope;
 
-/** Carries events to the decision and its effects out. Used by the consensus thread, but for what is volatile. */
+/**
+ * Passes events to the {@link ConsensusNode} and executes its effects. Used by the consensus thread, except for the
+ * volatile fields and the listener lists, which any thread may use.
+ */
 final class ConsensusLoop {
     private static final Logger LOG = System.getLogger(ConsensusLoop.class.getName());
     private static final int MAX_BATCH_EVENTS = 256;
+
+    /** Beyond this number the oldest pending reply is dropped. */
     private static final int MAX_PENDING_REPLIES = 4_096;
 
     private final ConsensusSettings settings;
@@ -58,7 +63,7 @@
     private long nextReplyId = 1;
     private int eventsSinceFlush;
 
-    /** Present after an error that leaves the state in doubt. */
+    /** Present after an error that leaves the state undefined. */
     private Optional<FailureException> haltCause = Optional.empty();
 
     private long lastSnapshotIndex;
@@ -140,7 +145,7 @@
         }
     }
 
-    /** Whether the steps since the last flush are enough for one batch. */
+    /** Whether the number of steps since the last flush has reached the batch limit. */
     boolean isBatchFull() {
         return eventsSinceFlush >= MAX_BATCH_EVENTS;
     }
@@ -154,7 +159,7 @@
         publishMembers();
     }
 
-    /** Carries out what the steps since the last flush decided. */
+    /** Executes the effects of the steps since the last flush. */
     void flush() {
         if (haltCause.isPresent()) {
             return;
@@ -167,7 +172,7 @@
         }
     }
 
-    /** Takes no further part in the log. */
+    /** Fails all pending proposals and reads; from then on this member takes no further part in the log. */
     void halt(FailureException failure) {
         haltCause = Optional.of(failure);
         pendingProposals.close();
@@ -224,7 +229,7 @@
 
     private FailureException refusal(FailureType reason) {
         String detail = reason == FailureType.NOT_LEADER
-                ? leadership.leaderId().map(id -> "leader " + id).orElse("no leader known")
+                ? leadership.leaderId().map(id -> "the leader is " + id).orElse("no leader is known")
                 : settings.memberId();
         return new FailureException(reason, detail);
     }
@@ -295,12 +300,12 @@
         appliedListeners.forEach(listener -> notifyListener(() -> listener.accept(appliedIndex)));
     }
 
-    /** A listener's error is not the log's. */
+    /** Calls a listener and logs its error, so that a failing listener does not halt the log. */
     private static void notifyListener(Runnable listener) {
         try {
             listener.run();
         } catch (RuntimeException e) {
-            LOG.log(Level.ERROR, "a listener of the control log failed", e);
+            LOG.log(Level.ERROR, "a listener of the control log threw an exception", e);
         }
     }
 
@@ -312,7 +317,7 @@
         }
     }
 
-    /** Has a membership recorded that the decision asks for. */
+    /** Proposes a membership change that the consensus node requires. */
     private void proposeMembership(Membership membership) {
         ControlCommand command = ControlCommand.newBuilder()
                 .setProposedAtMs(clock.millis())
@@ -328,15 +333,19 @@
                 : command.toBuilder().setProposedAtMs(clock.millis()).build();
     }
 
-    /** Fills in what operators don't know: incarnations, and that a new member does not vote at first. */
+    /**
+     * Sets the incarnation and the right to vote of each member in a membership change, which the operator does not
+     * supply: present members keep both, a new member starts without a vote.
+     */
     private ControlCommand withIncarnations(ControlCommand command) {
         if (!command.hasChangeMembers()) {
             return command;
         }
-        Membership present = node.membership();
+        Membership currentMembership = node.membership();
         ChangeMembers.Builder members = ChangeMembers.newBuilder();
         for (ControlMember member : command.getChangeMembers().getMembersList()) {
-            members.addMembers(present.find(member.getMemberId())
+            members.addMembers(currentMembership
+                    .find(member.getMemberId())
                     .map(known -> member.toBuilder()
                             .setIncarnation(known.incarnation())
                             .setVoting(known.voting())
--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusMetrics.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusMetrics.java
@@ -5,7 +5,7 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** Counters of the replicated log. */
+/** Metrics of the replicated log. */
 final class ConsensusMetrics {
     private final Counter refusals;
     private final Counter leadershipChanges;
@@ -22,7 +22,7 @@
                 .register(registry);
         leadershipChanges = Counter.builder()
                 .name("hornbeamspread_log_leadership_changes")
-                .help("Changes of leader or term seen")
+                .help("Changes of leader or term observed")
                 .register(registry);
         appliedRecords = Counter.builder()
                 .name("hornbeamspread_log_applied_records")
--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
@@ -32,8 +32,9 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * The replicated log of the control members, on its own threads: one decides, applies and calls back, one writes and
- * syncs. Futures complete and listeners are called on the deciding thread, which must not be blocked.
+ * The replicated log of the control members. The consensus thread runs the consensus node, applies records and calls
+ * listeners; the disk thread writes and syncs. Futures complete and listeners are called on the consensus thread, which
+ * must not be blocked.
  */
 public final class ConsensusService implements ReplicatedLog, AutoCloseable {
     private static final Logger LOG = System.getLogger(ConsensusService.class.getName());
@@ -48,7 +49,7 @@
     private final ConsensusMetrics metrics;
     private final DutyThread<ConsensusTask> thread;
 
-    /** Opens the data directory; {@link #start} runs it. Fails with LOG_CORRUPTED, INVALID_SETTING or DISK_FAILED. */
+    /** Opens the data directory; {@link #start} starts the threads. Fails with LOG_CORRUPTED, INVALID_SETTING or DISK_FAILED. */
     public ConsensusService(
             ConsensusSettings settings,
             StateMachine stateMachine,
@@ -58,7 +59,7 @@
         this(settings, stateMachine, clock, transport, registry, WriteInterceptor.NONE);
     }
 
-    /** The same, with a guard that is asked before each write. */
+    /** The same, with an interceptor that is called before each write to disk. */
     public ConsensusService(
             ConsensusSettings settings,
             StateMachine stateMachine,
@@ -69,17 +70,17 @@
         long incarnation = new SplittableRandom().nextLong(1, Long.MAX_VALUE);
         this.metrics = new ConsensusMetrics(registry);
         this.directory = new MemberDirectory(settings.members());
-        DiskLog files =
+        DiskLog diskLog =
                 DiskLog.open(settings.dataDirectory(), settings.memberId(), settings.clusterId(), incarnation, guard);
         try {
-            directory.update(files.snapshotMembers());
-            files.storedState().records().forEach(record -> updateDirectory(RecordCodec.wire(record)));
-            this.diskWriter = new DiskWriter("disk-" + settings.memberId(), files, directory, this::enqueueDiskEvent);
-            PeerConnections links = new PeerConnections(transport, settings.electionTimeout(), this::onResponse);
+            directory.update(diskLog.snapshotMembers());
+            diskLog.storedState().records().forEach(record -> updateDirectory(RecordCodec.wire(record)));
+            this.diskWriter = new DiskWriter("disk-" + settings.memberId(), diskLog, directory, this::enqueueDiskEvent);
+            PeerConnections connections = new PeerConnections(transport, settings.electionTimeout(), this::onResponse);
             this.loop = new ConsensusLoop(
-                    settings, stateMachine, clock, files.storedState(), diskWriter, directory, links, metrics);
+                    settings, stateMachine, clock, diskLog.storedState(), diskWriter, directory, connections, metrics);
         } catch (RuntimeException e) {
-            files.close();
+            diskLog.close();
             throw e;
         }
         this.thread = new DutyThread<>(
@@ -93,7 +94,7 @@
         return this;
     }
 
-    /** Takes a request of the consensus protocol from the shared peer port. False, untouched, when it is another's. */
+    /** Enqueues a request of the consensus protocol from the shared peer port. Returns false for any other request. */
     public boolean handle(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
         Optional<Message> message = MessageCodec.message(request);
         request.getAppend().getRecordsList().forEach(this::updateDirectory);
@@ -126,27 +127,30 @@
         loop.addLeadershipListener(listener);
     }
 
-    /** Calls back on the consensus thread after records were applied, before their proposals complete. */
+    /** Calls the listener on the consensus thread after records were applied, before their proposals complete. */
     public void onApplied(LongConsumer listener) {
         loop.addAppliedListener(listener);
     }
 
-    /** The last record applied here. */
+    /** The index of the last record applied on this member. */
     public long appliedIndex() {
         return loop.appliedIndex();
     }
 
-    /** The members as the log has them, with what the leader knows of each one's progress. */
+    /** The members according to the log; on the leader with the replication progress of each member. */
     public List<ControlMember> members() {
         return loop.members();
     }
 
-    /** Calls back on the consensus thread when a member, its incarnation or its right to vote changed. */
+    /** Calls the listener on the consensus thread when a member, its incarnation or its right to vote changed. */
     public void onMembersChange(Consumer<List<ControlMember>> listener) {
         loop.addMembersListener(listener);
     }
 
-    /** Stops the threads and closes the files. What waits fails: LEADERSHIP_LOST, or NOT_LEADER if it was not appended. */
+    /**
+     * Stops the threads and closes the diskLog. Pending appended proposals fail with LEADERSHIP_LOST, all other pending
+     * proposals and reads with NOT_LEADER.
+     */
     @Override
     public void close() {
         thread.close();
@@ -154,7 +158,7 @@
             if (thread.awaitStop(STOP_TIMEOUT)) {
                 loop.close();
             } else {
-                LOG.log(Level.WARNING, "the consensus thread does not stop");
+                LOG.log(Level.WARNING, "the consensus thread did not stop in time");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -162,7 +166,7 @@
         diskWriter.close();
     }
 
-    /** Endpoints of members are needed from the moment that the log names them, committed or not. */
+    /** Takes member endpoints from a record. They are needed as soon as the record is in the log, committed or not. */
     private void updateDirectory(ControlRecord record) {
         directory.update(record.getCommand().getChangeMembers().getMembersList());
     }
@@ -180,12 +184,15 @@
         runOrHalt(loop::tick);
     }
 
-    /** An error in the decision or in applying leaves the state in doubt: this member takes no further part. */
+    /**
+     * Runs a step and halts this member on an error. An error in the consensus node or in the state machine leaves the
+     * state undefined, so the member takes no further part in the log.
+     */
     private void runOrHalt(Runnable work) {
         try {
             work.run();
         } catch (RuntimeException e) {
-            LOG.log(Level.ERROR, "the control log stops on this member", e);
+            LOG.log(Level.ERROR, "an error halts the control log on this member", e);
             loop.halt(FailureException.of(e));
         }
     }
@@ -202,7 +209,7 @@
                 .ifPresent(message -> thread.offer(new ConsensusTask.Event(new ConsensusEvent.Received(message, 0))));
     }
 
-    /** The disk's reports must not be lost: its thread waits until the ring takes them. */
+    /** Enqueues a disk event. Disk events must not be lost, so the disk thread retries while the ring is full. */
     private void enqueueDiskEvent(ConsensusEvent event) {
         ConsensusTask task = new ConsensusTask.Event(event);
         while (!thread.offer(task) && !thread.isClosed()) {
--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusSettings.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusSettings.java
@@ -8,16 +8,17 @@
 import org.hornbeamspread.protocol.schema.ControlMember;
 
 /**
- * What a control member's log is started with.
+ * The settings of one control member's replicated log.
  *
- * @param memberId this member
- * @param clusterId names the log; a data directory of another one is refused
- * @param members the members to form the log with, this one included; once formed, the log's own records decide
- * @param dataDirectory where the log lives; made when absent
- * @param electionTimeout the shortest silence of a leader before an election; each wait is up to twice as long
- * @param heartbeatInterval how often a leader sends
- * @param snapshotIntervalRecords how many records are applied between two snapshots
- * @param mayForm false for a member that joins a log which others form or have formed
+ * @param memberId the id of this member
+ * @param clusterId the id of the cluster; a data directory of another cluster is refused
+ * @param members the initial members, including this one; after the bootstrap the log's own records define the membership
+ * @param dataDirectory the directory of the log; created when absent
+ * @param electionTimeout the minimum time without contact to a leader before an election; each timeout is randomized up to twice
+ *     this value
+ * @param heartbeatInterval the interval of heartbeats from the leader
+ * @param snapshotIntervalRecords the number of applied records between two snapshots
+ * @param mayForm false for a member that joins a cluster which other members bootstrap or have bootstrapped
  */
 public record ConsensusSettings(
         String memberId,
@@ -32,16 +33,16 @@
     private static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(100);
     private static final int SNAPSHOT_INTERVAL_RECORDS = 1_000;
 
-    /** Checks that this member is among the members. */
+    /** Checks that the members include this member. */
     public ConsensusSettings {
         members = List.copyOf(members);
         String id = memberId;
         if (members.stream().noneMatch(member -> member.getMemberId().equals(id))) {
-            throw new FailureException(FailureType.INVALID_SETTING, "members do not name " + memberId);
+            throw new FailureException(FailureType.INVALID_SETTING, "the members do not include " + memberId);
         }
     }
 
-    /** The usual times: an election after 500 to 1000 ms of silence, a heartbeat each 100 ms. */
+    /** Uses the default timings: an election after 500 to 1000 ms without a leader, a heartbeat every 100 ms. */
     public static ConsensusSettings of(
             String memberId, String clusterId, List<ControlMember> members, Path dataDirectory) {
         return new ConsensusSettings(
@@ -55,7 +56,7 @@
                 true);
     }
 
-    /** The same for a member that joins a log which others form or have formed. */
+    /** The same settings for a member that joins a cluster which other members bootstrap or have bootstrapped. */
     public ConsensusSettings joining() {
         return new ConsensusSettings(
                 memberId,
--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusTask.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusTask.java
@@ -8,17 +8,17 @@
 import org.hornbeamspread.protocol.schema.ControlCommand;
 import org.hornbeamspread.protocol.schema.Envelope;
 
-/** What the consensus thread is given. */
+/** A task in the queue of the consensus thread. */
 sealed interface ConsensusTask {
-    /** An event of the disk, or a response. */
+    /** A disk event, or the response of another member. */
     record Event(ConsensusEvent event) implements ConsensusTask {}
 
-    /** A request of another member. */
+    /** A request from another member. */
     record Request(Message message, Consumer<Envelope> answer) implements ConsensusTask {}
 
-    /** A proposal. */
+    /** A command to append to the log. */
     record Propose(ControlCommand command, CompletableFuture<CommandResult> outcome) implements ConsensusTask {}
 
-    /** A read to confirm. */
+    /** A linearizable read that waits for a confirmation of leadership. */
     record ConfirmLeadership(CompletableFuture<Void> outcome) implements ConsensusTask {}
 }
--- a/control/src/main/java/org/hornbeamspread/control/consensus/DiskWriter.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/DiskWriter.java
@@ -14,9 +14,9 @@
 import org.hornbeamspread.runtime.DutyThread;
 
 /**
- * The thread that writes and syncs. The consensus thread hands over one batch at a time and gathers the next one
- * meanwhile, so that the slower the disk, the larger the batches. A full disk is tried again at intervals; until it
- * takes the batch nothing is answered for. A failed disk is not tried again.
+ * Writes and syncs on its own thread. The consensus thread submits one batch at a time and collects the next batch
+ * meanwhile, so a slower disk leads to larger batches. A write that a full disk refuses is retried at an interval; the
+ * batch is not acknowledged before the write succeeds. A failed disk is not retried.
  */
 final class DiskWriter {
     private static final Logger LOG = System.getLogger(DiskWriter.class.getName());
@@ -29,13 +29,13 @@
     private final Consumer<ConsensusEvent> eventListener;
     private final DutyThread<List<ConsensusEffect.Persist>> thread;
 
-    /** What the next batch is made of; the consensus thread's. */
+    /** The batch being collected; used by the consensus thread only. */
     private List<ConsensusEffect.Persist> nextBatch = new ArrayList<>();
 
-    /** Whether a batch is with the disk thread; the consensus thread's. */
+    /** Whether a batch was submitted and is not yet synced; used by the consensus thread only. */
     private boolean isBatchInFlight;
 
-    /** The batch that a full disk refused, empty otherwise; the disk thread's. */
+    /** The batch that the disk refused, empty if none; used by the disk thread only. */
     private List<ConsensusEffect.Persist> refusedBatch = List.of();
 
     private boolean failed;
@@ -57,7 +57,7 @@
         submitNextBatch();
     }
 
-    /** Called by the consensus thread when a batch was reported synced. */
+    /** Called by the consensus thread on the event that a batch is synced. */
     void onSynced() {
         isBatchInFlight = false;
         submitNextBatch();
@@ -67,7 +67,7 @@
         thread.close();
         try {
             if (!thread.awaitStop(STOP_TIMEOUT)) {
-                LOG.log(Level.WARNING, "the disk does not come back from a write");
+                LOG.log(Level.WARNING, "the disk thread did not finish a write in time");
                 return;
             }
             diskLog.close();
@@ -90,7 +90,7 @@
         try {
             diskLog.persist(batch, directory.all());
             if (!refusedBatch.isEmpty()) {
-                LOG.log(Level.INFO, "the disk takes writes again");
+                LOG.log(Level.INFO, "the disk accepts writes again");
             }
             refusedBatch = List.of();
             eventListener.accept(
@@ -103,7 +103,7 @@
     private void onFailure(List<ConsensusEffect.Persist> batch, FailureException failure) {
         failed = failure.type() != FailureType.DISK_FULL;
         if (refusedBatch.isEmpty()) {
-            LOG.log(Level.ERROR, "the disk refused a write", failure);
+            LOG.log(Level.ERROR, "a write to the disk failed", failure);
             eventListener.accept(new ConsensusEvent.StorageStalled(failure.type()));
         }
         refusedBatch = batch;
--- a/control/src/main/java/org/hornbeamspread/control/consensus/MemberDirectory.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/MemberDirectory.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.hornbeamspread.protocol.schema.ControlMember;
 
-/** Where the members are reached. Safe for any thread. */
+/** The endpoints of the members by member id. Thread-safe. */
 final class MemberDirectory {
     private final Map<String, ControlMember> members = new ConcurrentHashMap<>();
 
@@ -14,9 +14,9 @@
         update(members);
     }
 
-    /** Takes endpoints over; a member without one keeps what is known. */
-    void update(List<ControlMember> learned) {
-        learned.stream().filter(ControlMember::hasPeer).forEach(member -> members.put(member.getMemberId(), member));
+    /** Replaces the endpoints of the given members; a member without an endpoint keeps the present one. */
+    void update(List<ControlMember> updates) {
+        updates.stream().filter(ControlMember::hasPeer).forEach(member -> members.put(member.getMemberId(), member));
     }
 
     Optional<ControlMember> find(String memberId) {
--- a/control/src/main/java/org/hornbeamspread/control/consensus/MessageCodec.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/MessageCodec.java
@@ -18,11 +18,11 @@
 import org.hornbeamspread.protocol.schema.Vote;
 import org.hornbeamspread.protocol.schema.VoteAnswer;
 
-/** Conversions between envelopes and the messages of the consensus decision. */
+/** Conversions between envelopes and the messages of the consensus node. */
 final class MessageCodec {
     private MessageCodec() {}
 
-    /** The message in an envelope; empty when it is not one of the consensus protocol. */
+    /** The message in an envelope; empty when the envelope is not part of the consensus protocol. */
     static Optional<Message> message(Envelope envelope) {
         return switch (envelope.getBodyCase()) {
             case VOTE -> Optional.of(vote(envelope.getVote()));
@@ -43,7 +43,7 @@
     /**
      * The envelope of a message.
      *
-     * @param endpoints of the members, to go with a snapshot
+     * @param endpoints the members with their endpoints, which are sent along with a snapshot
      */
     static Envelope envelope(Message message, List<ControlMember> endpoints) {
         Envelope.Builder envelope = Envelope.newBuilder();
--- a/control/src/main/java/org/hornbeamspread/control/consensus/PeerConnections.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/PeerConnections.java
@@ -11,9 +11,9 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * The connections to the other members. A message to a member that can't be reached is dropped; the decision sends
- * again in time. A few wait for a connection that is being opened, so that a first request for a vote is not lost. Used
- * by the consensus thread; answers come on network threads.
+ * The connections to the other members. A message to an unreachable member is dropped; the consensus node sends again
+ * later. A few messages are queued while a connection is being opened, so that the first vote request is not lost. Used
+ * by the consensus thread; responses arrive on network threads.
  */
 final class PeerConnections {
     private static final int MAX_QUEUED_MESSAGES = 16;
@@ -23,7 +23,7 @@
     private final Consumer<Envelope> onResponse;
     private final Map<Endpoint, CompletableFuture<PeerConnection>> connections = new HashMap<>();
 
-    /** How many messages wait for each connection that is being opened. */
+    /** The number of messages queued for each connection that is being opened. */
     private final Map<Endpoint, Integer> queuedMessages = new HashMap<>();
 
     PeerConnections(PeerTransport transport, Duration connectTimeout, Consumer<Envelope> onAnswer) {
@@ -32,7 +32,7 @@
         this.onResponse = onAnswer;
     }
 
-    /** Sends, once the connection is open. */
+    /** Sends a request once the connection is open. */
     void send(Endpoint endpoint, Envelope request, Duration timeout) {
         CompletableFuture<PeerConnection> connection = connections.get(endpoint);
         if (connection == null || isBroken(connection)) {
--- a/control/src/main/java/org/hornbeamspread/control/consensus/PendingProposals.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/PendingProposals.java
@@ -8,7 +8,7 @@
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** The proposals and reads that wait for their outcome. Used by the consensus thread. */
+/** The proposals and reads whose outcome is pending. Used by the consensus thread. */
 final class PendingProposals {
     private final ConsensusMetrics metrics;
     private final Map<Long, CompletableFuture<CommandResult>> unappended = new HashMap<>();
@@ -45,14 +45,14 @@
     }
 
     void onApplied(long index, long term, CommandResult result) {
-        AppendedProposal waiting = appended.remove(index);
-        if (waiting == null) {
+        AppendedProposal proposal = appended.remove(index);
+        if (proposal == null) {
             return;
         }
-        if (waiting.term() == term) {
-            waiting.outcome().complete(result);
+        if (proposal.term() == term) {
+            proposal.outcome().complete(result);
         } else {
-            fail(waiting.outcome(), leadershipLost(waiting.term()));
+            fail(proposal.outcome(), leadershipLost(proposal.term()));
         }
     }
 
@@ -70,22 +70,26 @@
         }
     }
 
-    /** Fails what was placed at other terms than the one this member leads in; 0 when it leads in none. */
+    /**
+     * Fails the proposals appended in any other term than the one in which this member leads.
+     *
+     * @param leadingTerm the term in which this member leads, 0 when it does not lead
+     */
     void onLeadershipChange(long leadingTerm) {
-        Iterator<AppendedProposal> waiting = appended.values().iterator();
-        while (waiting.hasNext()) {
-            AppendedProposal proposal = waiting.next();
+        Iterator<AppendedProposal> proposals = appended.values().iterator();
+        while (proposals.hasNext()) {
+            AppendedProposal proposal = proposals.next();
             if (proposal.term() != leadingTerm) {
-                waiting.remove();
+                proposals.remove();
                 fail(proposal.outcome(), leadershipLost(proposal.term()));
             }
         }
     }
 
-    /** Fails everything, as the log stops. */
+    /** Fails all pending proposals and reads because the log stops. */
     void close() {
         onLeadershipChange(0);
-        FailureException stopped = new FailureException(FailureType.NOT_LEADER, "the log is stopped");
+        FailureException stopped = new FailureException(FailureType.NOT_LEADER, "the log has stopped");
         unappended.values().forEach(outcome -> fail(outcome, stopped));
         reads.values().forEach(outcome -> fail(outcome, stopped));
         unappended.clear();
@@ -101,6 +105,6 @@
         return new FailureException(FailureType.LEADERSHIP_LOST, "term " + term);
     }
 
-    /** A proposal that has its place in the log. */
+    /** A proposal appended to the log and not yet applied. */
     private record AppendedProposal(long term, CompletableFuture<CommandResult> outcome) {}
 }
--- a/control/src/main/java/org/hornbeamspread/control/consensus/package-info.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/package-info.java
@@ -1,2 +1,2 @@
-/** Runs the consensus decision on its threads, with the control members' connections and the disk. */
+/** Runs the consensus node on its threads and connects the node to the other control members and to the disk. */
 package org.hornbeamspread.control.consensus;
--- a/control/src/test/java/org/hornbeamspread/control/consensus/ConsensusServiceTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/consensus/ConsensusServiceTest.java
@@ -106,7 +106,8 @@
             cluster.startAll();
             String leader = cluster.awaitLeader();
             propose(cluster, leader, "before");
-            // The leader's first record, the members and "before", in some order: no change is in progress then.
+            // Records 1 to 3 are the leader's first record, the members and "before", in any order; after them no
+            // membership change is in progress.
             cluster.awaitApplied(leader, 3);
             String gone = leader.equals("c3") ? "c2" : "c3";
             cluster.stop(gone);
@@ -142,7 +143,8 @@
             });
             cluster.awaitLeader();
             propose(cluster, "c1", "before");
-            // Else one of the leader's own records, its first and the members, meets the full disk.
+            // Otherwise one of the leader's own records, its first record and the members, would be written to the full
+            // disk.
             cluster.awaitApplied("c1", 3);
             full.set(true);
             assertThat(failure(cluster, "unsure")).isEqualTo(FailureType.LEADERSHIP_LOST);
--- a/control/src/test/java/org/hornbeamspread/control/consensus/LogBenchmark.java
+++ b/control/src/test/java/org/hornbeamspread/control/consensus/LogBenchmark.java
@@ -16,7 +16,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Times a log of three members on loopback with real files. Not among the tests; run it by name:
+ * Measures latency and throughput of a log of three members on loopback with real files. Not part of the test run; start
+ * it by name:
  * {@code mvn -o -Dfast test -pl control -am -Dtest=LogBenchmark -Dsurefire.failIfNoSpecifiedTests=false}.
  */
 final class LogBenchmark {
@@ -50,22 +51,22 @@
         }
     }
 
-    /** From the leader's end, without a word to the others, to the first record that the next one applied. */
+    /** Measures the time from an unannounced stop of the leader to the first record that the next leader applies. */
     @Test
     void leaderLoss() {
         try (LogCluster cluster = new LogCluster(directory, 3, 5_000)) {
             cluster.startAll();
             List<Long> gapsNs = new ArrayList<>();
             for (int i = 0; i < LEADER_LOSSES; i++) {
-                String lost = cluster.awaitLeader();
-                LogCluster.await(cluster.log(lost).propose(command(i)));
-                cluster.stop(lost);
+                String stoppedLeader = cluster.awaitLeader();
+                LogCluster.await(cluster.log(stoppedLeader).propose(command(i)));
+                cluster.stop(stoppedLeader);
                 long startNs = System.nanoTime();
                 String next = cluster.awaitLeader();
                 LogCluster.await(cluster.log(next).propose(command(i)));
                 gapsNs.add(System.nanoTime() - startNs);
-                cluster.start(lost);
-                cluster.awaitApplied(lost, cluster.log(next).appliedIndex());
+                cluster.start(stoppedLeader);
+                cluster.awaitApplied(stoppedLeader, cluster.log(next).appliedIndex());
             }
             System.out.printf(
                     "gap after a leader's loss, %d losses: p50 %.0f ms, max %.0f ms%n",
@@ -74,20 +75,20 @@
     }
 
     private static List<Long> propose(ConsensusService log, int inFlight, long durationNs) {
-        Semaphore free = new Semaphore(inFlight);
+        Semaphore permits = new Semaphore(inFlight);
         ConcurrentLinkedQueue<Long> latenciesNs = new ConcurrentLinkedQueue<>();
         long startNs = System.nanoTime();
         for (int i = 0; i < MAX_RECORDS && System.nanoTime() - startNs < durationNs; i++) {
-            free.acquireUninterruptibly();
+            permits.acquireUninterruptibly();
             long proposedNs = System.nanoTime();
             log.propose(command(i)).whenComplete((result, failure) -> {
                 if (failure == null) {
                     latenciesNs.add(System.nanoTime() - proposedNs);
                 }
-                free.release();
+                permits.release();
             });
         }
-        free.acquireUninterruptibly(inFlight);
+        permits.acquireUninterruptibly(inFlight);
         return new ArrayList<>(latenciesNs);
     }
 
@@ -104,7 +105,7 @@
     private static double percentileMs(List<Long> valuesNs, double percentile) {
         List<Long> sorted = new ArrayList<>(valuesNs);
         Collections.sort(sorted);
-        int place = (int) Math.ceil(percentile * sorted.size()) - 1;
-        return sorted.isEmpty() ? 0 : sorted.get(Math.max(0, place)) / NS_PER_MS;
+        int index = (int) Math.ceil(percentile * sorted.size()) - 1;
+        return sorted.isEmpty() ? 0 : sorted.get(Math.max(0, index)) / NS_PER_MS;
     }
 }
--- a/control/src/test/java/org/hornbeamspread/control/consensus/LogCluster.java
+++ b/control/src/test/java/org/hornbeamspread/control/consensus/LogCluster.java
@@ -20,14 +20,14 @@
 import org.hornbeamspread.transport.PeerServer;
 import org.hornbeamspread.transport.PeerTransport;
 
-/** Members of one log on loopback, with real files. */
+/** The members of one replicated log on loopback, with real files. */
 final class LogCluster implements AutoCloseable {
     static final Duration TIMEOUT = Duration.ofSeconds(60);
 
     private final PeerTransport transport = new PeerTransport(2);
     private final Path directory;
     private final int snapshotIntervalRecords;
-    /** The members that the log is formed with. */
+    /** The members that the log is bootstrapped with. */
     private final List<ControlMember> initialMembers = new ArrayList<>();
 
     private final Map<String, PeerServer> servers = new TreeMap<>();
@@ -51,14 +51,14 @@
     }
 
     void start(String memberId, List<ControlMember> members, WriteInterceptor guard) {
-        ConsensusSettings usual = ConsensusSettings.of(memberId, "test", members, directory(memberId));
+        ConsensusSettings defaults = ConsensusSettings.of(memberId, "test", members, directory(memberId));
         ConsensusSettings settings = new ConsensusSettings(
                 memberId,
-                usual.clusterId(),
+                defaults.clusterId(),
                 members,
-                usual.dataDirectory(),
-                usual.electionTimeout(),
-                usual.heartbeatInterval(),
+                defaults.dataDirectory(),
+                defaults.electionTimeout(),
+                defaults.heartbeatInterval(),
                 snapshotIntervalRecords,
                 true);
         ControlStateMachine state = new ControlStateMachine();
@@ -94,7 +94,7 @@
         return future.orTimeout(TIMEOUT.toSeconds(), TimeUnit.SECONDS).join();
     }
 
-    /** Waits for a running member that leads. */
+    /** Waits until a running member leads and returns its id. */
     String awaitLeader() {
         CompletableFuture<String> leader = new CompletableFuture<>();
         running.forEach((id, member) -> {
@@ -110,7 +110,7 @@
         return await(leader);
     }
 
-    /** Completes once a member has the members so. */
+    /** Completes with the members of the log as a member holds them, once they match. */
     CompletableFuture<List<ControlMember>> membersMatching(String memberId, Predicate<List<ControlMember>> wanted) {
         CompletableFuture<List<ControlMember>> reached = new CompletableFuture<>();
         Consumer<List<ControlMember>> check = present -> {
@@ -123,7 +123,7 @@
         return reached;
     }
 
-    /** Waits until a member has applied a record. */
+    /** Waits until a member has applied the record at an index. */
     void awaitApplied(String memberId, long index) {
         CompletableFuture<Void> reached = new CompletableFuture<>();
         log(memberId).onApplied(applied -> {
@@ -144,7 +144,7 @@
         transport.close();
     }
 
-    /** Gives a member its endpoint. */
+    /** Opens the peer port of a member and returns the member with its endpoint. */
     ControlMember listen(String memberId) {
         AtomicReference<ConsensusService> handler = new AtomicReference<>();
         PeerServer server = transport
@@ -163,6 +163,6 @@
                 .build();
     }
 
-    /** A member that runs. */
+    /** A running member. */
     private record RunningMember(ConsensusService log, ControlStateMachine state) {}
 }
