--- a/control/src/main/java/org/hornbeamspread/control/storage/ChecksummedFiles.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/ChecksummedFiles.java
@@ -13,23 +13,26 @@
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** Small files of one directory that are replaced as a whole: written aside, synced, renamed, directory synced. */
+/**
+ * Small files of one directory that are replaced atomically: the new content is written to a temporary file, which is
+ * synced and renamed, then the directory is synced.
+ */
 final class ChecksummedFiles {
     private static final String TEMPORARY_SUFFIX = ".new";
 
     private final Path directory;
-    private final WriteInterceptor guard;
+    private final WriteInterceptor interceptor;
 
-    ChecksummedFiles(Path directory, WriteInterceptor guard) {
+    ChecksummedFiles(Path directory, WriteInterceptor interceptor) {
         this.directory = directory;
-        this.guard = guard;
+        this.interceptor = interceptor;
     }
 
     Path path(String name) {
         return directory.resolve(name);
     }
 
-    /** The body of a file of one frame; empty when there is no such file. Fails with LOG_CORRUPTED. */
+    /** The body of a file with a single frame; empty when the file does not exist. Fails with LOG_CORRUPTED. */
     Optional<byte[]> read(String name) throws IOException {
         Path path = path(name);
         if (!Files.exists(path)) {
@@ -43,25 +46,25 @@
         return body;
     }
 
-    /** Replaces a file by one of the given frames. */
+    /** Replaces a file atomically by one frame for each body. */
     void replace(String name, List<byte[]> bodies) throws IOException {
-        Path aside = path(name + TEMPORARY_SUFFIX);
+        Path temporary = path(name + TEMPORARY_SUFFIX);
         try (FileChannel channel = FileChannel.open(
-                aside, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
+                temporary, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE)) {
             for (byte[] body : bodies) {
                 write(channel, Frame.encode(body));
             }
             channel.force(true);
         } catch (IOException e) {
-            Files.deleteIfExists(aside);
+            Files.deleteIfExists(temporary);
             throw e;
         }
-        Files.move(aside, path(name), StandardCopyOption.ATOMIC_MOVE);
+        Files.move(temporary, path(name), StandardCopyOption.ATOMIC_MOVE);
         syncDirectory();
     }
 
     void write(FileChannel channel, ByteBuffer bytes) throws IOException {
-        guard.beforeWrite(bytes.remaining());
+        interceptor.beforeWrite(bytes.remaining());
         while (bytes.hasRemaining()) {
             channel.write(bytes);
         }
@@ -77,7 +80,7 @@
         return new FailureException(FailureType.LOG_CORRUPTED, file.getFileName() + " at byte " + offset);
     }
 
-    /** DISK_FULL when the disk says so, else DISK_FAILED. */
+    /** Maps an I/O error to DISK_FULL if its message reports a lack of space or an exceeded quota, else to DISK_FAILED. */
     static FailureException toFailure(IOException error) {
         String message = String.valueOf(error.getMessage());
         boolean full = message.toLowerCase(Locale.ROOT).contains("no space left")
--- a/control/src/main/java/org/hornbeamspread/control/storage/DiskLog.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/DiskLog.java
@@ -25,10 +25,10 @@
 import org.hornbeamspread.protocol.schema.Vote;
 
 /**
- * A control member's data directory. It holds {@code identity} (whose it is), {@code formed}, {@code vote},
- * {@code snapshot} and {@code log}; each has checksums, and the first four are replaced as a whole. The identity is
- * written last when the directory is made, so that one with an identity but without a log has lost it. Used by one
- * thread after it is opened.
+ * The data directory of a control member. It holds the files {@code identity} (cluster, member and incarnation that own
+ * the directory), {@code formed} (the initial membership), {@code vote}, {@code snapshot} and {@code log}. Each file has
+ * checksums; the first four are replaced atomically. The identity is written last when the directory is created, so a
+ * directory with an identity but without a log has lost its log. Used by a single thread after it is opened.
  */
 public final class DiskLog implements AutoCloseable {
     private static final String IDENTITY = "identity";
@@ -54,18 +54,18 @@
     }
 
     /**
-     * Opens a data directory, or makes it when it is empty. Fails with INVALID_SETTING when it is another member's or
-     * in use, LOG_CORRUPTED, DISK_FULL or DISK_FAILED.
+     * Opens a data directory and creates its files if it is empty. Fails with INVALID_SETTING when the directory belongs
+     * to another member or is in use, and with LOG_CORRUPTED, DISK_FULL or DISK_FAILED.
      *
-     * @param newIncarnation the incarnation to take when the directory is empty
+     * @param newIncarnation the incarnation of this member if the directory is empty
      */
     public static DiskLog open(
-            Path directory, String memberId, String clusterId, long newIncarnation, WriteInterceptor guard) {
+            Path directory, String memberId, String clusterId, long newIncarnation, WriteInterceptor interceptor) {
         try {
             Files.createDirectories(directory);
             FileChannel lock = lock(directory.resolve(LOCK));
             try {
-                return open(new ChecksummedFiles(directory, guard), lock, memberId, clusterId, newIncarnation);
+                return open(new ChecksummedFiles(directory, interceptor), lock, memberId, clusterId, newIncarnation);
             } catch (IOException | RuntimeException e) {
                 lock.close();
                 throw e;
@@ -75,7 +75,7 @@
         }
     }
 
-    /** What the directory held when it was opened. */
+    /** The content of the directory when it was opened. */
     public StoredState storedState() {
         return storedState;
     }
@@ -86,10 +86,11 @@
     }
 
     /**
-     * Writes and syncs in one go. Fails with DISK_FULL, after which the same call may be repeated, or DISK_FAILED, after
-     * which nothing may be written or answered any more.
+     * Writes and syncs a batch. Fails with DISK_FULL, after which the same call may be repeated, or with DISK_FAILED,
+     * after which this member must neither write nor acknowledge anything.
      *
-     * @param members for the endpoints that go with a snapshot
+     * @param persists the batch, oldest first
+     * @param members the members with their endpoints, which are stored with a snapshot
      */
     public void persist(List<ConsensusEffect.Persist> persists, List<ControlMember> members) {
         try {
@@ -143,10 +144,10 @@
 
     private static StoredState load(ChecksummedFiles files, long incarnation, InstallSnapshot wire) throws IOException {
         Vote vote = Vote.parseFrom(readRequired(files, VOTE));
-        Optional<byte[]> formed = files.read(INITIAL_MEMBERSHIP);
-        Optional<Membership> members = formed.isPresent()
+        Optional<byte[]> initialMembership = files.read(INITIAL_MEMBERSHIP);
+        Optional<Membership> members = initialMembership.isPresent()
                 ? Optional.of(RecordCodec.membership(
-                        ChangeMembers.parseFrom(formed.get()).getMembersList()))
+                        ChangeMembers.parseFrom(initialMembership.get()).getMembersList()))
                 : Optional.empty();
         Snapshot snapshot = snapshot(wire);
         if (!Files.exists(files.path(LOG))) {
@@ -159,7 +160,7 @@
         if (reader.baseIndex() > snapshot.lastIndex()) {
             throw ChecksummedFiles.corrupted(files.path(SNAPSHOT), 0);
         }
-        StoredState whole = new StoredState(
+        StoredState state = new StoredState(
                 incarnation,
                 members,
                 vote.getTerm(),
@@ -172,28 +173,31 @@
             return whole;
         }
         files.replace(LOG, List.of(LogReader.encodeBase(snapshot.lastIndex(), snapshot.lastTerm())));
-        return withoutRecords(whole);
+        return withoutRecords(state);
     }
 
-    /** A crash between the two files of a rewrite leaves a log that does not reach, or contradicts, the snapshot. */
+    /**
+     * Whether the log contains, or starts at, the last record of the snapshot, with the same term. After a crash between
+     * the two files of a rewrite the log may end before the snapshot or conflict with the snapshot.
+     */
     private static boolean reachesSnapshot(LogReader reader, Snapshot snapshot) {
-        long place = snapshot.lastIndex() - reader.baseIndex();
-        if (place == 0) {
+        long offset = snapshot.lastIndex() - reader.baseIndex();
+        if (offset == 0) {
             return reader.baseTerm() == snapshot.lastTerm();
         }
-        return place <= reader.records().size()
-                && reader.records().get((int) place - 1).term() == snapshot.lastTerm();
+        return offset <= reader.records().size()
+                && reader.records().get((int) offset - 1).term() == snapshot.lastTerm();
     }
 
-    private static StoredState withoutRecords(StoredState whole) {
+    private static StoredState withoutRecords(StoredState state) {
         return new StoredState(
-                whole.incarnation(),
-                whole.initialMembership(),
-                whole.term(),
-                whole.votedFor(),
-                whole.snapshot(),
-                whole.snapshot().lastIndex(),
-                whole.snapshot().lastTerm(),
+                state.incarnation(),
+                state.initialMembership(),
+                state.term(),
+                state.votedFor(),
+                state.snapshot(),
+                state.snapshot().lastIndex(),
+                state.snapshot().lastTerm(),
                 List.of());
     }
 
@@ -225,7 +229,7 @@
         if (!identity.getMemberId().equals(owner)) {
             throw new FailureException(
                     FailureType.INVALID_SETTING,
-                    files.path(IDENTITY).getFileName() + " is of " + identity.getMemberId() + ", not of " + owner);
+                    files.path(IDENTITY).getFileName() + " belongs to " + identity.getMemberId() + ", not to " + owner);
         }
         return identity.getIncarnation();
     }
@@ -252,7 +256,7 @@
                 return channel;
             }
         } catch (OverlappingFileLockException e) {
-            // Held by this process: refused as when another process holds it.
+            // The lock is held by this process: fails as if another process held the lock.
         }
         channel.close();
         throw new FailureException(FailureType.INVALID_SETTING, "the data directory is in use");
@@ -267,10 +271,10 @@
     }
 
     private void writeInitialMembership(Membership members) throws IOException {
-        ChangeMembers formed = ChangeMembers.newBuilder()
+        ChangeMembers wire = ChangeMembers.newBuilder()
                 .addAllMembers(RecordCodec.wire(members))
                 .build();
-        files.replace(INITIAL_MEMBERSHIP, List.of(formed.toByteArray()));
+        files.replace(INITIAL_MEMBERSHIP, List.of(wire.toByteArray()));
     }
 
     private void rewrite(ConsensusEffect.Rewrite rewrite, List<ControlMember> endpoints) throws IOException {
@@ -296,11 +300,11 @@
         if (records.isEmpty()) {
             return;
         }
-        long before = log.position();
+        long previousEnd = log.position();
         try {
             files.write(log, Frame.encode(LogReader.encodeRecords(records)));
         } catch (IOException e) {
-            log.truncate(before);
+            log.truncate(previousEnd);
             throw e;
         }
         try {
@@ -310,15 +314,15 @@
         }
     }
 
-    /** The wire form of members, with the endpoints that are known. */
+    /** The wire form of a membership, with the endpoints of the members that have one in the list. */
     public static List<ControlMember> withEndpoints(Membership membership, List<ControlMember> endpoints) {
         return RecordCodec.wire(membership).stream()
                 .map(member -> endpoints.stream()
-                        .filter(known -> known.getMemberId().equals(member.getMemberId()))
+                        .filter(candidate -> candidate.getMemberId().equals(member.getMemberId()))
                         .findFirst()
-                        .map(known -> member.toBuilder()
-                                .setPeer(known.getPeer())
-                                .setHttp(known.getHttp())
+                        .map(candidate -> member.toBuilder()
+                                .setPeer(candidate.getPeer())
+                                .setHttp(candidate.getHttp())
                                 .build())
                         .orElse(member))
                 .toList();
--- a/control/src/main/java/org/hornbeamspread/control/storage/Frame.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/Frame.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.zip.CRC32C;
 
-/** A checked run of bytes in a file: mark, length, CRC-32C of the body, body. */
+/** A checksummed block of a file: magic number, length of the body, CRC-32C of the body, body. */
 final class Frame {
     static final int HEADER_BYTES = 12;
     private static final int MAGIC_NUMBER = 0x48424c47;
@@ -20,16 +20,16 @@
         return frame.flip();
     }
 
-    /** The body of the frame at an offset, if a whole and sound one is there. */
+    /** The body of the frame at an offset; empty unless the frame there is complete and its checksum is valid. */
     static Optional<byte[]> decode(byte[] file, int offset) {
         if (file.length - offset < HEADER_BYTES) {
             return Optional.empty();
         }
         ByteBuffer header = ByteBuffer.wrap(file, offset, HEADER_BYTES);
-        int mark = header.getInt();
+        int magic = header.getInt();
         int length = header.getInt();
         int checksum = header.getInt();
-        if (mark != MAGIC_NUMBER || length < 0 || length > file.length - offset - HEADER_BYTES) {
+        if (magic != MAGIC_NUMBER || length < 0 || length > file.length - offset - HEADER_BYTES) {
             return Optional.empty();
         }
         int start = offset + HEADER_BYTES;
@@ -41,11 +41,11 @@
         return Optional.of(body);
     }
 
-    /** Whether a sound frame begins anywhere behind an offset. */
+    /** Whether a complete frame with a valid checksum starts anywhere after an offset. */
     static boolean validFrameExistsAfter(byte[] file, int offset) {
-        for (int at = offset + 1; at <= file.length - HEADER_BYTES; at++) {
-            boolean marked = ByteBuffer.wrap(file, at, Integer.BYTES).getInt() == MAGIC_NUMBER;
-            if (marked && decode(file, at).isPresent()) {
+        for (int position = offset + 1; position <= file.length - HEADER_BYTES; position++) {
+            boolean hasMagic = ByteBuffer.wrap(file, position, Integer.BYTES).getInt() == MAGIC_NUMBER;
+            if (hasMagic && decode(file, position).isPresent()) {
                 return true;
             }
         }
--- a/control/src/main/java/org/hornbeamspread/control/storage/LogReader.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/LogReader.java
@@ -13,9 +13,10 @@
 import org.hornbeamspread.protocol.schema.ControlRecord;
 
 /**
- * Reads a log file: a frame with the base, then one frame for each sync. A frame is written only after the one before
- * it was synced. So an unsound frame with a sound one behind it was synced once and is corrupted; without one it is
- * taken for a write that was never synced, nor answered for, and cut off.
+ * Reads a log file: a frame with the base index and term, then one frame for each sync. A frame is written only after the
+ * previous frame was synced. So an invalid frame with a valid frame after it had been synced and is corrupted. An invalid
+ * frame without a valid frame after it is treated as a torn write that was neither synced nor acknowledged, and is cut
+ * off.
  */
 final class LogReader {
     private final Path path;
@@ -23,7 +24,7 @@
     private long baseIndex;
     private long baseTerm;
 
-    /** Where the sound part of the file ends. */
+    /** The length of the valid part of the file. */
     private int validBytes;
 
     LogReader(Path path) {
@@ -37,9 +38,9 @@
         if (base.isEmpty() || base.get().length != 2 * Long.BYTES) {
             throw ChecksummedFiles.corrupted(path, 0);
         }
-        ByteBuffer numbers = ByteBuffer.wrap(base.get());
-        baseIndex = numbers.getLong();
-        baseTerm = numbers.getLong();
+        ByteBuffer header = ByteBuffer.wrap(base.get());
+        baseIndex = header.getLong();
+        baseTerm = header.getLong();
         validBytes = Frame.HEADER_BYTES + base.get().length;
         while (validBytes < file.length) {
             Optional<byte[]> body = Frame.decode(file, validBytes);
@@ -89,11 +90,11 @@
             throw ChecksummedFiles.corrupted(path, validBytes);
         }
         for (ControlRecord wire : frame.getRecordsList()) {
-            long place = wire.getIndex() - baseIndex - 1;
-            if (place < 0 || place > records.size()) {
+            long position = wire.getIndex() - baseIndex - 1;
+            if (position < 0 || position > records.size()) {
                 throw ChecksummedFiles.corrupted(path, validBytes);
             }
-            records.subList((int) place, records.size()).clear();
+            records.subList((int) position, records.size()).clear();
             records.add(RecordCodec.record(wire));
         }
     }
--- a/control/src/main/java/org/hornbeamspread/control/storage/RecordCodec.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/RecordCodec.java
@@ -23,14 +23,14 @@
 
     private RecordCodec() {}
 
-    /** A record from its wire form. A leader's own first record has an empty payload. */
+    /** A record from its wire form. A no-operation command, the first record of each leader, has an empty payload. */
     public static LogRecord record(ControlRecord wire) {
         ControlCommand command = wire.getCommand();
         Payload payload = command.equals(NO_OPERATION) ? Payload.EMPTY : payload(command);
         return new LogRecord(wire.getIndex(), wire.getTerm(), payload, membership(command));
     }
 
-    /** The wire form of a record. Fails with LOG_CORRUPTED when the payload is no command. */
+    /** The wire form of a record. Fails with LOG_CORRUPTED when the payload is not a valid command. */
     public static ControlRecord wire(LogRecord record) {
         return ControlRecord.newBuilder()
                 .setIndex(record.index())
@@ -39,26 +39,26 @@
                 .build();
     }
 
-    /** The payload that carries a command. */
+    /** The payload with a serialized command. */
     public static Payload payload(ControlCommand command) {
         return Payload.copyOf(command.toByteArray());
     }
 
-    /** The members that a command sets, if it does. */
+    /** The membership that a command sets; empty for all commands but a change of members. */
     public static Optional<Membership> membership(ControlCommand command) {
         return command.hasChangeMembers()
                 ? Optional.of(membership(command.getChangeMembers().getMembersList()))
                 : Optional.empty();
     }
 
-    /** Members from their wire form. */
+    /** A membership from its wire form. */
     public static Membership membership(List<ControlMember> wire) {
         return new Membership(wire.stream()
                 .map(member -> new Member(member.getMemberId(), member.getIncarnation(), member.getVoting()))
                 .toList());
     }
 
-    /** The wire form of members, without their endpoints. */
+    /** The wire form of a membership, without endpoints. */
     public static List<ControlMember> wire(Membership membership) {
         return membership.members().stream()
                 .map(member -> ControlMember.newBuilder()
--- a/control/src/main/java/org/hornbeamspread/control/storage/WriteInterceptor.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/WriteInterceptor.java
@@ -2,11 +2,16 @@
 
 import java.io.IOException;
 
-/** Asked before each write of the data directory; fails as the disk would. */
+/** Called before each write to the data directory; an exception simulates an error of the disk. */
 public interface WriteInterceptor {
-    /** Lets every write through. */
+    /** Allows every write. */
     WriteInterceptor NONE = bytes -> {};
 
-    /** Fails with an {@link IOException} to refuse a write of so many bytes. */
+    /**
+     * Called before a write.
+     *
+     * @param bytes the size of the write
+     * @throws IOException to make the write fail
+     */
     void beforeWrite(long bytes) throws IOException;
 }
--- a/control/src/main/java/org/hornbeamspread/control/storage/package-info.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/package-info.java
@@ -1,2 +1,2 @@
-/** The control member's files: identity, vote, snapshot and log, each with checksums and synced before it counts. */
+/** The files of a control member: identity, vote, snapshot and log, checksummed and synced before they take effect. */
 package org.hornbeamspread.control.storage;
--- a/control/src/test/java/org/hornbeamspread/control/storage/DiskLogTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/storage/DiskLogTest.java
@@ -63,17 +63,20 @@
         assertThat(stored.records().stream().map(LogRecord::index).toList()).containsExactly(4L, 5L, 6L);
     }
 
-    /** The log of before the rewrite does not go with a leader's snapshot: nothing of it may count. */
+    /**
+     * A crash after the snapshot and before the log of a rewrite leaves the old log, which conflicts with the snapshot of
+     * the leader. None of its records may be read.
+     */
     @Test
     void aCrashBetweenTheFilesOfARewriteLeavesNoConflictingRecords() throws IOException {
-        byte[] before;
+        byte[] oldLog;
         try (DiskLog log = open()) {
             persist(log, Optional.empty(), records(1, 6, 2));
-            before = Files.readAllBytes(file("log"));
+            oldLog = Files.readAllBytes(file("log"));
             Snapshot installed = new Snapshot(4, 3, MEMBERS, Payload.EMPTY);
             rewrite(log, new ConsensusEffect.Rewrite(installed, 4, 3, List.of()));
         }
-        Files.write(file("log"), before);
+        Files.write(file("log"), oldLog);
         try (DiskLog log = open()) {
             assertThat(log.storedState().records()).isEmpty();
             assertThat(log.storedState().baseIndex()).isEqualTo(4);
@@ -89,8 +92,8 @@
             persist(log, Optional.empty(), records(1, 2, 1));
             persist(log, Optional.empty(), records(3, 3, 1));
         }
-        byte[] whole = Files.readAllBytes(file("log"));
-        Files.write(file("log"), Arrays.copyOf(whole, whole.length - missingBytes));
+        byte[] original = Files.readAllBytes(file("log"));
+        Files.write(file("log"), Arrays.copyOf(original, original.length - missingBytes));
         try (DiskLog log = open()) {
             assertThat(log.storedState().records()).hasSize(2);
             persist(log, Optional.empty(), records(3, 4, 2));
@@ -105,7 +108,8 @@
         "vote, 13, vote at byte 0",
         "identity, 14, identity at byte 0"
     })
-    void corruptionOfSyncedDataIsReportedWithFileAndOffset(String name, int atByte, String place) throws IOException {
+    void corruptionOfSyncedDataIsReportedWithFileAndOffset(String name, int atByte, String fileAndOffset)
+            throws IOException {
         try (DiskLog log = open()) {
             persist(log, vote(3, "c2"), records(1, 2, 1));
             persist(log, Optional.empty(), records(3, 3, 1));
@@ -115,19 +119,19 @@
         Files.write(file(name), bytes);
         FailureException failure = assertThrows(FailureException.class, this::open);
         assertThat(failure.type()).isEqualTo(FailureType.LOG_CORRUPTED);
-        assertThat(failure.detail()).isEqualTo(place);
+        assertThat(failure.detail()).isEqualTo(fileAndOffset);
     }
 
-    /** Any one bit of the log: refused, or taken for a torn last write, but no record is changed. */
+    /** A single flipped bit in the log is either reported or treated as a torn last write; no record is altered. */
     @Test
     void noFlippedBitChangesARecord() throws IOException {
         try (DiskLog log = open()) {
             persist(log, vote(1, "c1"), records(1, 2, 1));
             persist(log, Optional.empty(), records(3, 4, 1));
         }
-        byte[] whole = Files.readAllBytes(file("log"));
-        for (int bit = 0; bit < whole.length * Byte.SIZE; bit++) {
-            byte[] flipped = whole.clone();
+        byte[] original = Files.readAllBytes(file("log"));
+        for (int bit = 0; bit < original.length * Byte.SIZE; bit++) {
+            byte[] flipped = original.clone();
             flipped[bit / Byte.SIZE] ^= (byte) (1 << bit % Byte.SIZE);
             Files.write(file("log"), flipped);
             try (DiskLog log = open()) {
@@ -170,12 +174,12 @@
     @ValueSource(booleans = {true, false})
     void aWriteRefusedByAFullDiskCanBeRepeated(boolean withSnapshot) {
         boolean[] full = {false};
-        WriteInterceptor guard = bytes -> {
+        WriteInterceptor interceptor = bytes -> {
             if (full[0]) {
                 throw new IOException("No space left on device");
             }
         };
-        try (DiskLog log = DiskLog.open(directory, "c1", "test", 5, guard)) {
+        try (DiskLog log = DiskLog.open(directory, "c1", "test", 5, interceptor)) {
             persist(log, Optional.empty(), records(1, 2, 1));
             Snapshot snapshot = new Snapshot(2, 1, MEMBERS, Payload.EMPTY);
             Optional<ConsensusEffect.Rewrite> rewrite = withSnapshot
