--- a/control/src/main/java/org/hornbeamspread/control/state/ConfigurationCodec.java
+++ b/control/src/main/java/org/hornbeamspread/control/state/ConfigurationCodec.java
@@ -13,7 +13,7 @@
 public final class ConfigurationCodec {
     private ConfigurationCodec() {}
 
-    /** From the wire form. */
+    /** A configuration from its wire form. */
     public static DeclaredConfiguration declared(Configuration wire) {
         return new DeclaredConfiguration(
                 wire.getVersion(),
@@ -22,7 +22,7 @@
                 wire.getServicesList().stream().map(ConfigurationCodec::service).toList());
     }
 
-    /** To the wire form. */
+    /** The wire form of a configuration. */
     public static Configuration wire(DeclaredConfiguration declared) {
         Configuration.Builder wire = Configuration.newBuilder().setVersion(declared.version());
         declared.ranks().forEach(rank -> wire.addRanks(wire(rank)));
--- a/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
+++ b/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
@@ -28,12 +28,12 @@
 import org.hornbeamspread.transport.RouteMessages;
 
 /**
- * Applies the control log's records. The outcome depends on the records alone: no clock, no random number, no order of
- * a hash table. Used by the consensus thread; {@link #state()} may be called by it at any time and gives an immutable
- * snapshot to hand to others.
+ * Applies the records of the control log. The outcome depends on the records only, not on a clock, a random number or the
+ * iteration order of a hash table. Used by the consensus thread, which may call {@link #state()} at any time and pass the
+ * immutable result to other threads.
  */
 public final class ControlStateMachine implements StateMachine {
-    /** How long a request id is remembered. */
+    /** The time for which the outcome of a request id is kept. */
     public static final Duration REQUEST_RETENTION = Duration.ofHours(24);
 
     private final ConfigurationStore configuration = new ConfigurationStore();
@@ -45,17 +45,17 @@
     private final RequestOutcomeTable requestOutcomes;
     private List<ControlMember> members = List.of();
 
-    /** The state built so far; null after a change until it is asked for again. */
+    /** The result of the last {@link #state()}; null after a change until the next call. */
     private ControlState cachedState;
 
-    /** Starts empty, with the usual age of request ids. */
+    /** Creates an empty state with the default retention of request ids. */
     public ControlStateMachine() {
         this(REQUEST_RETENTION);
     }
 
-    /** Starts empty. */
-    public ControlStateMachine(Duration replayAge) {
-        this.requestOutcomes = new RequestOutcomeTable(replayAge);
+    /** Creates an empty state. */
+    public ControlStateMachine(Duration requestRetention) {
+        this.requestOutcomes = new RequestOutcomeTable(requestRetention);
     }
 
     @Override
@@ -75,7 +75,7 @@
         return result;
     }
 
-    /** Everything applied so far, immutable. */
+    /** The immutable state after all records applied so far. */
     public ControlState state() {
         if (cachedState == null) {
             cachedState = ControlState.newBuilder()
@@ -143,7 +143,8 @@
             case CHANGE_INSTANCES -> changeInstances(command.getChangeInstances());
             case NO_OPERATION -> Optional.empty();
             case COMMAND_NOT_SET ->
-                Optional.of(new FailureException(FailureType.INVALID_REQUEST, "a command of no known kind"));
+                Optional.of(new FailureException(
+                        FailureType.INVALID_REQUEST, "the kind of the command is not set or unknown"));
         };
     }
 
@@ -152,7 +153,7 @@
                 ConfigurationCodec.declared(change.getConfiguration()), change.getExpectedVersion());
     }
 
-    /** Each group is decided alone; the result fails with WRONG_TERM and names the groups that were passed over. */
+    /** Changes each group independently. If some changes are refused, fails with WRONG_TERM and lists those groups. */
     private Optional<FailureException> setGroupTerms(List<GroupTerm> changes) {
         NavigableSet<String> refused = new TreeSet<>();
         for (GroupTerm change : changes) {
@@ -170,7 +171,10 @@
                 : Optional.of(new FailureException(FailureType.WRONG_TERM, String.join(",", refused)));
     }
 
-    /** The term never goes back, and a term has one primary at most. */
+    /**
+     * Whether a change expects the present term and keeps two rules: the term never decreases, and a term has at most one
+     * primary.
+     */
     private static boolean isValidTransition(GroupTerm present, GroupTerm change) {
         if (change.getExpectedTerm() != present.getTerm() || change.getTerm() < present.getTerm()) {
             return false;
@@ -194,7 +198,7 @@
         return Optional.empty();
     }
 
-    /** The highest version wins; one that is not higher changes nothing, and is not refused. */
+    /** Replaces the routes if the version is higher. A version that is not higher is ignored without a failure. */
     private Optional<FailureException> replaceRoutes(RouteConfigurationDocument change) {
         if (change.getVersion() > routes.getVersion()) {
             routes = change;
--- a/control/src/main/java/org/hornbeamspread/control/state/RequestOutcomeTable.java
+++ b/control/src/main/java/org/hornbeamspread/control/state/RequestOutcomeTable.java
@@ -16,8 +16,8 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * The first outcome of each request id, so that a resend gets it again. Entries expire by age; the age counts from the
- * latest time in the records themselves, so that every member drops the same entry at the same record.
+ * The first outcome of each request id, which is returned again to a retry of the request. Entries expire by age. The age
+ * is relative to the latest time in the records, not to a clock, so every member drops an entry at the same record.
  */
 final class RequestOutcomeTable {
     private final long maxAgeMs;
@@ -28,7 +28,7 @@
         this.maxAgeMs = maxAge.toMillis();
     }
 
-    /** Moves the table's time forward and drops what is too old. */
+    /** Advances the time of the table and drops expired entries. */
     void advanceTime(long proposedAtMs) {
         latestProposedAtMs = Math.max(latestProposedAtMs, proposedAtMs);
         Iterator<ReplayedRequest> oldestFirst = outcomes.values().iterator();
@@ -37,7 +37,10 @@
         }
     }
 
-    /** The outcome for a request id that was seen before. */
+    /**
+     * The stored outcome for the request id of a command; empty for a new request id. The outcome is a
+     * REQUEST_ID_REUSED failure if the earlier command with this request id had another body.
+     */
     Optional<CommandResult> find(ControlCommand command) {
         ReplayedRequest first = outcomes.get(command.getRequestId());
         if (first == null) {
@@ -52,7 +55,7 @@
         return Optional.of(new CommandResult(first.getVersion(), true, failure));
     }
 
-    /** Keeps a first outcome. The entry takes the table's time, so that entries stay in order of age. */
+    /** Stores a first outcome. The entry is given the time of the table, so that the entries stay ordered by age. */
     void put(ControlCommand command, CommandResult result) {
         ReplayedRequest.Builder request = ReplayedRequest.newBuilder()
                 .setRequestId(command.getRequestId())
--- a/control/src/main/java/org/hornbeamspread/control/state/package-info.java
+++ b/control/src/main/java/org/hornbeamspread/control/state/package-info.java
@@ -1,2 +1,2 @@
-/** The state that the control log's records build: configuration, group terms, registry of databases, members. */
+/** The replicated state that results from the control log: configuration, group terms, database registry, members. */
 package org.hornbeamspread.control.state;
--- a/control/src/test/java/org/hornbeamspread/control/state/ControlStateMachineTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/state/ControlStateMachineTest.java
@@ -48,7 +48,7 @@
                 .isEqualTo(5);
     }
 
-    /** A refusal is a first outcome too. */
+    /** The first outcome may also be a refusal. */
     @ParameterizedTest
     @CsvSource({"0, ", "4, VERSION_CONFLICT"})
     void aRetryReturnsTheFirstOutcomeAlsoAfterASnapshotRestore(long expectedVersion, FailureType failure) {
@@ -57,10 +57,10 @@
         ControlStateMachine restored = new ControlStateMachine(REQUEST_RETENTION);
         restored.restore(machine.snapshot());
         for (ControlStateMachine each : new ControlStateMachine[] {machine, restored}) {
-            CommandResult again = apply(each, change("a", expectedVersion, 5, 2));
-            assertThat(again.replayed()).isTrue();
-            assertThat(again.version()).isEqualTo(first.version());
-            assertThat(type(again)).isEqualTo(Optional.ofNullable(failure));
+            CommandResult retried = apply(each, change("a", expectedVersion, 5, 2));
+            assertThat(retried.replayed()).isTrue();
+            assertThat(retried.version()).isEqualTo(first.version());
+            assertThat(type(retried)).isEqualTo(Optional.ofNullable(failure));
         }
     }
 
@@ -99,7 +99,10 @@
         assertThat(group.getPrimaryId()).isEqualTo(applied ? primaryId : "p");
     }
 
-    /** Random changes, resends and restores: members agree, first outcomes stay, versions only rise. */
+    /**
+     * Random changes, retries and snapshot restores: both members hold equal state, a retry returns the first outcome and
+     * versions never decrease.
+     */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
     void membersHoldEqualStateAndVersionsNeverDecrease(long seed) {
@@ -167,10 +170,11 @@
         apply(machine, instances(born("a", 1, 100)));
         apply(machine, instances(born("a", 1, 200)));
         assertThat(machine.state().getLostCopiesList()).containsExactly(lost("a", 1, 100));
-        ControlState old = machine.state().toBuilder().clearLostCopies().build();
-        machine.restore(old.toByteString());
+        ControlState withoutLostCopies =
+                machine.state().toBuilder().clearLostCopies().build();
+        machine.restore(withoutLostCopies.toByteString());
 
-        assertThat(machine.state()).isEqualTo(old);
+        assertThat(machine.state()).isEqualTo(withoutLostCopies);
         apply(machine, instances(born("b", 2, 100)));
         assertThat(machine.state().getLostCopiesList()).isEmpty();
     }
--- a/control/src/test/java/org/hornbeamspread/control/state/StateSizeBenchmark.java
+++ b/control/src/test/java/org/hornbeamspread/control/state/StateSizeBenchmark.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bytes and times of the state by size. Not among the tests; run it by name, as the log's benchmark. */
+/**
+ * Measures the size of the state and the times to apply, snapshot and restore the state, by number of groups. Not part of
+ * the test run; start it by name like LogBenchmark.
+ */
 final class StateSizeBenchmark {
     private static final int REPEATS = 30;
     private static final int DATABASES_PER_GROUP = 3;
