--- a/control/src/main/java/org/hornbeamspread/control/ControlDaemon.java
+++ b/control/src/main/java/org/hornbeamspread/control/ControlDaemon.java
@@ -25,7 +25,7 @@
 import org.hornbeamspread.transport.PeerServer;
 import org.hornbeamspread.transport.PeerTransport;
 
-/** One running control member: the log, the coordinator, the shared peer port and the HTTP port. */
+/** A running control member: the replicated log, the coordinator, the shared peer port and the HTTP port. */
 public final class ControlDaemon implements AutoCloseable {
     private static final int NETWORK_THREADS = 2;
 
@@ -49,7 +49,7 @@
         this.httpServer = httpServer;
     }
 
-    /** Opens the log and both ports. Fails with the type of what could not be opened. */
+    /** Opens the log and both ports. Fails with the failure type of the part that could not be opened. */
     public static ControlDaemon start(ControlSettings settings, PrometheusRegistry registry) {
         MonotonicClock clock = new MonotonicClock();
         PeerTransport transport = new PeerTransport(NETWORK_THREADS, settings.translator());
@@ -109,7 +109,7 @@
         closed.countDown();
     }
 
-    /** Looks a member up in the log, and while the log does not name it, in the settings. */
+    /** Returns a lookup of a member endpoint: from the log, or from the settings while the log has no such endpoint. */
     private static Function<String, String> endpointLookup(
             ControlSettings settings, ConsensusService log, Function<ControlMember, Endpoint> endpoint) {
         return memberId -> Stream.concat(log.members().stream(), settings.members().stream())
@@ -121,7 +121,7 @@
                 .orElse("");
     }
 
-    /** Gives the log its own requests, and everything else to the coordinator. */
+    /** Routes consensus requests to the log, and all other requests to the coordinator. */
     private record PeerRequestRouter(ConsensusService log, PeerHandler coordinator) implements PeerHandler {
         @Override
         public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
--- a/control/src/main/java/org/hornbeamspread/control/ControlMain.java
+++ b/control/src/main/java/org/hornbeamspread/control/ControlMain.java
@@ -6,13 +6,16 @@
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.runtime.CommandLine;
 
-/** Starts the control daemon; SIGTERM ends it. */
+/** Starts the control daemon, which runs until SIGTERM. */
 public final class ControlMain {
     private static final String BINARY = "hornbeamspread-control";
 
     private ControlMain() {}
 
-    /** SIGTERM reaches a plain JVM process through a shutdown hook only. Exits with 2 when a setting is refused, with 1 when the daemon can't start. */
+    /**
+     * Runs the daemon until SIGTERM, which a JVM process can handle only through a shutdown hook. Exits with status 2 when
+     * a setting is invalid and with status 1 when the daemon can't start.
+     */
     @SuppressWarnings("ShutdownHook")
     public static void main(String[] arguments) {
         ControlOptions options = new ControlOptions();
--- a/control/src/main/java/org/hornbeamspread/control/ReplicatedLog.java
+++ b/control/src/main/java/org/hornbeamspread/control/ReplicatedLog.java
@@ -3,20 +3,21 @@
 import java.util.concurrent.CompletableFuture;
 import org.hornbeamspread.protocol.schema.ControlCommand;
 
-/** The control members' replicated log, as the rest of the daemon sees it. Safe for any thread. */
+/** The replicated log of the control members, as used by the other parts of the daemon. Thread-safe. */
 public interface ReplicatedLog {
     /**
-     * Appends a command, with the present time as its proposed_at_ms if it has none. Completes with the state machine's result once the record is committed and applied here.
-     * Fails with NOT_LEADER before anything was appended, LEADERSHIP_LOST when the outcome is not known.
+     * Appends a command, with the current time as its proposed_at_ms if that is not set. Completes with the result of the
+     * state machine once the record is committed and applied on this member. Fails with NOT_LEADER when nothing was
+     * appended, with LEADERSHIP_LOST when the outcome is unknown.
      */
     CompletableFuture<CommandResult> propose(ControlCommand command);
 
-    /** Completes once a majority confirms that this member still leads and everything committed before is applied here. */
+    /** Completes once a majority confirms that this member still leads, and all records committed before are applied here. */
     CompletableFuture<Void> confirmLeadership();
 
-    /** Who leads, as far as this member knows. */
+    /** The leadership as last observed by this member. */
     Leadership leadership();
 
-    /** Calls back on each change of leadership, on the consensus thread. */
+    /** Registers a listener that is called on the consensus thread at each change of leadership. */
     void onLeadershipChange(java.util.function.Consumer<Leadership> listener);
 }
--- a/control/src/main/java/org/hornbeamspread/control/settings/ControlSettings.java
+++ b/control/src/main/java/org/hornbeamspread/control/settings/ControlSettings.java
@@ -12,18 +12,18 @@
 import org.hornbeamspread.transport.AddressTranslator;
 
 /**
- * The checked settings of the control daemon.
+ * The validated settings of the control daemon.
  *
- * @param memberId this member
- * @param peer where other processes reach it
- * @param http where operators reach it
- * @param failureDomain its failure domain
- * @param region its region
- * @param dataDirectory where its log lives
- * @param members all members, this one included
+ * @param memberId the id of this member
+ * @param peer the endpoint of this member for other processes
+ * @param http the HTTP endpoint of this member for operators
+ * @param failureDomain the failure domain of this member
+ * @param region the region of this member
+ * @param dataDirectory the directory of the log
+ * @param members all members, including this one
  * @param lease how long a proxy may act on a view
- * @param clusterId names the system that the log belongs to
- * @param translator maps announced addresses to reached ones
+ * @param clusterId the id of the system that the log belongs to
+ * @param translator maps announced addresses to reachable ones
  */
 public record ControlSettings(
         String memberId,
@@ -39,7 +39,7 @@
     private static final Duration MIN_LEASE = Duration.ofMillis(100);
     private static final Duration MAX_LEASE = Duration.ofSeconds(10);
 
-    /** Checks what the parts can't check alone. Fails with INVALID_SETTING. */
+    /** Validates the values and their combination. Fails with INVALID_SETTING. */
     public ControlSettings {
         members = List.copyOf(members);
         check(!failureDomain.isEmpty(), "--failure-domain is missing");
@@ -49,12 +49,13 @@
                 lease.compareTo(MIN_LEASE) >= 0 && lease.compareTo(MAX_LEASE) <= 0,
                 "--lease-ms must be " + MIN_LEASE.toMillis() + " to " + MAX_LEASE.toMillis());
         String id = memberId;
-        check(members.stream().anyMatch(member -> member.getMemberId().equals(id)), "--members do not name " + id);
-        long names = members.stream().map(ControlMember::getMemberId).distinct().count();
-        check(names == members.size(), "--members name a member twice");
+        check(members.stream().anyMatch(member -> member.getMemberId().equals(id)), "--members does not contain " + id);
+        long distinctIds =
+                members.stream().map(ControlMember::getMemberId).distinct().count();
+        check(distinctIds == members.size(), "--members contains a member id twice");
     }
 
-    /** Checks the flags. Fails with INVALID_SETTING. */
+    /** Validates and parses the flags. Fails with INVALID_SETTING. */
     public static ControlSettings of(ControlOptions options) {
         check(!options.memberId.isEmpty(), "--member-id is missing");
         check(!options.dataDir.isEmpty(), "--data-dir is missing");
--- a/control/src/main/java/org/hornbeamspread/control/settings/package-info.java
+++ b/control/src/main/java/org/hornbeamspread/control/settings/package-info.java
@@ -1,2 +1,2 @@
-/** What the control daemon is started with. */
+/** The flags and settings of the control daemon. */
 package org.hornbeamspread.control.settings;
