--- a/control/src/main/java/org/hornbeamspread/control/ControlMain.java
+++ b/control/src/main/java/org/hornbeamspread/control/ControlMain.java
@@ -13,8 +13,8 @@
     private ControlMain() {}
 
     /**
-     * Runs the daemon until SIGTERM, which a JVM process can handle only through a shutdown hook. Exits with status 2 when
-     * a setting is invalid and with status 1 when the daemon can't start.
+     * Runs the daemon until SIGTERM, which a JVM process can handle only through a shutdown hook. Exits with status 2
+     * when a setting is invalid and with status 1 when the daemon can't start.
      */
     @SuppressWarnings("ShutdownHook")
     public static void main(String[] arguments) {
--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
@@ -49,7 +49,10 @@
     private final ConsensusMetrics metrics;
     private final DutyThread<ConsensusTask> thread;
 
-    /** Opens the data directory; {@link #start} starts the threads. Fails with LOG_CORRUPTED, INVALID_SETTING or DISK_FAILED. */
+    /**
+     * Opens the data directory; {@link #start} starts the threads. Fails with LOG_CORRUPTED, INVALID_SETTING or
+     * DISK_FAILED.
+     */
     public ConsensusService(
             ConsensusSettings settings,
             StateMachine stateMachine,
--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusSettings.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusSettings.java
@@ -12,13 +12,14 @@
  *
  * @param memberId the id of this member
  * @param clusterId the id of the cluster; a data directory of another cluster is refused
- * @param members the initial members, including this one; after the bootstrap the log's own records define the membership
+ * @param members the initial members, including this one; after the bootstrap the log's own records define the
+ *     membership
  * @param dataDirectory the directory of the log; created when absent
- * @param electionTimeout the minimum time without contact to a leader before an election; each timeout is randomized up to twice
- *     this value
+ * @param electionTimeout the minimum time without contact to a leader before an election; each timeout is randomized up
+ *     to twice this value
  * @param heartbeatInterval the interval of heartbeats from the leader
  * @param snapshotIntervalRecords the number of applied records between two snapshots
- * @param mayForm false for a member that joins a cluster which other members bootstrap or have bootstrapped
+ * @param mayBootstrap false for a member that joins a cluster which other members bootstrap or have bootstrapped
  */
 public record ConsensusSettings(
         String memberId,
--- a/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
+++ b/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
@@ -28,9 +28,9 @@
 import org.hornbeamspread.transport.RouteMessages;
 
 /**
- * Applies the records of the control log. The outcome depends on the records only, not on a clock, a random number or the
- * iteration order of a hash table. Used by the consensus thread, which may call {@link #state()} at any time and pass the
- * immutable result to other threads.
+ * Applies the records of the control log. The outcome depends on the records only, not on a clock, a random number or
+ * the iteration order of a hash table. Used by the consensus thread, which may call {@link #state()} at any time and
+ * pass the immutable result to other threads.
  */
 public final class ControlStateMachine implements StateMachine {
     /** The time for which the outcome of a request id is kept. */
@@ -172,8 +172,8 @@
     }
 
     /**
-     * Whether a change expects the present term and keeps two rules: the term never decreases, and a term has at most one
-     * primary.
+     * Whether a change expects the present term and keeps two rules: the term never decreases, and a term has at most
+     * one primary.
      */
     private static boolean isValidTransition(GroupTerm present, GroupTerm change) {
         if (change.getExpectedTerm() != present.getTerm() || change.getTerm() < present.getTerm()) {
--- a/control/src/main/java/org/hornbeamspread/control/state/RequestOutcomeTable.java
+++ b/control/src/main/java/org/hornbeamspread/control/state/RequestOutcomeTable.java
@@ -16,8 +16,8 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * The first outcome of each request id, which is returned again to a retry of the request. Entries expire by age. The age
- * is relative to the latest time in the records, not to a clock, so every member drops an entry at the same record.
+ * The first outcome of each request id, which is returned again to a retry of the request. Entries expire by age. The
+ * age is relative to the latest time in the records, not to a clock, so every member drops an entry at the same record.
  */
 final class RequestOutcomeTable {
     private final long maxAgeMs;
--- a/control/src/main/java/org/hornbeamspread/control/storage/ChecksummedFiles.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/ChecksummedFiles.java
@@ -80,7 +80,9 @@
         return new FailureException(FailureType.LOG_CORRUPTED, file.getFileName() + " at byte " + offset);
     }
 
-    /** Maps an I/O error to DISK_FULL if its message reports a lack of space or an exceeded quota, else to DISK_FAILED. */
+    /**
+     * Maps an I/O error to DISK_FULL if its message reports a lack of space or an exceeded quota, else to DISK_FAILED.
+     */
     static FailureException toFailure(IOException error) {
         String message = String.valueOf(error.getMessage());
         boolean full = message.toLowerCase(Locale.ROOT).contains("no space left")
--- a/control/src/main/java/org/hornbeamspread/control/storage/DiskLog.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/DiskLog.java
@@ -26,9 +26,9 @@
 
 /**
  * The data directory of a control member. It holds the files {@code identity} (cluster, member and incarnation that own
- * the directory), {@code formed} (the initial membership), {@code vote}, {@code snapshot} and {@code log}. Each file has
- * checksums; the first four are replaced atomically. The identity is written last when the directory is created, so a
- * directory with an identity but without a log has lost its log. Used by a single thread after it is opened.
+ * the directory), {@code formed} (the initial membership), {@code vote}, {@code snapshot} and {@code log}. Each file
+ * has checksums; the first four are replaced atomically. The identity is written last when the directory is created, so
+ * a directory with an identity but without a log has lost its log. Used by a single thread after it is opened.
  */
 public final class DiskLog implements AutoCloseable {
     private static final String IDENTITY = "identity";
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Opens a data directory and creates its files if it is empty. Fails with INVALID_SETTING when the directory belongs
-     * to another member or is in use, and with LOG_CORRUPTED, DISK_FULL or DISK_FAILED.
+     * Opens a data directory and creates its files if it is empty. Fails with INVALID_SETTING when the directory
+     * belongs to another member or is in use, and with LOG_CORRUPTED, DISK_FULL or DISK_FAILED.
      *
      * @param newIncarnation the incarnation of this member if the directory is empty
      */
@@ -170,15 +170,15 @@
                 reader.baseTerm(),
                 reader.records());
         if (reachesSnapshot(reader, snapshot)) {
-            return whole;
+            return state;
         }
         files.replace(LOG, List.of(LogReader.encodeBase(snapshot.lastIndex(), snapshot.lastTerm())));
         return withoutRecords(state);
     }
 
     /**
-     * Whether the log contains, or starts at, the last record of the snapshot, with the same term. After a crash between
-     * the two files of a rewrite the log may end before the snapshot or conflict with the snapshot.
+     * Whether the log contains, or starts at, the last record of the snapshot, with the same term. After a crash
+     * between the two files of a rewrite the log may end before the snapshot or conflict with the snapshot.
      */
     private static boolean reachesSnapshot(LogReader reader, Snapshot snapshot) {
         long offset = snapshot.lastIndex() - reader.baseIndex();
--- a/control/src/main/java/org/hornbeamspread/control/storage/LogReader.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/LogReader.java
@@ -13,10 +13,10 @@
 import org.hornbeamspread.protocol.schema.ControlRecord;
 
 /**
- * Reads a log file: a frame with the base index and term, then one frame for each sync. A frame is written only after the
- * previous frame was synced. So an invalid frame with a valid frame after it had been synced and is corrupted. An invalid
- * frame without a valid frame after it is treated as a torn write that was neither synced nor acknowledged, and is cut
- * off.
+ * Reads a log file: a frame with the base index and term, then one frame for each sync. A frame is written only after
+ * the previous frame was synced. So an invalid frame with a valid frame after it had been synced and is corrupted. An
+ * invalid frame without a valid frame after it is treated as a torn write that was neither synced nor acknowledged, and
+ * is cut off.
  */
 final class LogReader {
     private final Path path;
--- a/control/src/test/java/org/hornbeamspread/control/consensus/LogBenchmark.java
+++ b/control/src/test/java/org/hornbeamspread/control/consensus/LogBenchmark.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Measures latency and throughput of a log of three members on loopback with real files. Not part of the test run; start
- * it by name:
+ * Measures latency and throughput of a log of three members on loopback with real files. Not part of the test run;
+ * start it by name:
  * {@code mvn -o -Dfast test -pl control -am -Dtest=LogBenchmark -Dsurefire.failIfNoSpecifiedTests=false}.
  */
 final class LogBenchmark {
@@ -75,20 +75,20 @@
     }
 
     private static List<Long> propose(ConsensusService log, int inFlight, long durationNs) {
-        Semaphore permits = new Semaphore(inFlight);
+        Semaphore available = new Semaphore(inFlight);
         ConcurrentLinkedQueue<Long> latenciesNs = new ConcurrentLinkedQueue<>();
         long startNs = System.nanoTime();
         for (int i = 0; i < MAX_RECORDS && System.nanoTime() - startNs < durationNs; i++) {
-            permits.acquireUninterruptibly();
+            available.acquireUninterruptibly();
             long proposedNs = System.nanoTime();
             log.propose(command(i)).whenComplete((result, failure) -> {
                 if (failure == null) {
                     latenciesNs.add(System.nanoTime() - proposedNs);
                 }
-                permits.release();
+                available.release();
             });
         }
-        permits.acquireUninterruptibly(inFlight);
+        available.acquireUninterruptibly(inFlight);
         return new ArrayList<>(latenciesNs);
     }
 
--- a/control/src/test/java/org/hornbeamspread/control/state/ControlStateMachineTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/state/ControlStateMachineTest.java
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Random changes, retries and snapshot restores: both members hold equal state, a retry returns the first outcome and
-     * versions never decrease.
+     * Random changes, retries and snapshot restores: both members hold equal state, a retry returns the first outcome
+     * and versions never decrease.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10})
--- a/control/src/test/java/org/hornbeamspread/control/state/StateSizeBenchmark.java
+++ b/control/src/test/java/org/hornbeamspread/control/state/StateSizeBenchmark.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Measures the size of the state and the times to apply, snapshot and restore the state, by number of groups. Not part of
- * the test run; start it by name like LogBenchmark.
+ * Measures the size of the state and the times to apply, snapshot and restore the state, by number of groups. Not part
+ * of the test run; start it by name like LogBenchmark.
  */
 final class StateSizeBenchmark {
     private static final int REPEATS = 30;
--- a/control/src/test/java/org/hornbeamspread/control/storage/DiskLogTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/storage/DiskLogTest.java
@@ -64,8 +64,8 @@
     }
 
     /**
-     * A crash after the snapshot and before the log of a rewrite leaves the old log, which conflicts with the snapshot of
-     * the leader. None of its records may be read.
+     * A crash after the snapshot and before the log of a rewrite leaves the old log, which conflicts with the snapshot
+     * of the leader. None of its records may be read.
      */
     @Test
     void aCrashBetweenTheFilesOfARewriteLeavesNoConflictingRecords() throws IOException {
