--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
@@ -76,16 +76,16 @@
             StateMachine stateMachine,
             Clock clock,
             StoredState stored,
-            DiskWriter disk,
+            DiskWriter diskWriter,
             MemberDirectory directory,
-            PeerConnections links,
+            PeerConnections connections,
             ConsensusMetrics metrics) {
         this.settings = settings;
         this.stateMachine = stateMachine;
         this.clock = clock;
-        this.diskWriter = disk;
+        this.diskWriter = diskWriter;
         this.directory = directory;
-        this.connections = links;
+        this.connections = connections;
         this.metrics = metrics;
         this.pendingProposals = new PendingProposals(metrics);
         this.node = new ConsensusNode(
@@ -229,7 +229,7 @@
 
     private FailureException refusal(FailureType reason) {
         String detail = reason == FailureType.NOT_LEADER
-                ? leadership.leaderId().map(id -> "the leader is " + id).orElse("no leader is known")
+                ? leadership.leaderId().map(id -> "leader " + id).orElse("no leader known")
                 : settings.memberId();
         return new FailureException(reason, detail);
     }
--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
@@ -69,12 +69,12 @@
             Clock clock,
             PeerTransport transport,
             PrometheusRegistry registry,
-            WriteInterceptor guard) {
+            WriteInterceptor interceptor) {
         long incarnation = new SplittableRandom().nextLong(1, Long.MAX_VALUE);
         this.metrics = new ConsensusMetrics(registry);
         this.directory = new MemberDirectory(settings.members());
-        DiskLog diskLog =
-                DiskLog.open(settings.dataDirectory(), settings.memberId(), settings.clusterId(), incarnation, guard);
+        DiskLog diskLog = DiskLog.open(
+                settings.dataDirectory(), settings.memberId(), settings.clusterId(), incarnation, interceptor);
         try {
             directory.update(diskLog.snapshotMembers());
             diskLog.storedState().records().forEach(record -> updateDirectory(RecordCodec.wire(record)));
@@ -151,7 +151,7 @@
     }
 
     /**
-     * Stops the threads and closes the diskLog. Pending appended proposals fail with LEADERSHIP_LOST, all other pending
+     * Stops the threads and closes the files. Pending appended proposals fail with LEADERSHIP_LOST, all other pending
      * proposals and reads with NOT_LEADER.
      */
     @Override
--- a/control/src/main/java/org/hornbeamspread/control/consensus/DiskWriter.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/DiskWriter.java
@@ -40,10 +40,10 @@
 
     private boolean failed;
 
-    DiskWriter(String name, DiskLog disk, MemberDirectory directory, Consumer<ConsensusEvent> report) {
-        this.diskLog = disk;
+    DiskWriter(String name, DiskLog diskLog, MemberDirectory directory, Consumer<ConsensusEvent> eventListener) {
+        this.diskLog = diskLog;
         this.directory = directory;
-        this.eventListener = report;
+        this.eventListener = eventListener;
         this.thread = new DutyThread<>(name, RING_CAPACITY, this::write, RETRY_INTERVAL, this::retryRefusedBatch);
     }
 
--- a/control/src/test/java/org/hornbeamspread/control/consensus/ConsensusServiceTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/consensus/ConsensusServiceTest.java
@@ -58,22 +58,22 @@
             for (int i = 0; i < 400; i++) {
                 propose(cluster, leader, "d" + i);
             }
-            String lost = leader.equals("c3") ? "c2" : "c3";
-            long before = incarnation(cluster, leader, lost);
-            cluster.stop(lost);
-            deleteAll(cluster.directory(lost));
-            cluster.start(lost);
+            String wipedMember = leader.equals("c3") ? "c2" : "c3";
+            long before = incarnation(cluster, leader, wipedMember);
+            cluster.stop(wipedMember);
+            deleteAll(cluster.directory(wipedMember));
+            cluster.start(wipedMember);
             LogCluster.await(cluster.membersMatching(
                     leader,
                     members -> members.stream()
-                            .anyMatch(member -> member.getMemberId().equals(lost)
+                            .anyMatch(member -> member.getMemberId().equals(wipedMember)
                                     && member.getVoting()
                                     && member.getIncarnation() != before)));
             String other = leader.equals("c1") ? "c2" : "c1";
-            cluster.stop(other.equals(lost) ? "c1" : other);
+            cluster.stop(other.equals(wipedMember) ? "c1" : other);
             propose(cluster, cluster.awaitLeader(), "last");
-            cluster.awaitApplied(lost, cluster.log(leader).appliedIndex());
-            assertThat(cluster.state(lost).state().getDepartingDatabaseIdsCount())
+            cluster.awaitApplied(wipedMember, cluster.log(leader).appliedIndex());
+            assertThat(cluster.state(wipedMember).state().getDepartingDatabaseIdsCount())
                     .isEqualTo(401);
         }
     }
@@ -109,11 +109,11 @@
             // Records 1 to 3 are the leader's first record, the members and "before", in any order; after them no
             // membership change is in progress.
             cluster.awaitApplied(leader, 3);
-            String gone = leader.equals("c3") ? "c2" : "c3";
-            cluster.stop(gone);
+            String stoppedMember = leader.equals("c3") ? "c2" : "c3";
+            cluster.stop(stoppedMember);
             ControlMember added = cluster.listen("c4");
             List<ControlMember> wanted = new ArrayList<>(cluster.log(leader).members());
-            wanted.removeIf(member -> member.getMemberId().equals(gone));
+            wanted.removeIf(member -> member.getMemberId().equals(stoppedMember));
             wanted.add(added);
             cluster.start("c4", wanted, WriteInterceptor.NONE);
             ControlCommand change = ControlCommand.newBuilder()
--- a/control/src/test/java/org/hornbeamspread/control/consensus/LogCluster.java
+++ b/control/src/test/java/org/hornbeamspread/control/consensus/LogCluster.java
@@ -46,11 +46,11 @@
         start(memberId, WriteInterceptor.NONE);
     }
 
-    void start(String memberId, WriteInterceptor guard) {
-        start(memberId, initialMembers, guard);
+    void start(String memberId, WriteInterceptor interceptor) {
+        start(memberId, initialMembers, interceptor);
     }
 
-    void start(String memberId, List<ControlMember> members, WriteInterceptor guard) {
+    void start(String memberId, List<ControlMember> members, WriteInterceptor interceptor) {
         ConsensusSettings defaults = ConsensusSettings.of(memberId, "test", members, directory(memberId));
         ConsensusSettings settings = new ConsensusSettings(
                 memberId,
@@ -62,8 +62,8 @@
                 snapshotIntervalRecords,
                 true);
         ControlStateMachine state = new ControlStateMachine();
-        ConsensusService log =
-                new ConsensusService(settings, state, new MonotonicClock(), transport, new PrometheusRegistry(), guard);
+        ConsensusService log = new ConsensusService(
+                settings, state, new MonotonicClock(), transport, new PrometheusRegistry(), interceptor);
         running.put(memberId, new RunningMember(log, state));
         handlers.get(memberId).set(log);
         log.start();
