--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
@@ -137,7 +137,7 @@
         } else if (task instanceof ConsensusTask.Request request) {
             node.step(new ConsensusEvent.Received(request.message(), addPendingReply(request.answer())));
         } else if (task instanceof ConsensusTask.Propose propose) {
-            ControlCommand command = withIncarnations(withProposalTime(propose.command()));
+            ControlCommand command = withMemberState(withProposalTime(propose.command()));
             long id = pendingProposals.add(propose.outcome());
             node.step(new ConsensusEvent.Proposal(id, RecordCodec.payload(command), RecordCodec.membership(command)));
         } else if (task instanceof ConsensusTask.ConfirmLeadership confirm) {
@@ -337,7 +337,7 @@
      * Sets the incarnation and the right to vote of each member in a membership change, which the operator does not
      * supply: present members keep both, a new member starts without a vote.
      */
-    private ControlCommand withIncarnations(ControlCommand command) {
+    private ControlCommand withMemberState(ControlCommand command) {
         if (!command.hasChangeMembers()) {
             return command;
         }
--- a/control/src/test/java/org/hornbeamspread/control/consensus/ConsensusServiceTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/consensus/ConsensusServiceTest.java
@@ -147,8 +147,8 @@
             // disk.
             cluster.awaitApplied("c1", 3);
             full.set(true);
-            assertThat(failure(cluster, "unsure")).isEqualTo(FailureType.LEADERSHIP_LOST);
-            assertThat(failure(cluster, "refused")).isEqualTo(FailureType.DISK_FULL);
+            assertThat(proposalFailure(cluster, "unsure")).isEqualTo(FailureType.LEADERSHIP_LOST);
+            assertThat(proposalFailure(cluster, "refused")).isEqualTo(FailureType.DISK_FULL);
             full.set(false);
             cluster.awaitLeader();
             propose(cluster, "c1", "after");
@@ -157,7 +157,7 @@
         }
     }
 
-    private static FailureType failure(LogCluster cluster, String databaseId) {
+    private static FailureType proposalFailure(LogCluster cluster, String databaseId) {
         CompletionException failure = assertThrows(CompletionException.class, () -> propose(cluster, "c1", databaseId));
         return FailureException.of(failure).type();
     }
--- a/control/src/test/java/org/hornbeamspread/control/state/ControlStateMachineTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/state/ControlStateMachineTest.java
@@ -41,9 +41,9 @@
 
     @Test
     void theFirstOfTwoChangesWithTheSameExpectedVersionWins() {
-        assertThat(apply(machine, change("a", 0, 5, 0)).version()).isEqualTo(1);
-        CommandResult second = apply(machine, change("b", 0, 7, 0));
-        assertThat(type(second)).isEqualTo(Optional.of(FailureType.VERSION_CONFLICT));
+        assertThat(apply(machine, configurationChange("a", 0, 5, 0)).version()).isEqualTo(1);
+        CommandResult second = apply(machine, configurationChange("b", 0, 7, 0));
+        assertThat(failureType(second)).isEqualTo(Optional.of(FailureType.VERSION_CONFLICT));
         assertThat(machine.state().getConfiguration().getGroups(0).getSlotsPerDatabase())
                 .isEqualTo(5);
     }
@@ -52,30 +52,34 @@
     @ParameterizedTest
     @CsvSource({"0, ", "4, VERSION_CONFLICT"})
     void aRetryReturnsTheFirstOutcomeAlsoAfterASnapshotRestore(long expectedVersion, FailureType failure) {
-        CommandResult first = apply(machine, change("a", expectedVersion, 5, 0));
-        apply(machine, change("b", machine.state().getConfiguration().getVersion(), 6, 1));
+        CommandResult first = apply(machine, configurationChange("a", expectedVersion, 5, 0));
+        apply(
+                machine,
+                configurationChange("b", machine.state().getConfiguration().getVersion(), 6, 1));
         ControlStateMachine restored = new ControlStateMachine(REQUEST_RETENTION);
         restored.restore(machine.snapshot());
         for (ControlStateMachine each : new ControlStateMachine[] {machine, restored}) {
-            CommandResult retried = apply(each, change("a", expectedVersion, 5, 2));
+            CommandResult retried = apply(each, configurationChange("a", expectedVersion, 5, 2));
             assertThat(retried.replayed()).isTrue();
             assertThat(retried.version()).isEqualTo(first.version());
-            assertThat(type(retried)).isEqualTo(Optional.ofNullable(failure));
+            assertThat(failureType(retried)).isEqualTo(Optional.ofNullable(failure));
         }
     }
 
     @Test
     void aRequestIdCannotBeReusedForAnotherCommand() {
-        apply(machine, change("a", 0, 5, 0));
-        assertThat(type(apply(machine, change("a", 1, 6, 1)))).isEqualTo(Optional.of(FailureType.REQUEST_ID_REUSED));
+        apply(machine, configurationChange("a", 0, 5, 0));
+        assertThat(failureType(apply(machine, configurationChange("a", 1, 6, 1))))
+                .isEqualTo(Optional.of(FailureType.REQUEST_ID_REUSED));
         assertThat(machine.state().getConfiguration().getVersion()).isEqualTo(1);
     }
 
     @ParameterizedTest
     @CsvSource({"59999, true", "60001, false"})
     void aRequestIdExpiresByTheTimesInTheRecords(long laterMs, boolean replayed) {
-        apply(machine, change("a", 0, 5, 0));
-        assertThat(apply(machine, change("a", 0, 5, laterMs)).replayed()).isEqualTo(replayed);
+        apply(machine, configurationChange("a", 0, 5, 0));
+        assertThat(apply(machine, configurationChange("a", 0, 5, laterMs)).replayed())
+                .isEqualTo(replayed);
     }
 
     @ParameterizedTest
@@ -89,11 +93,11 @@
     })
     void aGroupTermNeverDecreasesAndHasOnePrimary(long expectedTerm, long term, String primaryId, boolean applied) {
         if (expectedTerm > 0) {
-            apply(machine, terms(0, 3, ""));
-            apply(machine, terms(3, 3, "p"));
+            apply(machine, groupTermChange(0, 3, ""));
+            apply(machine, groupTermChange(3, 3, "p"));
         }
-        CommandResult result = apply(machine, terms(expectedTerm, term, primaryId));
-        assertThat(type(result)).isEqualTo(applied ? Optional.empty() : Optional.of(FailureType.WRONG_TERM));
+        CommandResult result = apply(machine, groupTermChange(expectedTerm, term, primaryId));
+        assertThat(failureType(result)).isEqualTo(applied ? Optional.empty() : Optional.of(FailureType.WRONG_TERM));
         GroupTerm group = machine.state().getGroups(0);
         assertThat(group.getTerm()).isEqualTo(applied ? term : 3);
         assertThat(group.getPrimaryId()).isEqualTo(applied ? primaryId : "p");
@@ -112,7 +116,7 @@
         long version = 0;
         for (int step = 0; step < 600; step++) {
             String requestId = "r" + random.nextInt(200);
-            ControlCommand command = change(requestId, Math.max(0, version - random.nextInt(2)), 5, step);
+            ControlCommand command = configurationChange(requestId, Math.max(0, version - random.nextInt(2)), 5, step);
             CommandResult result = apply(machine, command);
             assertWithMessage("seed %s", seed)
                     .that(describe(apply(restarted, command)))
@@ -120,9 +124,9 @@
             CommandResult first = firstOutcomes.putIfAbsent(requestId, result);
             if (first != null && result.replayed()) {
                 assertThat(result.version()).isEqualTo(first.version());
-                assertThat(type(result)).isEqualTo(type(first));
+                assertThat(failureType(result)).isEqualTo(failureType(first));
             } else if (first != null) {
-                assertThat(type(result)).isEqualTo(Optional.of(FailureType.REQUEST_ID_REUSED));
+                assertThat(failureType(result)).isEqualTo(Optional.of(FailureType.REQUEST_ID_REUSED));
             }
             long next = machine.state().getConfiguration().getVersion();
             assertThat(next).isAnyOf(version, version + 1);
@@ -147,19 +151,29 @@
 
     @Test
     void lostCopiesAreKeptInSnapshotsUntilTheyAreRecovered() {
-        apply(machine, instances(born("a", 1, 100), born("b", 2, 100), born("c", 3, 100)));
-        apply(machine, instances(born("a", 1, 200), born("b", 2, 200), born("c", 3, 200)));
-        apply(machine, instances(born("b", 2, 300)));
+        apply(
+                machine,
+                announcement(
+                        registeredInstance("a", 1, 100),
+                        registeredInstance("b", 2, 100),
+                        registeredInstance("c", 3, 100)));
+        apply(
+                machine,
+                announcement(
+                        registeredInstance("a", 1, 200),
+                        registeredInstance("b", 2, 200),
+                        registeredInstance("c", 3, 200)));
+        apply(machine, announcement(registeredInstance("b", 2, 300)));
         ControlStateMachine restored = new ControlStateMachine(REQUEST_RETENTION);
         restored.restore(machine.snapshot());
 
         for (ControlStateMachine each : List.of(machine, restored)) {
             assertThat(each.state().getLostCopiesList())
-                    .containsExactly(lost("a", 1, 100), lost("b", 2, 200), lost("c", 3, 100))
+                    .containsExactly(lostCopy("a", 1, 100), lostCopy("b", 2, 200), lostCopy("c", 3, 100))
                     .inOrder();
-            apply(each, recovered(lost("a", 1, 100), lost("b", 2, 100)));
+            apply(each, recovery(lostCopy("a", 1, 100), lostCopy("b", 2, 100)));
             assertThat(each.state().getLostCopiesList())
-                    .containsExactly(lost("b", 2, 200), lost("c", 3, 100))
+                    .containsExactly(lostCopy("b", 2, 200), lostCopy("c", 3, 100))
                     .inOrder();
         }
         assertThat(restored.state()).isEqualTo(machine.state());
@@ -167,15 +181,15 @@
 
     @Test
     void restoringASnapshotWithoutLostCopiesClearsThem() {
-        apply(machine, instances(born("a", 1, 100)));
-        apply(machine, instances(born("a", 1, 200)));
-        assertThat(machine.state().getLostCopiesList()).containsExactly(lost("a", 1, 100));
+        apply(machine, announcement(registeredInstance("a", 1, 100)));
+        apply(machine, announcement(registeredInstance("a", 1, 200)));
+        assertThat(machine.state().getLostCopiesList()).containsExactly(lostCopy("a", 1, 100));
         ControlState withoutLostCopies =
                 machine.state().toBuilder().clearLostCopies().build();
         machine.restore(withoutLostCopies.toByteString());
 
         assertThat(machine.state()).isEqualTo(withoutLostCopies);
-        apply(machine, instances(born("b", 2, 100)));
+        apply(machine, announcement(registeredInstance("b", 2, 100)));
         assertThat(machine.state().getLostCopiesList()).isEmpty();
     }
 
@@ -187,15 +201,16 @@
                 .build());
     }
 
-    private static Optional<FailureType> type(CommandResult result) {
+    private static Optional<FailureType> failureType(CommandResult result) {
         return result.failure().map(FailureException::type);
     }
 
     private static String describe(CommandResult result) {
-        return result.version() + " " + result.replayed() + " " + type(result);
+        return result.version() + " " + result.replayed() + " " + failureType(result);
     }
 
-    private static ControlCommand change(String requestId, long expectedVersion, int slots, long proposedAtMs) {
+    private static ControlCommand configurationChange(
+            String requestId, long expectedVersion, int slots, long proposedAtMs) {
         Configuration configuration = Configuration.newBuilder()
                 .addRanks(RankDefinition.newBuilder()
                         .setName("urgent")
@@ -222,7 +237,7 @@
                 .build();
     }
 
-    private static ControlCommand terms(long expectedTerm, long term, String primaryId) {
+    private static ControlCommand groupTermChange(long expectedTerm, long term, String primaryId) {
         return ControlCommand.newBuilder()
                 .setSetGroupTerms(SetGroupTerms.newBuilder()
                         .addGroups(GroupTerm.newBuilder()
@@ -240,19 +255,19 @@
                 .build();
     }
 
-    private static ControlCommand instances(RegisteredInstance... announced) {
+    private static ControlCommand announcement(RegisteredInstance... announced) {
         return ControlCommand.newBuilder()
                 .setChangeInstances(ChangeInstances.newBuilder().addAllAnnounced(List.of(announced)))
                 .build();
     }
 
-    private static ControlCommand recovered(LostInstanceCopy... copies) {
+    private static ControlCommand recovery(LostInstanceCopy... copies) {
         return ControlCommand.newBuilder()
                 .setChangeInstances(ChangeInstances.newBuilder().addAllRecovered(List.of(copies)))
                 .build();
     }
 
-    private static RegisteredInstance born(String id, int port, long bornMs) {
+    private static RegisteredInstance registeredInstance(String id, int port, long bornMs) {
         return RegisteredInstance.newBuilder()
                 .setInstanceId(id)
                 .setService("ledger")
@@ -262,7 +277,7 @@
                 .build();
     }
 
-    private static LostInstanceCopy lost(String id, int port, long bornMs) {
+    private static LostInstanceCopy lostCopy(String id, int port, long bornMs) {
         return LostInstanceCopy.newBuilder()
                 .setInstanceId(id)
                 .setService("ledger")
