--- a/control/src/main/java/org/hornbeamspread/control/consensus/PendingProposals.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/PendingProposals.java
@@ -89,7 +89,7 @@
     /** Fails all pending proposals and reads because the log stops. */
     void close() {
         onLeadershipChange(0);
-        FailureException stopped = new FailureException(FailureType.NOT_LEADER, "the log has stopped");
+        FailureException stopped = new FailureException(FailureType.NOT_LEADER, "the log is stopped");
         unappended.values().forEach(outcome -> fail(outcome, stopped));
         reads.values().forEach(outcome -> fail(outcome, stopped));
         unappended.clear();
