--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
@@ -18,7 +18,7 @@
 import org.hornbeamspread.control.StateMachine;
 import org.hornbeamspread.control.storage.DiskLog;
 import org.hornbeamspread.control.storage.RecordCodec;
-import org.hornbeamspread.control.storage.WriteGuard;
+import org.hornbeamspread.control.storage.WriteInterceptor;
 import org.hornbeamspread.core.consensus.ConsensusEvent;
 import org.hornbeamspread.core.consensus.Message;
 import org.hornbeamspread.core.misc.FailureException;
@@ -32,72 +32,76 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * The replicated log of the control members, on its own threads: one decides, applies and calls back, one writes and
- * syncs. Futures complete and listeners are called on the deciding thread, which must not be blocked.
+ * The replicated log of the control members. The consensus thread runs the consensus node, applies records and calls
+ * listeners; the disk thread writes and syncs. Futures complete and listeners are called on the consensus thread, which
+ * must not be blocked.
  */
 public final class ConsensusService implements ReplicatedLog, AutoCloseable {
     private static final Logger LOG = System.getLogger(ConsensusService.class.getName());
-    private static final int RING_EVENTS = 16_384;
+    private static final int RING_CAPACITY = 16_384;
     private static final Duration TICK_INTERVAL = Duration.ofMillis(10);
-    private static final Duration STOP_LIMIT = Duration.ofSeconds(10);
-    private static final long REPORT_RETRY_NS = Duration.ofMillis(1).toNanos();
+    private static final Duration STOP_TIMEOUT = Duration.ofSeconds(10);
+    private static final long ENQUEUE_RETRY_NS = Duration.ofMillis(1).toNanos();
 
     private final ConsensusLoop loop;
-    private final DiskDuty disk;
+    private final DiskWriter diskWriter;
     private final MemberDirectory directory;
     private final ConsensusMetrics metrics;
     private final DutyThread<ConsensusTask> thread;
 
-    /** Opens the data directory; {@link #start} runs it. Fails with LOG_CORRUPTED, INVALID_SETTING or DISK_FAILED. */
+    /**
+     * Opens the data directory; {@link #start} starts the threads. Fails with LOG_CORRUPTED, INVALID_SETTING or
+     * DISK_FAILED.
+     */
     public ConsensusService(
             ConsensusSettings settings,
             StateMachine stateMachine,
             Clock clock,
             PeerTransport transport,
             PrometheusRegistry registry) {
-        this(settings, stateMachine, clock, transport, registry, WriteGuard.NONE);
+        this(settings, stateMachine, clock, transport, registry, WriteInterceptor.NONE);
     }
 
-    /** The same, with a guard that is asked before each write. */
+    /** The same, with an interceptor that is called before each write to disk. */
     public ConsensusService(
             ConsensusSettings settings,
             StateMachine stateMachine,
             Clock clock,
             PeerTransport transport,
             PrometheusRegistry registry,
-            WriteGuard guard) {
+            WriteInterceptor interceptor) {
         long incarnation = new SplittableRandom().nextLong(1, Long.MAX_VALUE);
         this.metrics = new ConsensusMetrics(registry);
         this.directory = new MemberDirectory(settings.members());
-        DiskLog files =
-                DiskLog.open(settings.dataDirectory(), settings.memberId(), settings.clusterId(), incarnation, guard);
+        DiskLog diskLog = DiskLog.open(
+                settings.dataDirectory(), settings.memberId(), settings.clusterId(), incarnation, interceptor);
         try {
-            directory.learn(files.snapshotMembers());
-            files.stored().records().forEach(record -> learn(RecordCodec.wire(record)));
-            this.disk = new DiskDuty("disk-" + settings.memberId(), files, directory, this::report);
-            PeerLinks links = new PeerLinks(transport, settings.electionTimeout(), this::onAnswer);
-            this.loop =
-                    new ConsensusLoop(settings, stateMachine, clock, files.stored(), disk, directory, links, metrics);
+            directory.update(diskLog.snapshotMembers());
+            diskLog.storedState().records().forEach(record -> updateDirectory(RecordCodec.wire(record)));
+            this.diskWriter = new DiskWriter("disk-" + settings.memberId(), diskLog, directory, this::enqueueDiskEvent);
+            PeerConnections connections = new PeerConnections(transport, settings.electionTimeout(), this::onResponse);
+            this.loop = new ConsensusLoop(
+                    settings, stateMachine, clock, diskLog.storedState(), diskWriter, directory, connections, metrics);
         } catch (RuntimeException e) {
-            files.close();
+            diskLog.close();
             throw e;
         }
         this.thread = new DutyThread<>(
-                "consensus-" + settings.memberId(), RING_EVENTS, this::handle, TICK_INTERVAL, this::tick);
+                "consensus-" + settings.memberId(), RING_CAPACITY, this::handle, TICK_INTERVAL, this::tick);
     }
 
     /** Starts the threads. */
     public ConsensusService start() {
-        disk.start();
+        diskWriter.start();
         thread.start();
         return this;
     }
 
-    /** Takes a request of the consensus protocol from the shared peer port. False, untouched, when it is another's. */
+    /** Enqueues a request of the consensus protocol from the shared peer port. Returns false for any other request. */
     public boolean handle(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
         Optional<Message> message = MessageCodec.message(request);
-        request.getAppend().getRecordsList().forEach(this::learn);
-        directory.learn(request.getInstallSnapshot().getMembersList());
+        request.getAppend().getRecordsList().forEach(this::updateDirectory);
+        directory.update(request.getInstallSnapshot().getMembersList());
         message.ifPresent(received -> thread.offer(new ConsensusTask.Request(received, answer)));
         return message.isPresent();
     }
@@ -105,14 +109,14 @@
     @Override
     public CompletableFuture<CommandResult> propose(ControlCommand command) {
         CompletableFuture<CommandResult> outcome = new CompletableFuture<>();
-        offer(new ConsensusTask.Propose(command, outcome), outcome);
+        enqueue(new ConsensusTask.Propose(command, outcome), outcome);
         return outcome;
     }
 
     @Override
     public CompletableFuture<Void> confirmLeadership() {
         CompletableFuture<Void> outcome = new CompletableFuture<>();
-        offer(new ConsensusTask.Confirm(outcome), outcome);
+        enqueue(new ConsensusTask.ConfirmLeadership(outcome), outcome);
         return outcome;
     }
 
@@ -126,49 +130,52 @@
         loop.addLeadershipListener(listener);
     }
 
-    /** Calls back on the consensus thread after records were applied, before their proposals complete. */
+    /** Calls the listener on the consensus thread after records were applied, before their proposals complete. */
     public void onApplied(LongConsumer listener) {
         loop.addAppliedListener(listener);
     }
 
-    /** The last record applied here. */
+    /** The index of the last record applied on this member. */
     public long appliedIndex() {
         return loop.appliedIndex();
     }
 
-    /** The members as the log has them, with what the leader knows of each one's progress. */
+    /** The members according to the log; on the leader with the replication progress of each member. */
     public List<ControlMember> members() {
         return loop.members();
     }
 
-    /** Calls back on the consensus thread when a member, its incarnation or its right to vote changed. */
+    /** Calls the listener on the consensus thread when a member, its incarnation or its right to vote changed. */
     public void onMembersChange(Consumer<List<ControlMember>> listener) {
         loop.addMembersListener(listener);
     }
 
-    /** Stops the threads and closes the files. What waits fails: LEADERSHIP_LOST, or NOT_LEADER if it was not appended. */
+    /**
+     * Stops the threads and closes the files. Pending appended proposals fail with LEADERSHIP_LOST, all other pending
+     * proposals and reads with NOT_LEADER.
+     */
     @Override
     public void close() {
         thread.close();
         try {
-            if (thread.awaitStop(STOP_LIMIT)) {
+            if (thread.awaitStop(STOP_TIMEOUT)) {
                 loop.close();
             } else {
-                LOG.log(Level.WARNING, "the consensus thread does not stop");
+                LOG.log(Level.WARNING, "the consensus thread did not stop in time");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        disk.close();
+        diskWriter.close();
     }
 
-    /** Endpoints of members are needed from the moment that the log names them, committed or not. */
-    private void learn(ControlRecord record) {
-        directory.learn(record.getCommand().getChangeMembers().getMembersList());
+    /** Takes member endpoints from a record. They are needed as soon as the record is in the log, committed or not. */
+    private void updateDirectory(ControlRecord record) {
+        directory.update(record.getCommand().getChangeMembers().getMembersList());
     }
 
     private void handle(ConsensusTask task) {
-        guarded(() -> {
+        runOrHalt(() -> {
             loop.handle(task);
             if (thread.waitingEvents() == 0 || loop.isBatchFull()) {
                 loop.flush();
@@ -177,36 +184,39 @@
     }
 
     private void tick() {
-        guarded(loop::tick);
+        runOrHalt(loop::tick);
     }
 
-    /** An error in the decision or in applying leaves the state in doubt: this member takes no further part. */
-    private void guarded(Runnable work) {
+    /**
+     * Runs a step and halts this member on an error. An error in the consensus node or in the state machine leaves the
+     * state undefined, so the member takes no further part in the log.
+     */
+    private void runOrHalt(Runnable work) {
         try {
             work.run();
         } catch (RuntimeException e) {
-            LOG.log(Level.ERROR, "the control log stops on this member", e);
+            LOG.log(Level.ERROR, "an error halts the control log on this member", e);
             loop.halt(FailureException.of(e));
         }
     }
 
-    private void offer(ConsensusTask task, CompletableFuture<?> outcome) {
+    private void enqueue(ConsensusTask task, CompletableFuture<?> outcome) {
         if (!thread.offer(task)) {
             metrics.onRefusal(FailureType.RING_FULL);
             outcome.completeExceptionally(new FailureException(FailureType.RING_FULL, "consensus"));
         }
     }
 
-    private void onAnswer(Envelope answer) {
+    private void onResponse(Envelope answer) {
         MessageCodec.message(answer)
                 .ifPresent(message -> thread.offer(new ConsensusTask.Event(new ConsensusEvent.Received(message, 0))));
     }
 
-    /** The disk's reports must not be lost: its thread waits until the ring takes them. */
-    private void report(ConsensusEvent event) {
+    /** Enqueues a disk event. Disk events must not be lost, so the disk thread retries while the ring is full. */
+    private void enqueueDiskEvent(ConsensusEvent event) {
         ConsensusTask task = new ConsensusTask.Event(event);
         while (!thread.offer(task) && !thread.isClosed()) {
-            LockSupport.parkNanos(this, REPORT_RETRY_NS);
+            LockSupport.parkNanos(this, ENQUEUE_RETRY_NS);
         }
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/consensus/PendingProposals.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/PendingProposals.java
@@ -8,11 +8,11 @@
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** The proposals and reads that wait for their outcome. Used by the consensus thread. */
+/** The proposals and reads whose outcome is pending. Used by the consensus thread. */
 final class PendingProposals {
     private final ConsensusMetrics metrics;
-    private final Map<Long, CompletableFuture<CommandResult>> unplaced = new HashMap<>();
-    private final Map<Long, Placed> placed = new HashMap<>();
+    private final Map<Long, CompletableFuture<CommandResult>> unappended = new HashMap<>();
+    private final Map<Long, AppendedProposal> appended = new HashMap<>();
     private final Map<Long, CompletableFuture<Void>> reads = new HashMap<>();
     private long nextId = 1;
 
@@ -21,7 +21,7 @@
     }
 
     long add(CompletableFuture<CommandResult> outcome) {
-        unplaced.put(nextId, outcome);
+        unappended.put(nextId, outcome);
         return nextId++;
     }
 
@@ -31,28 +31,28 @@
     }
 
     void onAppended(long proposalId, long index, long term) {
-        CompletableFuture<CommandResult> outcome = unplaced.remove(proposalId);
+        CompletableFuture<CommandResult> outcome = unappended.remove(proposalId);
         if (outcome != null) {
-            placed.put(index, new Placed(term, outcome));
+            appended.put(index, new AppendedProposal(term, outcome));
         }
     }
 
     void onRefused(long proposalId, FailureException failure) {
-        CompletableFuture<CommandResult> outcome = unplaced.remove(proposalId);
+        CompletableFuture<CommandResult> outcome = unappended.remove(proposalId);
         if (outcome != null) {
             fail(outcome, failure);
         }
     }
 
     void onApplied(long index, long term, CommandResult result) {
-        Placed waiting = placed.remove(index);
-        if (waiting == null) {
+        AppendedProposal proposal = appended.remove(index);
+        if (proposal == null) {
             return;
         }
-        if (waiting.term() == term) {
-            waiting.outcome().complete(result);
+        if (proposal.term() == term) {
+            proposal.outcome().complete(result);
         } else {
-            fail(waiting.outcome(), lost(waiting.term()));
+            fail(proposal.outcome(), leadershipLost(proposal.term()));
         }
     }
 
@@ -70,25 +70,29 @@
         }
     }
 
-    /** Fails what was placed at other terms than the one this member leads in; 0 when it leads in none. */
-    void onLeadership(long leadingTerm) {
-        Iterator<Placed> waiting = placed.values().iterator();
-        while (waiting.hasNext()) {
-            Placed proposal = waiting.next();
+    /**
+     * Fails the proposals appended in any other term than the one in which this member leads.
+     *
+     * @param leadingTerm the term in which this member leads, 0 when it does not lead
+     */
+    void onLeadershipChange(long leadingTerm) {
+        Iterator<AppendedProposal> proposals = appended.values().iterator();
+        while (proposals.hasNext()) {
+            AppendedProposal proposal = proposals.next();
             if (proposal.term() != leadingTerm) {
-                waiting.remove();
-                fail(proposal.outcome(), lost(proposal.term()));
+                proposals.remove();
+                fail(proposal.outcome(), leadershipLost(proposal.term()));
             }
         }
     }
 
-    /** Fails everything, as the log stops. */
+    /** Fails all pending proposals and reads because the log stops. */
     void close() {
-        onLeadership(0);
+        onLeadershipChange(0);
         FailureException stopped = new FailureException(FailureType.NOT_LEADER, "the log is stopped");
-        unplaced.values().forEach(outcome -> fail(outcome, stopped));
+        unappended.values().forEach(outcome -> fail(outcome, stopped));
         reads.values().forEach(outcome -> fail(outcome, stopped));
-        unplaced.clear();
+        unappended.clear();
         reads.clear();
     }
 
@@ -97,10 +101,10 @@
         outcome.completeExceptionally(failure);
     }
 
-    private static FailureException lost(long term) {
+    private static FailureException leadershipLost(long term) {
         return new FailureException(FailureType.LEADERSHIP_LOST, "term " + term);
     }
 
-    /** A proposal that has its place in the log. */
-    private record Placed(long term, CompletableFuture<CommandResult> outcome) {}
+    /** A proposal appended to the log and not yet applied. */
+    private record AppendedProposal(long term, CompletableFuture<CommandResult> outcome) {}
 }
--- a/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
+++ b/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
@@ -28,13 +28,13 @@
 import org.hornbeamspread.transport.RouteMessages;
 
 /**
- * Applies the control log's records. The outcome depends on the records alone: no clock, no random number, no order of
- * a hash table. Used by the consensus thread; {@link #state()} may be called by it at any time and gives an immutable
- * snapshot to hand to others.
+ * Applies the records of the control log. The outcome depends on the records only, not on a clock, a random number or
+ * the iteration order of a hash table. Used by the consensus thread, which may call {@link #state()} at any time and
+ * pass the immutable result to other threads.
  */
 public final class ControlStateMachine implements StateMachine {
-    /** How long a request id is remembered. */
-    public static final Duration REPLAY_AGE = Duration.ofHours(24);
+    /** The time for which the outcome of a request id is kept. */
+    public static final Duration REQUEST_RETENTION = Duration.ofHours(24);
 
     private final ConfigurationStore configuration = new ConfigurationStore();
     private final NavigableMap<String, GroupTerm> groups = new TreeMap<>();
@@ -42,50 +42,50 @@
     private final NavigableSet<String> departingDatabaseIds = new TreeSet<>();
     private final InstanceRegistry instances = new InstanceRegistry();
     private RouteConfigurationDocument routes = RouteConfigurationDocument.getDefaultInstance();
-    private final ReplayTable requests;
+    private final RequestOutcomeTable requestOutcomes;
     private List<ControlMember> members = List.of();
 
-    /** The state built so far; null after a change until it is asked for again. */
-    private ControlState built;
+    /** The result of the last {@link #state()}; null after a change until the next call. */
+    private ControlState cachedState;
 
-    /** Starts empty, with the usual age of request ids. */
+    /** Creates an empty state with the default retention of request ids. */
     public ControlStateMachine() {
-        this(REPLAY_AGE);
+        this(REQUEST_RETENTION);
     }
 
-    /** Starts empty. */
-    public ControlStateMachine(Duration replayAge) {
-        this.requests = new ReplayTable(replayAge);
+    /** Creates an empty state. */
+    public ControlStateMachine(Duration requestRetention) {
+        this.requestOutcomes = new RequestOutcomeTable(requestRetention);
     }
 
     @Override
     public CommandResult apply(ControlRecord record) {
-        built = null;
+        cachedState = null;
         ControlCommand command = record.getCommand();
-        requests.advance(command.getProposedAtMs());
+        requestOutcomes.advanceTime(command.getProposedAtMs());
         if (command.getRequestId().isEmpty()) {
             return result(applyCommand(command));
         }
-        Optional<CommandResult> first = requests.find(command);
+        Optional<CommandResult> first = requestOutcomes.find(command);
         if (first.isPresent()) {
             return first.get();
         }
         CommandResult result = result(applyCommand(command));
-        requests.put(command, result);
+        requestOutcomes.put(command, result);
         return result;
     }
 
-    /** Everything applied so far, immutable. */
+    /** The immutable state after all records applied so far. */
     public ControlState state() {
-        if (built == null) {
-            built = ControlState.newBuilder()
-                    .setConfiguration(Configurations.wire(configuration.current()))
+        if (cachedState == null) {
+            cachedState = ControlState.newBuilder()
+                    .setConfiguration(ConfigurationCodec.wire(configuration.current()))
                     .addAllGroups(groups.values())
                     .addAllDatabases(databases.values())
                     .addAllDepartingDatabaseIds(departingDatabaseIds)
-                    .addAllRequests(requests.entries())
+                    .addAllRequests(requestOutcomes.entries())
                     .addAllMembers(members)
-                    .setLatestProposedAtMs(requests.latestProposedAtMs())
+                    .setLatestProposedAtMs(requestOutcomes.latestProposedAtMs())
                     .setRoutes(routes)
                     .addAllInstances(
                             instances.all().stream().map(RouteMessages::wire).toList())
@@ -97,7 +97,7 @@
                             .toList())
                     .build();
         }
-        return built;
+        return cachedState;
     }
 
     @Override
@@ -113,18 +113,18 @@
         } catch (InvalidProtocolBufferException e) {
             throw new FailureException(FailureType.LOG_CORRUPTED, "snapshot of the state", e);
         }
-        configuration.restore(Configurations.declared(state.getConfiguration()));
+        configuration.restore(ConfigurationCodec.declared(state.getConfiguration()));
         groups.clear();
         state.getGroupsList().forEach(group -> groups.put(group.getGroup(), group));
         databases.clear();
         state.getDatabasesList().forEach(database -> databases.put(database.getDatabaseId(), database));
         departingDatabaseIds.clear();
         departingDatabaseIds.addAll(state.getDepartingDatabaseIdsList());
-        requests.restore(state.getRequestsList(), state.getLatestProposedAtMs());
+        requestOutcomes.restore(state.getRequestsList(), state.getLatestProposedAtMs());
         members = state.getMembersList();
         routes = state.getRoutes();
         RouteMessages.restore(instances, state);
-        built = state;
+        cachedState = state;
     }
 
     private CommandResult result(Optional<FailureException> failure) {
@@ -148,15 +148,16 @@
     }
 
     private Optional<FailureException> replaceConfiguration(ReplaceConfiguration change) {
-        return configuration.replace(Configurations.declared(change.getConfiguration()), change.getExpectedVersion());
+        return configuration.replace(
+                ConfigurationCodec.declared(change.getConfiguration()), change.getExpectedVersion());
     }
 
-    /** Each group is decided alone; the result fails with WRONG_TERM and names the groups that were passed over. */
+    /** Changes each group independently. If some changes are refused, fails with WRONG_TERM and lists those groups. */
     private Optional<FailureException> setGroupTerms(List<GroupTerm> changes) {
         NavigableSet<String> refused = new TreeSet<>();
         for (GroupTerm change : changes) {
             GroupTerm present = groups.getOrDefault(change.getGroup(), GroupTerm.getDefaultInstance());
-            if (mayFollow(present, change)) {
+            if (isValidTransition(present, change)) {
                 groups.put(
                         change.getGroup(),
                         change.toBuilder().clearExpectedTerm().build());
@@ -169,8 +170,11 @@
                 : Optional.of(new FailureException(FailureType.WRONG_TERM, String.join(",", refused)));
     }
 
-    /** The term never goes back, and a term has one primary at most. */
-    private static boolean mayFollow(GroupTerm present, GroupTerm change) {
+    /**
+     * Whether a change expects the present term and keeps two rules: the term never decreases, and a term has at most
+     * one primary.
+     */
+    private static boolean isValidTransition(GroupTerm present, GroupTerm change) {
         if (change.getExpectedTerm() != present.getTerm() || change.getTerm() < present.getTerm()) {
             return false;
         }
@@ -193,7 +197,7 @@
         return Optional.empty();
     }
 
-    /** The highest version wins; one that is not higher changes nothing, and is not refused. */
+    /** Replaces the routes if the version is higher. A version that is not higher is ignored without a failure. */
     private Optional<FailureException> replaceRoutes(RouteConfigurationDocument change) {
         if (change.getVersion() > routes.getVersion()) {
             routes = change;
--- a/control/src/main/java/org/hornbeamspread/control/storage/DiskLog.java
+++ b/control/src/main/java/org/hornbeamspread/control/storage/DiskLog.java
@@ -25,59 +25,59 @@
 import org.hornbeamspread.protocol.schema.Vote;
 
 /**
- * A control member's data directory. It holds {@code identity} (whose it is), {@code formed}, {@code vote},
- * {@code snapshot} and {@code log}; each has checksums, and the first four are replaced as a whole. The identity is
- * written last when the directory is made, so that one with an identity but without a log has lost it. Used by one
- * thread after it is opened.
+ * The data directory of a control member. It holds the files {@code identity} (cluster, member and incarnation that own
+ * the directory), {@code formed} (the initial membership), {@code vote}, {@code snapshot} and {@code log}. Each file
+ * has checksums; the first four are replaced atomically. The identity is written last when the directory is created, so
+ * a directory with an identity but without a log has lost its log. Used by a single thread after it is opened.
  */
 public final class DiskLog implements AutoCloseable {
     private static final String IDENTITY = "identity";
-    private static final String FORMED = "formed";
+    private static final String INITIAL_MEMBERSHIP = "formed";
     private static final String VOTE = "vote";
     private static final String SNAPSHOT = "snapshot";
     private static final String LOG = "log";
     private static final String LOCK = "lock";
 
-    private final CheckedFiles files;
+    private final ChecksummedFiles files;
     private final FileChannel lock;
-    private final StoredState stored;
+    private final StoredState storedState;
     private final List<ControlMember> snapshotMembers;
     private FileChannel log;
 
-    private DiskLog(CheckedFiles files, FileChannel lock, StoredState stored, List<ControlMember> snapshotMembers)
+    private DiskLog(ChecksummedFiles files, FileChannel lock, StoredState stored, List<ControlMember> snapshotMembers)
             throws IOException {
         this.files = files;
         this.lock = lock;
-        this.stored = stored;
+        this.storedState = stored;
         this.snapshotMembers = snapshotMembers;
         this.log = openLog();
     }
 
     /**
-     * Opens a data directory, or makes it when it is empty. Fails with INVALID_SETTING when it is another member's or
-     * in use, LOG_CORRUPTED, DISK_FULL or DISK_FAILED.
+     * Opens a data directory and creates its files if it is empty. Fails with INVALID_SETTING when the directory
+     * belongs to another member or is in use, and with LOG_CORRUPTED, DISK_FULL or DISK_FAILED.
      *
-     * @param newIncarnation the incarnation to take when the directory is empty
+     * @param newIncarnation the incarnation of this member if the directory is empty
      */
     public static DiskLog open(
-            Path directory, String memberId, String clusterId, long newIncarnation, WriteGuard guard) {
+            Path directory, String memberId, String clusterId, long newIncarnation, WriteInterceptor interceptor) {
         try {
             Files.createDirectories(directory);
             FileChannel lock = lock(directory.resolve(LOCK));
             try {
-                return open(new CheckedFiles(directory, guard), lock, memberId, clusterId, newIncarnation);
+                return open(new ChecksummedFiles(directory, interceptor), lock, memberId, clusterId, newIncarnation);
             } catch (IOException | RuntimeException e) {
                 lock.close();
                 throw e;
             }
         } catch (IOException e) {
-            throw CheckedFiles.failure(e);
+            throw ChecksummedFiles.toFailure(e);
         }
     }
 
-    /** What the directory held when it was opened. */
-    public StoredState stored() {
-        return stored;
+    /** The content of the directory when it was opened. */
+    public StoredState storedState() {
+        return storedState;
     }
 
     /** The members of the stored snapshot, with their endpoints. */
@@ -86,10 +86,11 @@
     }
 
     /**
-     * Writes and syncs in one go. Fails with DISK_FULL, after which the same call may be repeated, or DISK_FAILED, after
-     * which nothing may be written or answered any more.
+     * Writes and syncs a batch. Fails with DISK_FULL, after which the same call may be repeated, or with DISK_FAILED,
+     * after which this member must neither write nor acknowledge anything.
      *
-     * @param members for the endpoints that go with a snapshot
+     * @param persists the batch, oldest first
+     * @param members the members with their endpoints, which are stored with a snapshot
      */
     public void persist(List<ConsensusEffect.Persist> persists, List<ControlMember> members) {
         try {
@@ -102,7 +103,7 @@
             List<LogRecord> records = new ArrayList<>();
             for (ConsensusEffect.Persist persist : persists) {
                 if (persist.initialMembership().isPresent()) {
-                    writeFormed(persist.initialMembership().get());
+                    writeInitialMembership(persist.initialMembership().get());
                 }
                 if (persist.rewrite().isPresent()) {
                     records.clear();
@@ -112,7 +113,7 @@
             }
             append(records);
         } catch (IOException e) {
-            throw CheckedFiles.failure(e);
+            throw ChecksummedFiles.toFailure(e);
         }
     }
 
@@ -122,12 +123,12 @@
             log.close();
             lock.close();
         } catch (IOException e) {
-            throw CheckedFiles.failure(e);
+            throw ChecksummedFiles.toFailure(e);
         }
     }
 
     private static DiskLog open(
-            CheckedFiles files, FileChannel lock, String memberId, String clusterId, long newIncarnation)
+            ChecksummedFiles files, FileChannel lock, String memberId, String clusterId, long newIncarnation)
             throws IOException {
         Optional<byte[]> identity = files.read(IDENTITY);
         long incarnation = newIncarnation;
@@ -141,25 +142,25 @@
         return new DiskLog(files, lock, load(files, incarnation, snapshot), snapshot.getMembersList());
     }
 
-    private static StoredState load(CheckedFiles files, long incarnation, InstallSnapshot wire) throws IOException {
-        Vote vote = Vote.parseFrom(required(files, VOTE));
-        Optional<byte[]> formed = files.read(FORMED);
-        Optional<Membership> members = formed.isPresent()
+    private static StoredState load(ChecksummedFiles files, long incarnation, InstallSnapshot wire) throws IOException {
+        Vote vote = Vote.parseFrom(readRequired(files, VOTE));
+        Optional<byte[]> initialMembership = files.read(INITIAL_MEMBERSHIP);
+        Optional<Membership> members = initialMembership.isPresent()
                 ? Optional.of(RecordCodec.membership(
-                        ChangeMembers.parseFrom(formed.get()).getMembersList()))
+                        ChangeMembers.parseFrom(initialMembership.get()).getMembersList()))
                 : Optional.empty();
         Snapshot snapshot = snapshot(wire);
         if (!Files.exists(files.path(LOG))) {
-            throw CheckedFiles.corrupted(files.path(LOG), 0);
+            throw ChecksummedFiles.corrupted(files.path(LOG), 0);
         }
         LogReader reader = new LogReader(files.path(LOG)).read();
-        cutOff(files, reader.endBytes());
+        truncateTornTail(files, reader.validBytes());
         Optional<String> votedFor =
                 vote.getCandidateId().isEmpty() ? Optional.empty() : Optional.of(vote.getCandidateId());
         if (reader.baseIndex() > snapshot.lastIndex()) {
-            throw CheckedFiles.corrupted(files.path(SNAPSHOT), 0);
+            throw ChecksummedFiles.corrupted(files.path(SNAPSHOT), 0);
         }
-        StoredState whole = new StoredState(
+        StoredState state = new StoredState(
                 incarnation,
                 members,
                 vote.getTerm(),
@@ -168,32 +169,35 @@
                 reader.baseIndex(),
                 reader.baseTerm(),
                 reader.records());
-        if (holds(reader, snapshot)) {
-            return whole;
+        if (reachesSnapshot(reader, snapshot)) {
+            return state;
         }
-        files.replace(LOG, List.of(LogReader.base(snapshot.lastIndex(), snapshot.lastTerm())));
-        return withoutRecords(whole);
+        files.replace(LOG, List.of(LogReader.encodeBase(snapshot.lastIndex(), snapshot.lastTerm())));
+        return withoutRecords(state);
     }
 
-    /** A crash between the two files of a rewrite leaves a log that does not reach, or contradicts, the snapshot. */
-    private static boolean holds(LogReader reader, Snapshot snapshot) {
-        long place = snapshot.lastIndex() - reader.baseIndex();
-        if (place == 0) {
+    /**
+     * Whether the log contains, or starts at, the last record of the snapshot, with the same term. After a crash
+     * between the two files of a rewrite the log may end before the snapshot or conflict with the snapshot.
+     */
+    private static boolean reachesSnapshot(LogReader reader, Snapshot snapshot) {
+        long offset = snapshot.lastIndex() - reader.baseIndex();
+        if (offset == 0) {
             return reader.baseTerm() == snapshot.lastTerm();
         }
-        return place <= reader.records().size()
-                && reader.records().get((int) place - 1).term() == snapshot.lastTerm();
+        return offset <= reader.records().size()
+                && reader.records().get((int) offset - 1).term() == snapshot.lastTerm();
     }
 
-    private static StoredState withoutRecords(StoredState whole) {
+    private static StoredState withoutRecords(StoredState state) {
         return new StoredState(
-                whole.incarnation(),
-                whole.initialMembership(),
-                whole.term(),
-                whole.votedFor(),
-                whole.snapshot(),
-                whole.snapshot().lastIndex(),
-                whole.snapshot().lastTerm(),
+                state.incarnation(),
+                state.initialMembership(),
+                state.term(),
+                state.votedFor(),
+                state.snapshot(),
+                state.snapshot().lastIndex(),
+                state.snapshot().lastTerm(),
                 List.of());
     }
 
@@ -205,7 +209,7 @@
                 Payload.copyOf(wire.getState().toByteArray()));
     }
 
-    private static void cutOff(CheckedFiles files, long endBytes) throws IOException {
+    private static void truncateTornTail(ChecksummedFiles files, long endBytes) throws IOException {
         try (FileChannel channel = FileChannel.open(files.path(LOG), StandardOpenOption.WRITE)) {
             if (channel.size() > endBytes) {
                 channel.truncate(endBytes);
@@ -214,30 +218,30 @@
         }
     }
 
-    private static byte[] required(CheckedFiles files, String name) throws IOException {
-        return files.read(name).orElseThrow(() -> CheckedFiles.corrupted(files.path(name), 0));
+    private static byte[] readRequired(ChecksummedFiles files, String name) throws IOException {
+        return files.read(name).orElseThrow(() -> ChecksummedFiles.corrupted(files.path(name), 0));
     }
 
-    private static long checkIdentity(CheckedFiles files, byte[] bytes, String memberId, String clusterId)
+    private static long checkIdentity(ChecksummedFiles files, byte[] bytes, String memberId, String clusterId)
             throws InvalidProtocolBufferException {
         Introduced identity = Introduced.parseFrom(bytes);
         String owner = clusterId + "/" + memberId;
         if (!identity.getMemberId().equals(owner)) {
             throw new FailureException(
                     FailureType.INVALID_SETTING,
-                    files.path(IDENTITY).getFileName() + " is of " + identity.getMemberId() + ", not of " + owner);
+                    files.path(IDENTITY).getFileName() + " belongs to " + identity.getMemberId() + ", not to " + owner);
         }
         return identity.getIncarnation();
     }
 
-    private static void create(CheckedFiles files, String memberId, String clusterId, long incarnation)
+    private static void create(ChecksummedFiles files, String memberId, String clusterId, long incarnation)
             throws IOException {
         if (Files.exists(files.path(LOG))
                 && !new LogReader(files.path(LOG)).read().records().isEmpty()) {
             throw new FailureException(FailureType.LOG_CORRUPTED, "the log has records but no identity");
         }
         writeVote(files, 0, Optional.empty());
-        files.replace(LOG, List.of(LogReader.base(0, 0)));
+        files.replace(LOG, List.of(LogReader.encodeBase(0, 0)));
         Introduced identity = Introduced.newBuilder()
                 .setMemberId(clusterId + "/" + memberId)
                 .setIncarnation(incarnation)
@@ -252,13 +256,13 @@
                 return channel;
             }
         } catch (OverlappingFileLockException e) {
-            // Held by this process: refused as when another process holds it.
+            // The lock is held by this process: fails as if another process held the lock.
         }
         channel.close();
         throw new FailureException(FailureType.INVALID_SETTING, "the data directory is in use");
     }
 
-    private static void writeVote(CheckedFiles files, long term, Optional<String> votedFor) throws IOException {
+    private static void writeVote(ChecksummedFiles files, long term, Optional<String> votedFor) throws IOException {
         Vote vote = Vote.newBuilder()
                 .setTerm(term)
                 .setCandidateId(votedFor.orElse(""))
@@ -266,11 +270,11 @@
         files.replace(VOTE, List.of(vote.toByteArray()));
     }
 
-    private void writeFormed(Membership members) throws IOException {
-        ChangeMembers formed = ChangeMembers.newBuilder()
+    private void writeInitialMembership(Membership members) throws IOException {
+        ChangeMembers wire = ChangeMembers.newBuilder()
                 .addAllMembers(RecordCodec.wire(members))
                 .build();
-        files.replace(FORMED, List.of(formed.toByteArray()));
+        files.replace(INITIAL_MEMBERSHIP, List.of(wire.toByteArray()));
     }
 
     private void rewrite(ConsensusEffect.Rewrite rewrite, List<ControlMember> endpoints) throws IOException {
@@ -283,9 +287,9 @@
                 .build();
         files.replace(SNAPSHOT, List.of(wire.toByteArray()));
         List<byte[]> bodies = new ArrayList<>();
-        bodies.add(LogReader.base(rewrite.baseIndex(), rewrite.baseTerm()));
+        bodies.add(LogReader.encodeBase(rewrite.baseIndex(), rewrite.baseTerm()));
         if (!rewrite.records().isEmpty()) {
-            bodies.add(LogReader.body(rewrite.records()));
+            bodies.add(LogReader.encodeRecords(rewrite.records()));
         }
         files.replace(LOG, bodies);
         log.close();
@@ -296,11 +300,11 @@
         if (records.isEmpty()) {
             return;
         }
-        long before = log.position();
+        long previousEnd = log.position();
         try {
-            files.write(log, Frame.encode(LogReader.body(records)));
+            files.write(log, Frame.encode(LogReader.encodeRecords(records)));
         } catch (IOException e) {
-            log.truncate(before);
+            log.truncate(previousEnd);
             throw e;
         }
         try {
@@ -310,15 +314,15 @@
         }
     }
 
-    /** The wire form of members, with the endpoints that are known. */
+    /** The wire form of a membership, with the endpoints of the members that have one in the list. */
     public static List<ControlMember> withEndpoints(Membership membership, List<ControlMember> endpoints) {
         return RecordCodec.wire(membership).stream()
                 .map(member -> endpoints.stream()
-                        .filter(known -> known.getMemberId().equals(member.getMemberId()))
+                        .filter(candidate -> candidate.getMemberId().equals(member.getMemberId()))
                         .findFirst()
-                        .map(known -> member.toBuilder()
-                                .setPeer(known.getPeer())
-                                .setHttp(known.getHttp())
+                        .map(candidate -> member.toBuilder()
+                                .setPeer(candidate.getPeer())
+                                .setHttp(candidate.getHttp())
                                 .build())
                         .orElse(member))
                 .toList();
--- a/control/src/test/java/org/hornbeamspread/control/consensus/ConsensusServiceTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/consensus/ConsensusServiceTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.stream.Stream;
 import org.hornbeamspread.control.CommandResult;
-import org.hornbeamspread.control.storage.WriteGuard;
+import org.hornbeamspread.control.storage.WriteInterceptor;
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
 import org.hornbeamspread.protocol.schema.ChangeMembers;
@@ -31,7 +31,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3})
-    void anAcknowledgedChangeIsThereAfterAllRestart(int size) {
+    void acknowledgedChangesSurviveARestartOfAllMembers(int size) {
         try (LogCluster cluster = new LogCluster(directory, size, 50)) {
             cluster.startAll();
             String leader = cluster.awaitLeader();
@@ -51,35 +51,35 @@
     }
 
     @Test
-    void aMemberWithALostDiskIsReadmittedAndThenCarriesTheLog() throws IOException {
+    void aMemberWithALostDiskIsReadmittedAndCountsTowardTheQuorum() throws IOException {
         try (LogCluster cluster = new LogCluster(directory, 3, 50)) {
             cluster.startAll();
             String leader = cluster.awaitLeader();
             for (int i = 0; i < 400; i++) {
                 propose(cluster, leader, "d" + i);
             }
-            String lost = leader.equals("c3") ? "c2" : "c3";
-            long before = incarnation(cluster, leader, lost);
-            cluster.stop(lost);
-            deleteAll(cluster.directory(lost));
-            cluster.start(lost);
-            LogCluster.await(cluster.members(
+            String wipedMember = leader.equals("c3") ? "c2" : "c3";
+            long before = incarnation(cluster, leader, wipedMember);
+            cluster.stop(wipedMember);
+            deleteAll(cluster.directory(wipedMember));
+            cluster.start(wipedMember);
+            LogCluster.await(cluster.membersMatching(
                     leader,
                     members -> members.stream()
-                            .anyMatch(member -> member.getMemberId().equals(lost)
+                            .anyMatch(member -> member.getMemberId().equals(wipedMember)
                                     && member.getVoting()
                                     && member.getIncarnation() != before)));
             String other = leader.equals("c1") ? "c2" : "c1";
-            cluster.stop(other.equals(lost) ? "c1" : other);
+            cluster.stop(other.equals(wipedMember) ? "c1" : other);
             propose(cluster, cluster.awaitLeader(), "last");
-            cluster.awaitApplied(lost, cluster.log(leader).appliedIndex());
-            assertThat(cluster.state(lost).state().getDepartingDatabaseIdsCount())
+            cluster.awaitApplied(wipedMember, cluster.log(leader).appliedIndex());
+            assertThat(cluster.state(wipedMember).state().getDepartingDatabaseIdsCount())
                     .isEqualTo(401);
         }
     }
 
     @Test
-    void aResendToTheNextLeaderGetsTheFirstOutcome() {
+    void aRetryAtTheNextLeaderReturnsTheFirstOutcome() {
         try (LogCluster cluster = new LogCluster(directory, 3, 50)) {
             cluster.startAll();
             String leader = cluster.awaitLeader();
@@ -101,25 +101,26 @@
     }
 
     @Test
-    void aReplacementTakesOverForAMemberThatIsGone() {
+    void aReplacementMemberTakesOverFromAStoppedMember() {
         try (LogCluster cluster = new LogCluster(directory, 3, 50)) {
             cluster.startAll();
             String leader = cluster.awaitLeader();
             propose(cluster, leader, "before");
-            // The leader's first record, the members and "before", in some order: no change is in progress then.
+            // Records 1 to 3 are the leader's first record, the members and "before", in any order; after them no
+            // membership change is in progress.
             cluster.awaitApplied(leader, 3);
-            String gone = leader.equals("c3") ? "c2" : "c3";
-            cluster.stop(gone);
+            String stoppedMember = leader.equals("c3") ? "c2" : "c3";
+            cluster.stop(stoppedMember);
             ControlMember added = cluster.listen("c4");
             List<ControlMember> wanted = new ArrayList<>(cluster.log(leader).members());
-            wanted.removeIf(member -> member.getMemberId().equals(gone));
+            wanted.removeIf(member -> member.getMemberId().equals(stoppedMember));
             wanted.add(added);
-            cluster.start("c4", wanted, WriteGuard.NONE);
+            cluster.start("c4", wanted, WriteInterceptor.NONE);
             ControlCommand change = ControlCommand.newBuilder()
                     .setChangeMembers(ChangeMembers.newBuilder().addAllMembers(wanted))
                     .build();
             LogCluster.await(cluster.log(leader).propose(change));
-            LogCluster.await(cluster.members(
+            LogCluster.await(cluster.membersMatching(
                     leader,
                     members -> members.stream()
                             .anyMatch(member -> member.getMemberId().equals("c4") && member.getVoting())));
@@ -132,7 +133,7 @@
     }
 
     @Test
-    void aFullDiskRefusesWithItsTypeAndGoesOnLater() {
+    void proposalsFailWhileTheDiskIsFullAndSucceedAfterwards() {
         AtomicBoolean full = new AtomicBoolean();
         try (LogCluster cluster = new LogCluster(directory, 1, 50)) {
             cluster.start("c1", bytes -> {
@@ -142,11 +143,12 @@
             });
             cluster.awaitLeader();
             propose(cluster, "c1", "before");
-            // Else one of the leader's own records, its first and the members, meets the full disk.
+            // Otherwise one of the leader's own records, its first record and the members, would be written to the full
+            // disk.
             cluster.awaitApplied("c1", 3);
             full.set(true);
-            assertThat(failure(cluster, "unsure")).isEqualTo(FailureType.LEADERSHIP_LOST);
-            assertThat(failure(cluster, "refused")).isEqualTo(FailureType.DISK_FULL);
+            assertThat(proposalFailure(cluster, "unsure")).isEqualTo(FailureType.LEADERSHIP_LOST);
+            assertThat(proposalFailure(cluster, "refused")).isEqualTo(FailureType.DISK_FULL);
             full.set(false);
             cluster.awaitLeader();
             propose(cluster, "c1", "after");
@@ -155,13 +157,13 @@
         }
     }
 
-    private static FailureType failure(LogCluster cluster, String databaseId) {
+    private static FailureType proposalFailure(LogCluster cluster, String databaseId) {
         CompletionException failure = assertThrows(CompletionException.class, () -> propose(cluster, "c1", databaseId));
         return FailureException.of(failure).type();
     }
 
     private static long incarnation(LogCluster cluster, String leader, String memberId) {
-        return LogCluster.await(cluster.members(leader, members -> members.size() == 3)).stream()
+        return LogCluster.await(cluster.membersMatching(leader, members -> members.size() == 3)).stream()
                 .filter(member -> member.getMemberId().equals(memberId))
                 .findFirst()
                 .orElseThrow()
--- a/control/src/test/java/org/hornbeamspread/control/consensus/LogCluster.java
+++ b/control/src/test/java/org/hornbeamspread/control/consensus/LogCluster.java
@@ -13,64 +13,64 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import org.hornbeamspread.control.state.ControlStateMachine;
-import org.hornbeamspread.control.storage.WriteGuard;
+import org.hornbeamspread.control.storage.WriteInterceptor;
 import org.hornbeamspread.protocol.schema.ControlMember;
 import org.hornbeamspread.protocol.schema.Endpoint;
 import org.hornbeamspread.runtime.MonotonicClock;
 import org.hornbeamspread.transport.PeerServer;
 import org.hornbeamspread.transport.PeerTransport;
 
-/** Members of one log on loopback, with real files. */
+/** The members of one replicated log on loopback, with real files. */
 final class LogCluster implements AutoCloseable {
-    static final Duration LIMIT = Duration.ofSeconds(60);
+    static final Duration TIMEOUT = Duration.ofSeconds(60);
 
     private final PeerTransport transport = new PeerTransport(2);
     private final Path directory;
     private final int snapshotIntervalRecords;
-    /** The members that the log is formed with. */
-    private final List<ControlMember> members = new ArrayList<>();
+    /** The members that the log is bootstrapped with. */
+    private final List<ControlMember> initialMembers = new ArrayList<>();
 
     private final Map<String, PeerServer> servers = new TreeMap<>();
     private final Map<String, AtomicReference<ConsensusService>> handlers = new TreeMap<>();
-    private final Map<String, Running> running = new TreeMap<>();
+    private final Map<String, RunningMember> running = new TreeMap<>();
 
     LogCluster(Path directory, int size, int snapshotIntervalRecords) {
         this.directory = directory;
         this.snapshotIntervalRecords = snapshotIntervalRecords;
         for (int i = 1; i <= size; i++) {
-            members.add(listen("c" + i));
+            initialMembers.add(listen("c" + i));
         }
     }
 
     void start(String memberId) {
-        start(memberId, WriteGuard.NONE);
+        start(memberId, WriteInterceptor.NONE);
     }
 
-    void start(String memberId, WriteGuard guard) {
-        start(memberId, members, guard);
+    void start(String memberId, WriteInterceptor interceptor) {
+        start(memberId, initialMembers, interceptor);
     }
 
-    void start(String memberId, List<ControlMember> members, WriteGuard guard) {
-        ConsensusSettings usual = ConsensusSettings.of(memberId, "test", members, directory(memberId));
+    void start(String memberId, List<ControlMember> members, WriteInterceptor interceptor) {
+        ConsensusSettings defaults = ConsensusSettings.of(memberId, "test", members, directory(memberId));
         ConsensusSettings settings = new ConsensusSettings(
                 memberId,
-                usual.clusterId(),
+                defaults.clusterId(),
                 members,
-                usual.dataDirectory(),
-                usual.electionTimeout(),
-                usual.heartbeatInterval(),
+                defaults.dataDirectory(),
+                defaults.electionTimeout(),
+                defaults.heartbeatInterval(),
                 snapshotIntervalRecords,
                 true);
         ControlStateMachine state = new ControlStateMachine();
-        ConsensusService log =
-                new ConsensusService(settings, state, new MonotonicClock(), transport, new PrometheusRegistry(), guard);
-        running.put(memberId, new Running(log, state));
+        ConsensusService log = new ConsensusService(
+                settings, state, new MonotonicClock(), transport, new PrometheusRegistry(), interceptor);
+        running.put(memberId, new RunningMember(log, state));
         handlers.get(memberId).set(log);
         log.start();
     }
 
     void startAll() {
-        members.forEach(member -> start(member.getMemberId()));
+        initialMembers.forEach(member -> start(member.getMemberId()));
     }
 
     void stop(String memberId) {
@@ -91,10 +91,10 @@
     }
 
     static <T> T await(CompletableFuture<T> future) {
-        return future.orTimeout(LIMIT.toSeconds(), TimeUnit.SECONDS).join();
+        return future.orTimeout(TIMEOUT.toSeconds(), TimeUnit.SECONDS).join();
     }
 
-    /** Waits for a running member that leads. */
+    /** Waits until a running member leads and returns its id. */
     String awaitLeader() {
         CompletableFuture<String> leader = new CompletableFuture<>();
         running.forEach((id, member) -> {
@@ -110,8 +110,8 @@
         return await(leader);
     }
 
-    /** Completes once a member has the members so. */
-    CompletableFuture<List<ControlMember>> members(String memberId, Predicate<List<ControlMember>> wanted) {
+    /** Completes with the members of the log as a member holds them, once they match. */
+    CompletableFuture<List<ControlMember>> membersMatching(String memberId, Predicate<List<ControlMember>> wanted) {
         CompletableFuture<List<ControlMember>> reached = new CompletableFuture<>();
         Consumer<List<ControlMember>> check = present -> {
             if (wanted.test(present)) {
@@ -123,7 +123,7 @@
         return reached;
     }
 
-    /** Waits until a member has applied a record. */
+    /** Waits until a member has applied the record at an index. */
     void awaitApplied(String memberId, long index) {
         CompletableFuture<Void> reached = new CompletableFuture<>();
         log(memberId).onApplied(applied -> {
@@ -144,7 +144,7 @@
         transport.close();
     }
 
-    /** Gives a member its endpoint. */
+    /** Opens the peer port of a member and returns the member with its endpoint. */
     ControlMember listen(String memberId) {
         AtomicReference<ConsensusService> handler = new AtomicReference<>();
         PeerServer server = transport
@@ -163,6 +163,6 @@
                 .build();
     }
 
-    /** A member that runs. */
-    private record Running(ConsensusService log, ControlStateMachine state) {}
+    /** A running member. */
+    private record RunningMember(ConsensusService log, ControlStateMachine state) {}
 }
