--- a/control/src/main/java/org/hornbeamspread/control/ControlMain.java
+++ b/control/src/main/java/org/hornbeamspread/control/ControlMain.java
@@ -16,7 +16,7 @@
     @SuppressWarnings("ShutdownHook")
     public static void main(String[] arguments) {
         ControlOptions options = new ControlOptions();
-        if (CommandLine.answered(BINARY, options, System.out, arguments)) {
+        if (CommandLine.printHelpOrVersion(BINARY, options, System.out, arguments)) {
             return;
         }
         ControlSettings settings;
--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
@@ -27,7 +27,7 @@
 import org.hornbeamspread.protocol.schema.ControlMember;
 import org.hornbeamspread.protocol.schema.ControlRecord;
 import org.hornbeamspread.protocol.schema.Envelope;
-import org.hornbeamspread.runtime.DutyThread;
+import org.hornbeamspread.runtime.EventLoopThread;
 import org.hornbeamspread.transport.PeerConnection;
 import org.hornbeamspread.transport.PeerTransport;
 
@@ -46,7 +46,7 @@
     private final DiskDuty disk;
     private final MemberDirectory directory;
     private final ConsensusMetrics metrics;
-    private final DutyThread<ConsensusTask> thread;
+    private final EventLoopThread<ConsensusTask> thread;
 
     /** Opens the data directory; {@link #start} runs it. Fails with LOG_CORRUPTED, INVALID_SETTING or DISK_FAILED. */
     public ConsensusService(
@@ -82,7 +82,7 @@
             files.close();
             throw e;
         }
-        this.thread = new DutyThread<>(
+        this.thread = new EventLoopThread<>(
                 "consensus-" + settings.memberId(), RING_EVENTS, this::handle, TICK_INTERVAL, this::tick);
     }
 
@@ -170,7 +170,7 @@
     private void handle(ConsensusTask task) {
         guarded(() -> {
             loop.handle(task);
-            if (thread.waitingEvents() == 0 || loop.isBatchFull()) {
+            if (thread.queuedEvents() == 0 || loop.isBatchFull()) {
                 loop.flush();
             }
         });
--- a/control/src/main/java/org/hornbeamspread/control/consensus/DiskDuty.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/DiskDuty.java
@@ -11,7 +11,7 @@
 import org.hornbeamspread.core.consensus.ConsensusEvent;
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
-import org.hornbeamspread.runtime.DutyThread;
+import org.hornbeamspread.runtime.EventLoopThread;
 
 /**
  * The thread that writes and syncs. The consensus thread hands over one batch at a time and gathers the next one
@@ -27,7 +27,7 @@
     private final DiskLog disk;
     private final MemberDirectory directory;
     private final Consumer<ConsensusEvent> report;
-    private final DutyThread<List<ConsensusEffect.Persist>> thread;
+    private final EventLoopThread<List<ConsensusEffect.Persist>> thread;
 
     /** What the next batch is made of; the consensus thread's. */
     private List<ConsensusEffect.Persist> gathered = new ArrayList<>();
@@ -44,7 +44,7 @@
         this.disk = disk;
         this.directory = directory;
         this.report = report;
-        this.thread = new DutyThread<>(name, RING_EVENTS, this::write, RETRY_INTERVAL, this::retry);
+        this.thread = new EventLoopThread<>(name, RING_EVENTS, this::write, RETRY_INTERVAL, this::retry);
     }
 
     void start() {
--- a/control/src/main/java/org/hornbeamspread/control/failover/Coordinator.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/Coordinator.java
@@ -31,7 +31,7 @@
 import org.hornbeamspread.protocol.schema.RenewView;
 import org.hornbeamspread.protocol.schema.Topology;
 import org.hornbeamspread.protocol.schema.ViewLease;
-import org.hornbeamspread.runtime.DutyThread;
+import org.hornbeamspread.runtime.EventLoopThread;
 import org.hornbeamspread.transport.Envelopes;
 import org.hornbeamspread.transport.PeerConnection;
 import org.hornbeamspread.transport.PeerHandler;
@@ -72,7 +72,7 @@
     private final DatabaseClients databaseClients;
     private final EffectRunner effectRunner;
     private final RenewalQueue renewals;
-    private final DutyThread<ControlEvent> eventLoop;
+    private final EventLoopThread<ControlEvent> eventLoop;
     private final VersionPusher versionPusher;
 
     /** The session of this member's leadership; null while this member is not the leader. */
@@ -105,7 +105,7 @@
         this.metrics = metrics;
         this.registry = new DatabaseRegistry(clock, REACHABLE_TIMEOUT, REGISTRY_EXPIRY);
         this.detector = new FailureDetector(clock, timings);
-        this.eventLoop = new DutyThread<>("coordinator", RING_CAPACITY, this::handle, TICK_INTERVAL, this::tick);
+        this.eventLoop = new EventLoopThread<>("coordinator", RING_CAPACITY, this::handle, TICK_INTERVAL, this::tick);
         this.databaseClients = new DatabaseClients(transport, eventLoop::offer, metrics);
         this.versionPusher = new VersionPusher(clock);
         this.renewals = new RenewalQueue(log, clock, eventLoop::offer);
--- a/control/src/main/java/org/hornbeamspread/control/routes/ControlMembership.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ControlMembership.java
@@ -17,7 +17,7 @@
 import org.hornbeamspread.protocol.schema.Endpoint;
 import org.hornbeamspread.protocol.schema.Envelope;
 import org.hornbeamspread.protocol.schema.JoinControl;
-import org.hornbeamspread.runtime.DutyThread;
+import org.hornbeamspread.runtime.EventLoopThread;
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
@@ -46,7 +46,7 @@
     private final Supplier<List<Endpoint>> seeds;
     private final PeerTransport transport;
     private final EventLog events;
-    private final DutyThread<Runnable> thread;
+    private final EventLoopThread<Runnable> thread;
     private long leaderlessTicks;
     private int nextSeed;
     private boolean removalPending;
@@ -72,7 +72,7 @@
         this.seeds = seeds;
         this.transport = transport;
         this.events = events;
-        this.thread = new DutyThread<>("membership", 1_024, Runnable::run, TICK_INTERVAL, this::tick);
+        this.thread = new EventLoopThread<>("membership", 1_024, Runnable::run, TICK_INTERVAL, this::tick);
     }
 
     /** Starts the thread. */
--- a/control/src/main/java/org/hornbeamspread/control/routes/ForwardingRouteOperations.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ForwardingRouteOperations.java
@@ -78,7 +78,7 @@
     public CompletableFuture<Void> announce(DatabaseInstance instance) {
         return orForwardToLeader(
                 local.announce(instance),
-                changeRequest(SubmitChange.newBuilder().setAnnouncement(RouteMessages.wire(instance))),
+                changeRequest(SubmitChange.newBuilder().setAnnouncement(RouteMessages.toWire(instance))),
                 answer -> null);
     }
 
@@ -86,7 +86,7 @@
     public CompletableFuture<Void> depart(Departure departure) {
         return orForwardToLeader(
                 local.depart(departure),
-                changeRequest(SubmitChange.newBuilder().setDeparture(RouteMessages.wire(departure))),
+                changeRequest(SubmitChange.newBuilder().setDeparture(RouteMessages.toWire(departure))),
                 answer -> null);
     }
 
--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
@@ -28,7 +28,7 @@
 import org.hornbeamspread.protocol.schema.Envelope;
 import org.hornbeamspread.protocol.schema.RouteConfigurationDocument;
 import org.hornbeamspread.protocol.schema.WatchSystem;
-import org.hornbeamspread.runtime.DutyThread;
+import org.hornbeamspread.runtime.EventLoopThread;
 import org.hornbeamspread.transport.Envelopes;
 import org.hornbeamspread.transport.RouteMessages;
 
@@ -49,7 +49,7 @@
     private final Supplier<List<ControlMember>> members;
     private final EventLog events;
     private final RouteMetrics metrics;
-    private final DutyThread<Runnable> thread;
+    private final EventLoopThread<Runnable> thread;
     private final InstanceRegistry registry = new InstanceRegistry();
     private final DatabaseLivenessTracker liveness;
     private final WatchingProxies watchingProxies;
@@ -79,7 +79,7 @@
         this.publishedState = publishedState;
         this.members = members;
         this.events = events;
-        this.thread = new DutyThread<>("routes", RING_CAPACITY_EVENTS, Runnable::run, TICK_INTERVAL, this::tick);
+        this.thread = new EventLoopThread<>("routes", RING_CAPACITY_EVENTS, Runnable::run, TICK_INTERVAL, this::tick);
         this.liveness = new DatabaseLivenessTracker(clock, events);
         this.watchingProxies = new WatchingProxies(clock, new ClockJumpDetector(clock, timeOfDay));
         this.promotions = new ServicePromotions(
@@ -123,7 +123,7 @@
     @Override
     public CompletableFuture<Void> depart(Departure departure) {
         return runAsLeader(() -> commit(ChangeInstances.newBuilder()
-                .addDeparted(RouteMessages.wire(departure))
+                .addDeparted(RouteMessages.toWire(departure))
                 .build()));
     }
 
@@ -213,7 +213,7 @@
             return CompletableFuture.completedFuture(null);
         }
         return commit(ChangeInstances.newBuilder()
-                .addAnnounced(RouteMessages.wire(instance))
+                .addAnnounced(RouteMessages.toWire(instance))
                 .build());
     }
 
--- a/control/src/main/java/org/hornbeamspread/control/routes/ServicePromotions.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ServicePromotions.java
@@ -361,7 +361,7 @@
         /** Commits the recovery of lost copies. After a failure, the failover decides and proposes it again. */
         private void commitRecovery(List<LostCopy> copies) {
             ChangeInstances.Builder change = ChangeInstances.newBuilder();
-            copies.forEach(copy -> change.addRecovered(RouteMessages.wire(copy)));
+            copies.forEach(copy -> change.addRecovered(RouteMessages.toWire(copy)));
             log.propose(ControlCommand.newBuilder().setChangeInstances(change).build())
                     .whenComplete((result, error) -> events.record(
                             "lost_copies_recovered",
--- a/control/src/main/java/org/hornbeamspread/control/settings/ControlOptions.java
+++ b/control/src/main/java/org/hornbeamspread/control/settings/ControlOptions.java
@@ -46,11 +46,11 @@
     @Option(name = "--address-map", usage = "file of announced=reached lines, host:port each")
     public String addressMap = "";
 
-    /** Read by {@code CommandLine.answered}. */
+    /** Read by {@code CommandLine.printHelpOrVersion}. */
     @Option(name = "--help", usage = "print the flags")
     public boolean help;
 
-    /** Read by {@code CommandLine.answered}. */
+    /** Read by {@code CommandLine.printHelpOrVersion}. */
     @Option(name = "--version", usage = "print the version")
     public boolean version;
 }
--- a/control/src/main/java/org/hornbeamspread/control/settings/ControlSettings.java
+++ b/control/src/main/java/org/hornbeamspread/control/settings/ControlSettings.java
@@ -68,7 +68,7 @@
                 members(options.members),
                 Duration.ofMillis(options.leaseMs),
                 options.clusterId,
-                EndpointSettings.addressMap(options.addressMap));
+                EndpointSettings.readAddressMap(options.addressMap));
     }
 
     private static List<ControlMember> members(String list) {
--- a/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
+++ b/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
@@ -88,12 +88,12 @@
                     .setLatestProposedAtMs(requests.latestProposedAtMs())
                     .setRoutes(routes)
                     .addAllInstances(
-                            instances.all().stream().map(RouteMessages::wire).toList())
+                            instances.all().stream().map(RouteMessages::toWire).toList())
                     .addAllDepartures(instances.departures().stream()
-                            .map(RouteMessages::wire)
+                            .map(RouteMessages::toWire)
                             .toList())
                     .addAllLostCopies(instances.lostCopies().stream()
-                            .map(RouteMessages::wire)
+                            .map(RouteMessages::toWire)
                             .toList())
                     .build();
         }
--- a/control/src/test/java/org/hornbeamspread/control/routes/DatabaseLivenessTrackerTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/DatabaseLivenessTrackerTest.java
@@ -43,7 +43,7 @@
         tracker.reset(List.of(database));
         advance(silentMs);
         tracker.markSilent(List.of(database));
-        RegisteredInstance registeredInstance = RouteMessages.wire(database);
+        RegisteredInstance registeredInstance = RouteMessages.toWire(database);
         ControlState state = ControlState.newBuilder()
                 .addInstances(registeredInstance)
                 .addGroups(GroupTerm.newBuilder()
@@ -96,7 +96,7 @@
     void newLeaderPublishesAllDatabasesUntilTheirSilenceTimeout() {
         DatabaseInstance database = database("a", false);
         ControlState state = ControlState.newBuilder()
-                .addInstances(RouteMessages.wire(database))
+                .addInstances(RouteMessages.toWire(database))
                 .build();
         tracker.reset(List.of(database));
         advance(SILENCE_TIMEOUT_MS + 1);
--- a/control/src/test/java/org/hornbeamspread/control/routes/RouteDaemonTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/RouteDaemonTest.java
@@ -243,7 +243,7 @@
         Route route = new Route("r", "topup", "ledger", RouteKind.PRIMARY, 0, 800, 250, 0);
         RouteConfiguration configuration =
                 new RouteConfiguration(version, List.of(route), List.of(new RoutedService("ledger", 28, 1)), 3_000);
-        return RouteMessages.wire(configuration)
+        return RouteMessages.toWire(configuration)
                 .setSource(ByteString.copyFromUtf8(source))
                 .build();
     }
--- a/ctl/src/main/java/org/hornbeamspread/ctl/ChangeCommands.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/ChangeCommands.java
@@ -29,15 +29,15 @@
         private String requestId = "";
 
         @Override
-        public void run(Session session) {
-            String id = Session.requestId(requestId);
+        public void run(CommandContext session) {
+            String id = CommandContext.requestIdOrNew(requestId);
             boolean departing = direction == Direction.START;
             SetDepartureRequest request = SetDepartureRequest.newBuilder()
                     .setDatabaseId(database)
                     .setDeparting(departing)
                     .setRequestId(id)
                     .build();
-            session.change("SetDeparture", request, id, database + (departing ? " is departing" : " takes work"));
+            session.sendChange("SetDeparture", request, id, database + (departing ? " is departing" : " takes work"));
         }
     }
 
@@ -53,14 +53,14 @@
         private String requestId = "";
 
         @Override
-        public void run(Session session) {
-            String id = Session.requestId(requestId);
+        public void run(CommandContext session) {
+            String id = CommandContext.requestIdOrNew(requestId);
             PromoteDatabaseRequest request = PromoteDatabaseRequest.newBuilder()
                     .setGroup(group)
                     .setDatabaseId(database)
                     .setRequestId(id)
                     .build();
-            session.change("PromoteDatabase", request, id, "promotion of " + group + " is under way");
+            session.sendChange("PromoteDatabase", request, id, "promotion of " + group + " is under way");
         }
     }
 }
--- a/ctl/src/main/java/org/hornbeamspread/ctl/Session.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/CommandContext.java
@@ -19,7 +19,7 @@
 import org.hornbeamspread.protocol.schema.Topology;
 
 /** What every command works with: the client, the output and the time. */
-public final class Session {
+public final class CommandContext {
     private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
     private final ControlClient client;
@@ -27,15 +27,16 @@
     private final PrintStream out;
     private final PrintStream err;
     private final Clock clock;
-    private final Pause pause;
+    private final Sleeper sleeper;
 
-    Session(ControlClient client, OutputFormat format, PrintStream out, PrintStream err, Clock clock, Pause pause) {
+    CommandContext(
+            ControlClient client, OutputFormat format, PrintStream out, PrintStream err, Clock clock, Sleeper pause) {
         this.client = client;
         this.format = format;
         this.out = out;
         this.err = err;
         this.clock = clock;
-        this.pause = pause;
+        this.sleeper = pause;
     }
 
     ControlClient client() {
@@ -56,14 +57,14 @@
     }
 
     /** Prints a line for people; left out of JSON output. */
-    void note(String line) {
+    void printNote(String line) {
         if (format == OutputFormat.TABLE) {
             out.println(line);
         }
     }
 
     /** Says how a change is sent again should its answer get lost. */
-    void announceChange(String resendFlags) {
+    void printResendHint(String resendFlags) {
         err.println("sending; should the answer get lost, send the same again with " + resendFlags);
     }
 
@@ -94,20 +95,20 @@
             if (!clock.instant().isBefore(deadline)) {
                 throw new FailureException(FailureType.REQUEST_TIMEOUT, "waited " + timeout.toMillis() + " ms " + what);
             }
-            pause.sleep(POLL_INTERVAL);
+            sleeper.sleep(POLL_INTERVAL);
         }
     }
 
     /** Sends a change and prints that it was done. */
-    void change(String method, Message request, String requestId, String done) {
-        announceChange("--request-id " + requestId);
+    void sendChange(String method, Message request, String requestId, String done) {
+        printResendHint("--request-id " + requestId);
         OperationResponse answer =
                 client.call(method, request, OperationResponse.getDefaultInstance(), OperationResponse::getFailure);
         print(answer, new TextTable("RESULT", "REQUEST-ID", "REPLAYED").row(done, requestId, answer.getReplayed()));
     }
 
     /** The given request id, or a fresh one. */
-    static String requestId(String given) {
+    static String requestIdOrNew(String given) {
         return given.isEmpty() ? UUID.randomUUID().toString() : given;
     }
 }
--- a/ctl/src/main/java/org/hornbeamspread/ctl/ConfigurationCommand.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/ConfigurationCommand.java
@@ -31,11 +31,11 @@
     private Command command;
 
     @Override
-    public void run(Session session) {
+    public void run(CommandContext session) {
         command.run(session);
     }
 
-    private static ApplyConfigurationResponse apply(Session session, ApplyConfigurationRequest request) {
+    private static ApplyConfigurationResponse apply(CommandContext session, ApplyConfigurationRequest request) {
         return session.client()
                 .call(
                         "ApplyConfiguration",
@@ -44,7 +44,7 @@
                         ApplyConfigurationResponse::getFailure);
     }
 
-    private static void printChanges(Session session, ApplyConfigurationResponse answer, String heading) {
+    private static void printChanges(CommandContext session, ApplyConfigurationResponse answer, String heading) {
         TextTable table = new TextTable(heading);
         answer.getChangesList().forEach(table::row);
         session.print(answer, table);
@@ -56,7 +56,7 @@
                 && topology.getProxiesList().stream().allMatch(proxy -> proxy.getConfigurationVersion() >= version);
     }
 
-    private static Topology await(Session session, long version, int timeoutMs) {
+    private static Topology await(CommandContext session, long version, int timeoutMs) {
         return session.awaitTopology(
                 inForce(version),
                 Duration.ofMillis(timeoutMs),
@@ -84,7 +84,7 @@
         private int awaitTimeoutMs = 30_000;
 
         @Override
-        public void run(Session session) {
+        public void run(CommandContext session) {
             if (!requestId.isEmpty() && expectedVersion < 0) {
                 throw new FailureException(
                         FailureType.INVALID_SETTING,
@@ -94,9 +94,9 @@
             long expected = expectedVersion >= 0
                     ? expectedVersion
                     : session.configuration().getVersion();
-            String id = Session.requestId(requestId);
+            String id = CommandContext.requestIdOrNew(requestId);
             if (!dryRun) {
-                session.announceChange("--expected-version " + expected + " --request-id " + id);
+                session.printResendHint("--expected-version " + expected + " --request-id " + id);
             }
             Instant start = session.now();
             ApplyConfigurationResponse answer = apply(
@@ -111,11 +111,11 @@
             if (dryRun) {
                 return;
             }
-            session.note("version " + answer.getVersion() + (answer.getReplayed() ? " (replayed)" : "") + " accepted,"
-                    + " request id " + id);
+            session.printNote("version " + answer.getVersion() + (answer.getReplayed() ? " (replayed)" : "")
+                    + " accepted," + " request id " + id);
             if (await) {
                 Topology topology = ConfigurationCommand.await(session, answer.getVersion(), awaitTimeoutMs);
-                session.note("in force at " + topology.getProxiesCount() + " proxies after "
+                session.printNote("in force at " + topology.getProxiesCount() + " proxies after "
                         + Duration.between(start, session.now()).toMillis() + " ms");
             }
         }
@@ -124,7 +124,7 @@
     /** Prints the configuration. */
     public static final class Show implements Command {
         @Override
-        public void run(Session session) {
+        public void run(CommandContext session) {
             Configuration configuration = session.configuration();
             TextTable table = new TextTable("KIND", "NAME", "SETTINGS");
             for (RankDefinition rank : configuration.getRanksList()) {
@@ -149,7 +149,7 @@
                                 + service.getStalenessAllowanceMs() + " ms, timeout " + service.getDefaultTimeoutMs()
                                 + " ms");
             }
-            session.note("version " + configuration.getVersion());
+            session.printNote("version " + configuration.getVersion());
             session.print(configuration, table);
         }
     }
@@ -160,14 +160,14 @@
         private String file = "";
 
         @Override
-        public void run(Session session) {
+        public void run(CommandContext session) {
             Configuration configuration = ConfigurationFile.read(Path.of(file));
             ApplyConfigurationResponse answer = apply(
                     session,
                     ApplyConfigurationRequest.newBuilder()
                             .setConfiguration(configuration)
                             .setExpectedVersion(session.configuration().getVersion())
-                            .setRequestId(Session.requestId(""))
+                            .setRequestId(CommandContext.requestIdOrNew(""))
                             .setDryRun(true)
                             .build());
             printChanges(session, answer, "WOULD CHANGE");
@@ -183,9 +183,9 @@
         private int awaitTimeoutMs = 30_000;
 
         @Override
-        public void run(Session session) {
+        public void run(CommandContext session) {
             Topology topology = ConfigurationCommand.await(session, version, awaitTimeoutMs);
-            session.note("version " + topology.getConfigurationVersion() + " is in force at "
+            session.printNote("version " + topology.getConfigurationVersion() + " is in force at "
                     + topology.getProxiesCount() + " proxies");
         }
     }
--- a/ctl/src/main/java/org/hornbeamspread/ctl/ConfigurationFile.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/ConfigurationFile.java
@@ -14,8 +14,8 @@
 /** Reads a group file: the JSON mapping of Configuration, with unknown fields refused. */
 final class ConfigurationFile {
     private static final Pattern UNKNOWN_FIELD = Pattern.compile("Cannot find field: (\\S+)");
-    private static final Pattern BAD_VALUE = Pattern.compile("[Nn]ot an? [^:]+: (\\S+)");
-    private static final Pattern PARSER_PLACE = Pattern.compile("line (\\d+) column");
+    private static final Pattern INVALID_VALUE = Pattern.compile("[Nn]ot an? [^:]+: (\\S+)");
+    private static final Pattern PARSER_LINE = Pattern.compile("line (\\d+) column");
 
     private ConfigurationFile() {}
 
@@ -38,18 +38,18 @@
         } catch (InvalidProtocolBufferException e) {
             String reason = String.valueOf(e.getMessage());
             throw new FailureException(
-                    FailureType.INVALID_CONFIGURATION, name + ":" + line(text, reason) + ": " + reason);
+                    FailureType.INVALID_CONFIGURATION, name + ":" + errorLine(text, reason) + ": " + reason);
         }
         return builder.build();
     }
 
     /** The line a parser's message is about: the one it names, else the first that holds the word it names, else 1. */
-    private static int line(String text, String reason) {
-        Matcher place = PARSER_PLACE.matcher(reason);
+    private static int errorLine(String text, String reason) {
+        Matcher place = PARSER_LINE.matcher(reason);
         if (place.find()) {
             return Integer.parseInt(place.group(1));
         }
-        for (Pattern pattern : new Pattern[] {UNKNOWN_FIELD, BAD_VALUE}) {
+        for (Pattern pattern : new Pattern[] {UNKNOWN_FIELD, INVALID_VALUE}) {
             Matcher named = pattern.matcher(reason);
             if (named.find()) {
                 int at = text.indexOf(named.group(1).replace("\"", ""));
--- a/ctl/src/main/java/org/hornbeamspread/ctl/ControlClient.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/ControlClient.java
@@ -23,25 +23,25 @@
  */
 final class ControlClient {
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(3);
-    private static final Duration ROUND_PAUSE = Duration.ofMillis(100);
+    private static final Duration ROUND_DELAY = Duration.ofMillis(100);
 
-    private final RpcClient client = new RpcClient();
+    private final RpcClient rpcClient = new RpcClient();
     private final List<Endpoint> members;
     private final Duration timeout;
     private final Clock clock;
-    private final Pause pause;
+    private final Sleeper sleeper;
 
     /** Where to go on asking; starts with the first member. */
-    private int next;
+    private int nextMember;
 
     /** The leader that a member named last; empty when none was. */
-    private Optional<Endpoint> named = Optional.empty();
+    private Optional<Endpoint> namedLeader = Optional.empty();
 
-    ControlClient(List<Endpoint> members, Duration timeout, Clock clock, Pause pause) {
+    ControlClient(List<Endpoint> members, Duration timeout, Clock clock, Sleeper pause) {
         this.members = List.copyOf(members);
         this.timeout = timeout;
         this.clock = clock;
-        this.pause = pause;
+        this.sleeper = pause;
     }
 
     /**
@@ -55,25 +55,26 @@
             try {
                 return attempt("hornbeamspread.Operations/" + method, request, answer, failureOf);
             } catch (FailureException e) {
-                if (!isWorthAnotherTry(e.type())) {
+                if (!isRetryable(e.type())) {
                     throw e;
                 }
                 unknown = e.type().effect() == Effect.UNKNOWN ? Optional.of(e) : unknown;
                 if (!clock.instant().isBefore(deadline)) {
                     throw unknown.orElse(e);
                 }
-                redirect(e);
+                selectNextTarget(e);
             }
             if (attempt % members.size() == 0) {
-                pause.sleep(ROUND_PAUSE);
+                sleeper.sleep(ROUND_DELAY);
             }
         }
     }
 
     private <A extends Message> A attempt(String method, Message request, A answer, Function<A, Failure> failureOf) {
-        Endpoint target = named.orElseGet(() -> members.get(next % members.size()));
+        Endpoint target = namedLeader.orElseGet(() -> members.get(nextMember % members.size()));
         try {
-            A result = client.call(target, method, request, answer, ATTEMPT_TIMEOUT)
+            A result = rpcClient
+                    .call(target, method, request, answer, ATTEMPT_TIMEOUT)
                     .join();
             Failure failure = failureOf.apply(result);
             if (!failure.getType().isEmpty()) {
@@ -86,19 +87,19 @@
     }
 
     /** Goes on with the leader that a member named, else with the next member. */
-    private void redirect(FailureException failure) {
-        named = Optional.empty();
-        next++;
+    private void selectNextTarget(FailureException failure) {
+        namedLeader = Optional.empty();
+        nextMember++;
         if (failure.type() == FailureType.NOT_LEADER && !failure.detail().isEmpty()) {
             try {
-                named = Optional.of(AddressTranslator.parse(failure.detail()));
+                namedLeader = Optional.of(AddressTranslator.parse(failure.detail()));
             } catch (FailureException e) {
-                named = Optional.empty();
+                namedLeader = Optional.empty();
             }
         }
     }
 
-    private static boolean isWorthAnotherTry(FailureType type) {
+    private static boolean isRetryable(FailureType type) {
         return switch (type) {
             case NOT_LEADER, NO_LEADER, LEADERSHIP_LOST, CONNECTION_REFUSED, CONNECTION_LOST, REQUEST_TIMEOUT -> true;
             default -> false;
--- a/ctl/src/main/java/org/hornbeamspread/ctl/ControlCommand.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/ControlCommand.java
@@ -18,7 +18,7 @@
     private Command command;
 
     @Override
-    public void run(Session session) {
+    public void run(CommandContext session) {
         if (command != null) {
             command.run(session);
             return;
@@ -56,8 +56,8 @@
         private String requestId = "";
 
         @Override
-        public void run(Session session) {
-            String id = Session.requestId(requestId);
+        public void run(CommandContext session) {
+            String id = CommandContext.requestIdOrNew(requestId);
             String replacement = newMember.isEmpty() ? member : newMember;
             ReplaceControlMemberRequest request = ReplaceControlMemberRequest.newBuilder()
                     .setMemberId(member)
@@ -67,7 +67,7 @@
                             .setHttp(AddressTranslator.parse(http)))
                     .setRequestId(id)
                     .build();
-            session.change("ReplaceControlMember", request, id, member + " is replaced by " + replacement);
+            session.sendChange("ReplaceControlMember", request, id, member + " is replaced by " + replacement);
         }
     }
 }
--- a/ctl/src/main/java/org/hornbeamspread/ctl/CtlMain.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/CtlMain.java
@@ -28,7 +28,7 @@
 
     /** Runs one command; the answer goes to {@code out} and a failure, with what to do next, to {@code err}. */
     static ExitCode run(Map<String, String> environment, PrintStream out, PrintStream err, String... arguments) {
-        if (CommandLine.answered(BINARY, new CtlOptions(), out, arguments)) {
+        if (CommandLine.printHelpOrVersion(BINARY, new CtlOptions(), out, arguments)) {
             if (List.of(arguments).contains("--help")) {
                 out.println(COMMANDS);
             }
@@ -37,10 +37,10 @@
         try {
             CtlOptions options = CommandLine.parse(new CtlOptions(), environment, arguments);
             MonotonicClock clock = new MonotonicClock();
-            Pause pause = Pause.blocking();
-            ControlClient client =
-                    new ControlClient(members(options.control), Duration.ofMillis(options.timeoutMs), clock, pause);
-            options.command.run(new Session(client, options.output, out, err, clock, pause));
+            Sleeper pause = Sleeper.blocking();
+            ControlClient client = new ControlClient(
+                    parseMembers(options.control), Duration.ofMillis(options.timeoutMs), clock, pause);
+            options.command.run(new CommandContext(client, options.output, out, err, clock, pause));
             return ExitCode.DONE;
         } catch (FailureException e) {
             err.println(BINARY + ": " + e.type() + ": " + e.getMessage());
@@ -49,7 +49,7 @@
         }
     }
 
-    private static List<Endpoint> members(String list) {
+    private static List<Endpoint> parseMembers(String list) {
         if (list.isEmpty()) {
             throw new FailureException(FailureType.INVALID_SETTING, "--control is needed: HOST:PORT,HOST:PORT,...");
         }
--- a/ctl/src/main/java/org/hornbeamspread/ctl/CtlOptions.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/CtlOptions.java
@@ -20,7 +20,7 @@
     @Argument(metaVar = "COMMAND", required = true, handler = SubCommandHandler.class)
     @SubCommands({
         @SubCommand(name = "configuration", impl = ConfigurationCommand.class),
-        @SubCommand(name = "topology", impl = TopologyCommands.All.class),
+        @SubCommand(name = "topology", impl = TopologyCommands.Overview.class),
         @SubCommand(name = "groups", impl = TopologyCommands.Groups.class),
         @SubCommand(name = "databases", impl = TopologyCommands.Databases.class),
         @SubCommand(name = "proxies", impl = TopologyCommands.Proxies.class),
--- a/ctl/src/main/java/org/hornbeamspread/ctl/Pause.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/Sleeper.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /** Waits between two tries; a test's own advances its clock instead. */
-interface Pause {
+interface Sleeper {
     /** Returns when the time is over. */
     void sleep(Duration duration);
 
     /** Blocks the calling thread. */
-    static Pause blocking() {
+    static Sleeper blocking() {
         return duration -> {
             try {
                 Thread.sleep(duration.toMillis());
--- a/ctl/src/main/java/org/hornbeamspread/ctl/TextTable.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/TextTable.java
@@ -5,7 +5,7 @@
 
 /** Left-aligned columns with a heading. */
 final class TextTable {
-    private static final String GAP = "  ";
+    private static final String COLUMN_SEPARATOR = "  ";
 
     private final List<List<String>> rows = new ArrayList<>();
 
@@ -37,7 +37,7 @@
             StringBuilder line = new StringBuilder();
             for (int i = 0; i < columns; i++) {
                 String cell = row.get(i);
-                line.append(cell).append(" ".repeat(widths[i] - cell.length())).append(GAP);
+                line.append(cell).append(" ".repeat(widths[i] - cell.length())).append(COLUMN_SEPARATOR);
             }
             text.append(line.toString().stripTrailing()).append('\n');
         }
--- a/ctl/src/main/java/org/hornbeamspread/ctl/TopologyCommands.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/TopologyCommands.java
@@ -65,15 +65,15 @@
     }
 
     /** {@code topology}: everything in one answer. */
-    public static final class All implements Command {
+    public static final class Overview implements Command {
         @Override
-        public void run(Session session) {
+        public void run(CommandContext session) {
             Topology topology = session.topology();
-            session.note("configuration version " + topology.getConfigurationVersion() + ", control leader "
+            session.printNote("configuration version " + topology.getConfigurationVersion() + ", control leader "
                     + orDash(topology.getControlLeaderId()));
             session.print(topology, groupTable(topology));
-            session.note(databaseTable(topology).render());
-            session.note(proxyTable(topology).render());
+            session.printNote(databaseTable(topology).render());
+            session.printNote(proxyTable(topology).render());
         }
     }
 
@@ -86,7 +86,7 @@
         private int awaitTimeoutMs = 30_000;
 
         @Override
-        public void run(Session session) {
+        public void run(CommandContext session) {
             Topology topology = awaitWritable
                     ? session.awaitTopology(
                             seen -> seen.getGroupsCount() > 0
@@ -101,7 +101,7 @@
     /** {@code databases}. */
     public static final class Databases implements Command {
         @Override
-        public void run(Session session) {
+        public void run(CommandContext session) {
             Topology topology = session.topology();
             session.print(topology, databaseTable(topology));
         }
@@ -116,7 +116,7 @@
         private int awaitTimeoutMs = 30_000;
 
         @Override
-        public void run(Session session) {
+        public void run(CommandContext session) {
             Topology topology = session.awaitTopology(
                     seen -> seen.getProxiesCount() >= await,
                     Duration.ofMillis(awaitTimeoutMs),
--- a/ctl/src/test/java/org/hornbeamspread/ctl/ConfigurationFileTest.java
+++ b/ctl/src/test/java/org/hornbeamspread/ctl/ConfigurationFileTest.java
@@ -14,7 +14,7 @@
 class ConfigurationFileTest {
     @ParameterizedTest
     @CsvSource({"entoto,rental-core,5,35", "ujaas,ledger,2,30"})
-    void examplesOfBothUsersAreRead(String user, String service, int slots, int connections) {
+    void exampleConfigurationsAreRead(String user, String service, int slots, int connections) {
         Configuration configuration = ConfigurationFile.read(Path.of("../examples/" + user + ".json"));
         assertThat(configuration.getServices(0).getName()).isEqualTo(service);
         assertThat(configuration.getRanksCount()).isEqualTo(3);
@@ -32,7 +32,7 @@
                 "{\"ranks\": [~{\"targetMs\": \"soon\"}]}|file:2: |soon",
                 "{\"ranks\": [~{\"targetMs\": 1~|file:3: |line"
             })
-    void aWrongFileIsRefusedWithPlaceAndReason(String text, String place, String reason) {
+    void anInvalidFileIsRefusedWithLineAndReason(String text, String place, String reason) {
         FailureException failure =
                 assertThrows(FailureException.class, () -> ConfigurationFile.parse("file", text.replace('~', '\n')));
         assertThat(failure.type()).isEqualTo(FailureType.INVALID_CONFIGURATION);
--- a/ctl/src/test/java/org/hornbeamspread/ctl/CtlMainTest.java
+++ b/ctl/src/test/java/org/hornbeamspread/ctl/CtlMainTest.java
@@ -42,7 +42,7 @@
     private final List<ApplyConfigurationRequest> applied = new ArrayList<>();
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
     private final ByteArrayOutputStream err = new ByteArrayOutputStream();
-    private FailureType refusal;
+    private FailureType scriptedFailure;
     private String leader;
     private String follower;
 
@@ -61,9 +61,9 @@
                 new RpcMethod<>(
                         "hornbeamspread.Operations/SetDeparture",
                         SetDepartureRequest.getDefaultInstance(),
-                        request -> refusal == null
+                        request -> scriptedFailure == null
                                 ? CompletableFuture.completedFuture(OperationResponse.getDefaultInstance())
-                                : CompletableFuture.failedFuture(new FailureException(refusal, "scripted")),
+                                : CompletableFuture.failedFuture(new FailureException(scriptedFailure, "scripted")),
                         OperationResponse::getFailure),
                 new RpcMethod<>(
                         "hornbeamspread.Operations/ApplyConfiguration",
@@ -84,7 +84,7 @@
 
     @ParameterizedTest
     @CsvSource({"-1,7", "3,3"})
-    void loadNamesTheVersionItReplaces(long given, long sent) {
+    void loadSendsTheExpectedVersion(long given, long sent) {
         List<String> command = new ArrayList<>(List.of("configuration", "load", "../examples/ujaas.json"));
         if (given >= 0) {
             command.addAll(List.of("--expected-version", String.valueOf(given)));
@@ -97,14 +97,14 @@
 
     @ParameterizedTest
     @CsvSource({"TABLE,p1", "JSON,\"proxyId\": \"p1\""})
-    void aFollowerIsLeftForTheLeaderItNames(String format, String expected) {
+    void aFollowerRedirectsToTheLeader(String format, String expected) {
         assertThat(run(follower, "--output", format, "proxies")).isEqualTo(ExitCode.DONE);
         assertThat(out.toString(StandardCharsets.UTF_8)).contains(expected);
     }
 
     @ParameterizedTest
     @CsvSource({"7,DONE", "8,UNKNOWN_OUTCOME"})
-    void awaitEndsWhenEveryProxyHasTheVersion(long version, ExitCode expected) {
+    void awaitReturnsWhenEveryProxyHasTheVersion(long version, ExitCode expected) {
         assertThat(run(leader, "configuration", "await", String.valueOf(version), "--await-timeout-ms", "0"))
                 .isEqualTo(expected);
     }
@@ -113,8 +113,8 @@
     @EnumSource(
             value = FailureType.class,
             names = {"UNKNOWN_DATABASE", "MEMBER_CHANGE_IN_PROGRESS", "INTERNAL", "LEADERSHIP_LOST", "NO_LEADER"})
-    void aRefusalHasItsExitCodeAndSaysWhatIsNext(FailureType type) {
-        refusal = type;
+    void aRefusalSetsTheExitCodeAndPrintsAdvice(FailureType type) {
+        scriptedFailure = type;
         assertThat(run(leader, "--timeout-ms", "0", "departure", "start", "g1-a"))
                 .isEqualTo(ExitCode.of(type));
         assertThat(err.toString(StandardCharsets.UTF_8)).contains(type + ": ");
@@ -129,14 +129,14 @@
         "topology --fast,2",
         "configuration load ../examples/ujaas.json --request-id r1,2"
     })
-    void aWrongCommandSendsNothing(String command, int code) {
+    void anInvalidCommandSendsNoRequest(String command, int code) {
         assertThat(run(leader, command.split(" ", -1)).code()).isEqualTo(code);
         assertThat(applied).isEmpty();
     }
 
     @ParameterizedTest
     @CsvSource({"topology,3", "'promote g1',3"})
-    void noControlMemberIsNotReachable(String command, int code) throws Exception {
+    void unreachableControlMembersGiveTheirExitCode(String command, int code) throws Exception {
         String closed;
         try (ServerSocket socket = new ServerSocket(0)) {
             closed = "127.0.0.1:" + socket.getLocalPort();
@@ -158,8 +158,8 @@
     private CompletableFuture<ApplyConfigurationResponse> apply(ApplyConfigurationRequest request) {
         applied.add(request);
         ApplyConfigurationResponse.Builder answer = ApplyConfigurationResponse.newBuilder();
-        if (refusal != null) {
-            answer.setFailure(Envelopes.failure(new FailureException(refusal, "scripted")));
+        if (scriptedFailure != null) {
+            answer.setFailure(Envelopes.failure(new FailureException(scriptedFailure, "scripted")));
         }
         return CompletableFuture.completedFuture(answer.setVersion(8).build());
     }
--- a/distribution/src/test/java/org/hornbeamspread/distribution/SettingsPageTest.java
+++ b/distribution/src/test/java/org/hornbeamspread/distribution/SettingsPageTest.java
@@ -20,8 +20,8 @@
 /** docs/settings.md names exactly the flags that the binaries take. */
 class SettingsPageTest {
     private static final Path PAGE = Path.of("../docs/settings.md");
-    private static final Pattern ROW = Pattern.compile("(?m)^\\| `(--[a-z-]+)` \\|");
-    private static final Set<String> ON_EVERY_BINARY = Set.of("--help", "--version");
+    private static final Pattern FLAG_ROW = Pattern.compile("(?m)^\\| `(--[a-z-]+)` \\|");
+    private static final Set<String> COMMON_FLAGS = Set.of("--help", "--version");
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .importPackages(
                     "org.hornbeamspread.proxy",
@@ -32,7 +32,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"proxy", "control", "emulator", "ctl", "load"})
-    void thePageNamesEveryFlagAndNoOther(String binary) throws IOException {
+    void thePageListsExactlyTheFlagsOfTheBinary(String binary) throws IOException {
         assertWithMessage("flags of hornbeamspread-%s", binary)
                 .that(flagsOnPage(binary))
                 .isEqualTo(flagsInCode(binary));
@@ -50,7 +50,7 @@
                 }
             }
         }
-        flags.removeAll(ON_EVERY_BINARY);
+        flags.removeAll(COMMON_FLAGS);
         return flags;
     }
 
@@ -63,7 +63,7 @@
             return flags;
         }
         int to = page.indexOf("\n## ", from + heading.length());
-        Matcher row = ROW.matcher(page.substring(from, to < 0 ? page.length() : to));
+        Matcher row = FLAG_ROW.matcher(page.substring(from, to < 0 ? page.length() : to));
         while (row.find()) {
             flags.add(row.group(1));
         }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseLauncher.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseLauncher.java
@@ -20,7 +20,7 @@
     /** Checks the flags, opens the disk and listens. Fails with INVALID_SETTING, CONNECTION_REFUSED or DISK_FAILED. */
     static DatabaseServer start(EmulatorOptions options, Clock clock) {
         DatabaseSettings settings = settings(options);
-        AddressTranslator translator = EndpointSettings.addressMap(options.addressMap);
+        AddressTranslator translator = EndpointSettings.readAddressMap(options.addressMap);
         DatabaseState state = state(options, clock);
         return new DatabaseServer(settings, state, new PeerTransport(NETWORK_THREADS, translator));
     }
@@ -32,7 +32,7 @@
                 AddressTranslator.parse(options.endpoint),
                 options.failureDomain,
                 options.region,
-                EndpointSettings.list(options.announceTo),
+                EndpointSettings.parseList(options.announceTo),
                 options.slots,
                 options.connectionLimit,
                 options.connectTimeMs,
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DecisionLoop.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DecisionLoop.java
@@ -4,14 +4,14 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import org.hornbeamspread.runtime.DutyThread;
+import org.hornbeamspread.runtime.EventLoopThread;
 
 /** The decision thread of a database, and the timer thread that feeds it. Its tasks run one at a time. */
 final class DecisionLoop implements AutoCloseable {
     private static final int CAPACITY_EVENTS = 16_384;
     private static final Duration TICK = Duration.ofMillis(20);
 
-    private final DutyThread<Runnable> decisions;
+    private final EventLoopThread<Runnable> decisions;
     private final ScheduledExecutorService timers = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread thread = new Thread(task, "timers");
         thread.setDaemon(true);
@@ -19,7 +19,7 @@
     });
 
     DecisionLoop(Runnable tick) {
-        this.decisions = new DutyThread<>("decisions", CAPACITY_EVENTS, Runnable::run, TICK, tick);
+        this.decisions = new EventLoopThread<>("decisions", CAPACITY_EVENTS, Runnable::run, TICK, tick);
     }
 
     void start() {
--- a/emulator/src/main/java/org/hornbeamspread/emulator/EmulatorMain.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/EmulatorMain.java
@@ -18,7 +18,7 @@
     /** Runs until SIGTERM. Exits with 2 when a setting is refused. */
     public static void main(String[] arguments) throws InterruptedException {
         EmulatorOptions options = new EmulatorOptions();
-        if (CommandLine.answered(BINARY, options, System.out, arguments)) {
+        if (CommandLine.printHelpOrVersion(BINARY, options, System.out, arguments)) {
             return;
         }
         try {
--- a/load/src/main/java/org/hornbeamspread/load/LoadMain.java
+++ b/load/src/main/java/org/hornbeamspread/load/LoadMain.java
@@ -34,7 +34,7 @@
 
     /** Runs a load and returns the exit code. */
     static int run(Map<String, String> environment, PrintStream out, PrintStream err, String... arguments) {
-        if (CommandLine.answered(BINARY, new LoadOptions(), out, arguments)) {
+        if (CommandLine.printHelpOrVersion(BINARY, new LoadOptions(), out, arguments)) {
             return EXIT_PASSED;
         }
         try {
--- a/load/src/main/java/org/hornbeamspread/load/LoadRun.java
+++ b/load/src/main/java/org/hornbeamspread/load/LoadRun.java
@@ -12,7 +12,7 @@
 import java.util.function.BiConsumer;
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
-import org.hornbeamspread.runtime.DutyThread;
+import org.hornbeamspread.runtime.EventLoopThread;
 
 /**
  * Runs a schedule against the proxies. One thread holds the callers, the ledger and the counts; the answers come to it
@@ -25,7 +25,7 @@
     private static final Duration DRAIN_LIMIT = Duration.ofSeconds(30);
 
     private final Clock clock;
-    private final DutyThread<Runnable> duty;
+    private final EventLoopThread<Runnable> duty;
     private final Dispatcher dispatcher;
     private final CallerModel callers;
     private final Deque<Arrival> schedule;
@@ -50,7 +50,7 @@
         this.start = clock.instant().plus(warmUp);
         this.lastArrivalUs =
                 schedule.isEmpty() ? 0 : schedule.get(schedule.size() - 1).atUs();
-        this.duty = new DutyThread<>("load", RING_EVENTS, Runnable::run, TICK, this::tick);
+        this.duty = new EventLoopThread<>("load", RING_EVENTS, Runnable::run, TICK, this::tick);
         this.dispatcher = new Dispatcher(port, new SplittableRandom(seed), this::nowUs, this::enqueue);
         this.callers = new CallerModel(workload, dispatcher, this::nowUs, seed);
     }
--- a/protocol/src/main/java/org/hornbeamspread/http/RpcClient.java
+++ b/protocol/src/main/java/org/hornbeamspread/http/RpcClient.java
@@ -21,7 +21,7 @@
 public final class RpcClient {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
-    private final HttpClient client = HttpClient.newBuilder()
+    private final HttpClient httpClient = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(CONNECT_TIMEOUT)
             .build();
@@ -38,17 +38,19 @@
                 .header("Content-Type", RpcCodec.PROTOBUF.contentType())
                 .POST(HttpRequest.BodyPublishers.ofByteArray(RpcCodec.PROTOBUF.encode(request)))
                 .build();
-        return client.sendAsync(http, HttpResponse.BodyHandlers.ofByteArray()).handle((response, error) -> {
-            if (error != null) {
-                throw transportFailure(error);
-            }
-            return decode(response, answer);
-        });
+        return httpClient
+                .sendAsync(http, HttpResponse.BodyHandlers.ofByteArray())
+                .handle((response, error) -> {
+                    if (error != null) {
+                        throw transportFailure(error);
+                    }
+                    return decode(response, answer);
+                });
     }
 
     private static <A extends Message> A decode(HttpResponse<byte[]> response, A answer) {
         if (response.statusCode() != 200) {
-            FailureException failure = bareFailure(response.body());
+            FailureException failure = parseFailure(response.body());
             if (failure != null) {
                 throw failure;
             }
@@ -57,10 +59,10 @@
     }
 
     /** The typed failure when the body is a Failure message, else null: the body is then the method's own answer. */
-    private static FailureException bareFailure(byte[] body) {
+    private static FailureException parseFailure(byte[] body) {
         try {
             Failure failure = RpcCodec.PROTOBUF.decode(Failure.getDefaultInstance(), body);
-            return failure.getUnknownFields().asMap().isEmpty() && isFailureName(failure.getType())
+            return failure.getUnknownFields().asMap().isEmpty() && isFailureType(failure.getType())
                     ? Envelopes.exception(failure)
                     : null;
         } catch (FailureException e) {
@@ -68,7 +70,7 @@
         }
     }
 
-    private static boolean isFailureName(String name) {
+    private static boolean isFailureType(String name) {
         for (FailureType type : FailureType.values()) {
             if (type.name().equals(name)) {
                 return true;
--- a/protocol/src/main/java/org/hornbeamspread/http/RpcCodec.java
+++ b/protocol/src/main/java/org/hornbeamspread/http/RpcCodec.java
@@ -54,7 +54,7 @@
     }
 
     /** The codec of a Content-Type header; JSON when it names neither. */
-    public static RpcCodec of(String contentType) {
+    public static RpcCodec forContentType(String contentType) {
         return contentType != null && contentType.startsWith(PROTOBUF.contentType) ? PROTOBUF : JSON;
     }
 
--- a/protocol/src/main/java/org/hornbeamspread/http/RpcMethod.java
+++ b/protocol/src/main/java/org/hornbeamspread/http/RpcMethod.java
@@ -16,7 +16,7 @@
  * @param <A> the answer
  */
 public record RpcMethod<Q extends Message, A extends Message>(
-        String name, Q request, Function<Q, CompletableFuture<A>> handler, Function<A, Failure> failureOf) {
+        String name, Q requestPrototype, Function<Q, CompletableFuture<A>> handler, Function<A, Failure> failureOf) {
     /** A method whose answer never carries a failure of its own. */
     public static <Q extends Message, A extends Message> RpcMethod<Q, A> of(
             String name, Q request, Function<Q, CompletableFuture<A>> handler) {
--- a/protocol/src/main/java/org/hornbeamspread/http/RpcServer.java
+++ b/protocol/src/main/java/org/hornbeamspread/http/RpcServer.java
@@ -67,17 +67,17 @@
                             .address(InetAddress.getByName(endpoint.getHost()))
                             .port(endpoint.getPort())
                             .maxContentLength(MAX_BODY_BYTES))
-                    .handlers(this::chain));
+                    .handlers(this::configureRoutes));
         } catch (Exception e) {
             throw new FailureException(FailureType.CONNECTION_REFUSED, AddressTranslator.format(endpoint) + " " + e, e);
         }
     }
 
-    private void chain(Chain chain) {
+    private void configureRoutes(Chain chain) {
         chain.get("health", context -> context.render("ok\n"))
                 .get("ready", this::renderReady)
                 .get("metrics", this::renderMetrics)
-                .post(":service/:method", this::call);
+                .post(":service/:method", this::handleCall);
     }
 
     private void renderReady(Context context) {
@@ -90,8 +90,9 @@
         context.getResponse().contentType(MetricsPage.CONTENT_TYPE).send(MetricsPage.render(registry));
     }
 
-    private void call(Context context) {
-        RpcCodec codec = RpcCodec.of(context.getRequest().getHeaders().get("Content-Type"));
+    private void handleCall(Context context) {
+        RpcCodec codec =
+                RpcCodec.forContentType(context.getRequest().getHeaders().get("Content-Type"));
         String name = context.getPathTokens().get("service") + "/"
                 + context.getPathTokens().get("method");
         RpcMethod<?, ?> method = methods.get(name);
@@ -99,14 +100,14 @@
             sendFailure(context, codec, new FailureException(FailureType.UNKNOWN_METHOD, name));
             return;
         }
-        context.getRequest().getBody().then(body -> run(context, codec, method, body.getBytes()));
+        context.getRequest().getBody().then(body -> invoke(context, codec, method, body.getBytes()));
     }
 
-    private static <Q extends Message, A extends Message> void run(
+    private static <Q extends Message, A extends Message> void invoke(
             Context context, RpcCodec codec, RpcMethod<Q, A> method, byte[] body) {
         CompletableFuture<A> answer;
         try {
-            answer = method.handler().apply(codec.decode(method.request(), body));
+            answer = method.handler().apply(codec.decode(method.requestPrototype(), body));
         } catch (RuntimeException e) {
             answer = CompletableFuture.failedFuture(e);
         }
--- a/protocol/src/main/java/org/hornbeamspread/runtime/LogLines.java
+++ b/protocol/src/main/java/org/hornbeamspread/runtime/AsyncLogWriter.java
@@ -10,46 +10,46 @@
 
 /**
  * Lines on their way to an output, written by a thread of their own from a bounded ring. A line that finds the ring full is
- * dropped and counted; nobody waits. A {@link DutyThread} would wake up fifty times a second for lines that may wait. Safe for any
+ * dropped and counted; nobody waits. A {@link EventLoopThread} would wake up fifty times a second for lines that may wait. Safe for any
  * thread.
  */
-public final class LogLines {
+public final class AsyncLogWriter {
     private static final int RING_LINES = 1_024;
 
     /** How long the writer sleeps when it is not woken; the wake-up of a line that meets it falling asleep can be missed. */
-    private static final long IDLE_NS = 1_000_000_000;
+    private static final long MAX_SLEEP_NS = 1_000_000_000;
 
     private final Queue<String> ring = new MpscArrayQueue<>(RING_LINES);
-    private final AtomicLong dropped = new AtomicLong();
+    private final AtomicLong droppedLines = new AtomicLong();
     private final OutputStream output;
-    private final Thread writer = new Thread(this::write, "log");
+    private final Thread writerThread = new Thread(this::runWriter, "log");
     private volatile boolean sleeping;
 
     /** Begins to write to an output. */
-    public LogLines(OutputStream output) {
+    public AsyncLogWriter(OutputStream output) {
         this.output = output;
-        writer.setDaemon(true);
-        writer.start();
+        writerThread.setDaemon(true);
+        writerThread.start();
     }
 
     /** Takes a line; false when it is dropped. */
     public boolean offer(String line) {
         if (!ring.offer(line)) {
-            dropped.incrementAndGet();
+            droppedLines.incrementAndGet();
             return false;
         }
         if (sleeping) {
-            LockSupport.unpark(writer);
+            LockSupport.unpark(writerThread);
         }
         return true;
     }
 
     /** Lines that found the ring full so far. */
-    public long dropped() {
-        return dropped.get();
+    public long droppedLines() {
+        return droppedLines.get();
     }
 
-    private void write() {
+    private void runWriter() {
         while (true) {
             String line = ring.poll();
             if (line != null) {
@@ -58,7 +58,7 @@
             }
             sleeping = true;
             if (ring.isEmpty()) {
-                LockSupport.parkNanos(IDLE_NS);
+                LockSupport.parkNanos(MAX_SLEEP_NS);
             }
             sleeping = false;
         }
@@ -72,7 +72,7 @@
             }
         } catch (IOException e) {
             // There is nowhere left to report it: the line counts as dropped.
-            dropped.incrementAndGet();
+            droppedLines.incrementAndGet();
         }
     }
 }
--- a/protocol/src/main/java/org/hornbeamspread/runtime/CommandLine.java
+++ b/protocol/src/main/java/org/hornbeamspread/runtime/CommandLine.java
@@ -24,7 +24,7 @@
     /** The version that {@code --version} prints. */
     public static final String VERSION = "0.1.0";
 
-    private static final String PREFIX = "HORNBEAMSPREAD_";
+    private static final String VARIABLE_PREFIX = "HORNBEAMSPREAD_";
     private static final int USAGE_WIDTH_COLUMNS = 110;
 
     private CommandLine() {}
@@ -37,7 +37,7 @@
             if (option == null || List.of(arguments).contains(option.name())) {
                 continue;
             }
-            String value = environment.get(variable(option.name()));
+            String value = environment.get(environmentVariable(option.name()));
             if (value != null && field.getType() != boolean.class) {
                 all.add(option.name());
                 all.add(value);
@@ -56,21 +56,21 @@
 
     /** Prints every flag with its environment variable. */
     public static void printHelp(String binary, Object options, PrintStream out) {
-        out.println("Usage: " + binary + " [flags]; each flag is also an environment variable: --some-name is " + PREFIX
-                + "SOME_NAME");
+        out.println("Usage: " + binary + " [flags]; each flag is also an environment variable: --some-name is "
+                + VARIABLE_PREFIX + "SOME_NAME");
         parser(options).printUsage(out);
     }
 
     /** The environment variable of a flag. */
-    public static String variable(String flag) {
-        return PREFIX + flag.replaceFirst("^--", "").replace('-', '_').toUpperCase(Locale.ROOT);
+    public static String environmentVariable(String flag) {
+        return VARIABLE_PREFIX + flag.replaceFirst("^--", "").replace('-', '_').toUpperCase(Locale.ROOT);
     }
 
     /**
      * Handles {@code --help} and {@code --version}. Returns true when one of them was given and printed; the caller
      * then exits with 0.
      */
-    public static boolean answered(String binary, Object options, PrintStream out, String... arguments) {
+    public static boolean printHelpOrVersion(String binary, Object options, PrintStream out, String... arguments) {
         List<String> given = List.of(arguments);
         if (given.contains("--help")) {
             printHelp(binary, options, out);
--- a/protocol/src/main/java/org/hornbeamspread/runtime/EndpointSettings.java
+++ b/protocol/src/main/java/org/hornbeamspread/runtime/EndpointSettings.java
@@ -17,7 +17,7 @@
     private EndpointSettings() {}
 
     /** The endpoints of a list separated by commas; blank items are passed over. Fails with INVALID_SETTING. */
-    public static List<Endpoint> list(String value) {
+    public static List<Endpoint> parseList(String value) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (String item : value.split(",", -1)) {
             if (!item.isBlank()) {
@@ -31,40 +31,43 @@
      * The translator of an address map: a file with one {@code announced=reached} a line. An empty name leaves every
      * address as it is. Fails with INVALID_SETTING, which names the file and the line.
      */
-    public static AddressTranslator addressMap(String file) {
+    public static AddressTranslator readAddressMap(String file) {
         if (file.isEmpty()) {
             return AddressTranslator.identity();
         }
         Map<Endpoint, Endpoint> table = new HashMap<>();
-        for (String line : lines(file)) {
+        for (String line : readLines(file)) {
             if (!line.isBlank()) {
                 int equals = line.indexOf('=');
                 if (equals < 0) {
-                    throw refused("--address-map " + file + " has a line that is not announced=reached: " + line, null);
+                    throw invalidSetting(
+                            "--address-map " + file + " has a line that is not announced=reached: " + line, null);
                 }
-                table.put(endpoint(file, line.substring(0, equals)), endpoint(file, line.substring(equals + 1)));
+                table.put(
+                        parseEndpoint(file, line.substring(0, equals)),
+                        parseEndpoint(file, line.substring(equals + 1)));
             }
         }
         return AddressTranslator.table(table);
     }
 
-    private static List<String> lines(String file) {
+    private static List<String> readLines(String file) {
         try {
             return Files.readAllLines(Path.of(file));
         } catch (IOException e) {
-            throw refused("--address-map can't be read: " + file, e);
+            throw invalidSetting("--address-map can't be read: " + file, e);
         }
     }
 
-    private static Endpoint endpoint(String file, String text) {
+    private static Endpoint parseEndpoint(String file, String text) {
         try {
             return AddressTranslator.parse(text.strip());
         } catch (FailureException e) {
-            throw refused("--address-map " + file + ": " + e.detail(), e);
+            throw invalidSetting("--address-map " + file + ": " + e.detail(), e);
         }
     }
 
-    private static FailureException refused(String detail, Throwable cause) {
+    private static FailureException invalidSetting(String detail, Throwable cause) {
         return new FailureException(FailureType.INVALID_SETTING, detail, cause);
     }
 }
--- a/protocol/src/main/java/org/hornbeamspread/runtime/DutyThread.java
+++ b/protocol/src/main/java/org/hornbeamspread/runtime/EventLoopThread.java
@@ -14,8 +14,8 @@
  *
  * @param <E> the events of the duty
  */
-public final class DutyThread<E> implements AutoCloseable {
-    private static final Logger LOG = System.getLogger(DutyThread.class.getName());
+public final class EventLoopThread<E> implements AutoCloseable {
+    private static final Logger LOG = System.getLogger(EventLoopThread.class.getName());
     private static final long PARK_NS = Duration.ofMillis(1).toNanos();
 
     private final MpscArrayQueue<E> ring;
@@ -36,7 +36,7 @@
      * @param tickInterval how often {@code tick} runs
      * @param tick called on the duty's thread
      */
-    public DutyThread(String name, int capacityEvents, Consumer<E> handler, Duration tickInterval, Runnable tick) {
+    public EventLoopThread(String name, int capacityEvents, Consumer<E> handler, Duration tickInterval, Runnable tick) {
         this.ring = new MpscArrayQueue<>(capacityEvents);
         this.handler = handler;
         this.tick = tick;
@@ -46,7 +46,7 @@
     }
 
     /** Starts the thread. */
-    public DutyThread<E> start() {
+    public EventLoopThread<E> start() {
         thread.start();
         return this;
     }
@@ -69,7 +69,7 @@
     }
 
     /** Events that wait in the ring. */
-    public int waitingEvents() {
+    public int queuedEvents() {
         return ring.size();
     }
 
@@ -96,20 +96,20 @@
         while (running) {
             E event = ring.relaxedPoll();
             if (event != null) {
-                guarded(() -> handler.accept(event));
+                runAndLogFailure(() -> handler.accept(event));
             }
             long nowNs = System.nanoTime();
             if (nowNs - nextTickNs >= 0) {
                 nextTickNs = nowNs + tickNs;
-                guarded(tick);
+                runAndLogFailure(tick);
             }
             if (event == null) {
-                park(nextTickNs - nowNs);
+                parkUntilEventOrTick(nextTickNs - nowNs);
             }
         }
     }
 
-    private void park(long untilTickNs) {
+    private void parkUntilEventOrTick(long untilTickNs) {
         parked = true;
         if (ring.isEmpty() && running) {
             LockSupport.parkNanos(this, Math.max(1, Math.min(untilTickNs, PARK_NS * 20)));
@@ -117,7 +117,7 @@
         parked = false;
     }
 
-    private void guarded(Runnable work) {
+    private void runAndLogFailure(Runnable work) {
         try {
             work.run();
         } catch (RuntimeException e) {
--- a/protocol/src/main/java/org/hornbeamspread/runtime/JsonEventLog.java
+++ b/protocol/src/main/java/org/hornbeamspread/runtime/JsonEventLog.java
@@ -20,16 +20,16 @@
     private static final JsonFactory JSON = new JsonFactory();
     private static final long SECOND_MS = 1_000;
 
-    private final Clock clock;
+    private final Clock monotonicClock;
     private final Clock timeOfDay;
-    private final LogLines output;
+    private final AsyncLogWriter logWriter;
     private final long linesPerSecond;
-    private final AtomicLong second = new AtomicLong();
-    private final AtomicLong lines = new AtomicLong();
-    private final AtomicLong overBound = new AtomicLong();
+    private final AtomicLong currentSecond = new AtomicLong();
+    private final AtomicLong linesInSecond = new AtomicLong();
+    private final AtomicLong linesOverLimit = new AtomicLong();
 
     /** The last count of lines that found the output's ring full. */
-    private final AtomicLong reportedFull = new AtomicLong();
+    private final AtomicLong reportedOutputDrops = new AtomicLong();
 
     /**
      * A log of at most so many lines a second.
@@ -37,47 +37,47 @@
      * @param clock a steady clock, which the bound goes by
      * @param timeOfDay stamps the lines
      */
-    public JsonEventLog(Clock clock, Clock timeOfDay, long linesPerSecond, LogLines output) {
-        this.clock = clock;
+    public JsonEventLog(Clock clock, Clock timeOfDay, long linesPerSecond, AsyncLogWriter output) {
+        this.monotonicClock = clock;
         this.timeOfDay = timeOfDay;
         this.linesPerSecond = linesPerSecond;
-        this.output = output;
+        this.logWriter = output;
     }
 
     /** A log on standard output. */
     public static JsonEventLog onStandardOutput(Clock clock, long linesPerSecond) {
-        LogLines output = new LogLines(new BufferedOutputStream(new FileOutputStream(FileDescriptor.out)));
+        AsyncLogWriter output = new AsyncLogWriter(new BufferedOutputStream(new FileOutputStream(FileDescriptor.out)));
         return new JsonEventLog(clock, Clock.systemUTC(), linesPerSecond, output);
     }
 
     @Override
     public void record(String event, Object... fields) {
-        long now = clock.millis() / SECOND_MS;
-        if (second.getAndSet(now) != now) {
-            lines.set(0);
+        long now = monotonicClock.millis() / SECOND_MS;
+        if (currentSecond.getAndSet(now) != now) {
+            linesInSecond.set(0);
             reportDropped();
         }
-        if (lines.incrementAndGet() > linesPerSecond) {
-            overBound.incrementAndGet();
+        if (linesInSecond.incrementAndGet() > linesPerSecond) {
+            linesOverLimit.incrementAndGet();
         } else {
-            output.offer(line(event, fields));
+            logWriter.offer(formatLine(event, fields));
         }
     }
 
     /** Lines dropped and not yet reported. */
     public long droppedLines() {
-        return overBound.get() + output.dropped() - reportedFull.get();
+        return linesOverLimit.get() + logWriter.droppedLines() - reportedOutputDrops.get();
     }
 
     private void reportDropped() {
-        long full = output.dropped();
-        long lost = overBound.getAndSet(0) + full - reportedFull.getAndSet(full);
+        long full = logWriter.droppedLines();
+        long lost = linesOverLimit.getAndSet(0) + full - reportedOutputDrops.getAndSet(full);
         if (lost > 0) {
-            output.offer(line("log_lines_dropped", "lines", lost));
+            logWriter.offer(formatLine("log_lines_dropped", "lines", lost));
         }
     }
 
-    private String line(String event, Object... fields) {
+    private String formatLine(String event, Object... fields) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(text)) {
             json.writeStartObject();
@@ -85,7 +85,7 @@
             json.writeStringField("event", event);
             for (int i = 0; i + 1 < fields.length; i += 2) {
                 json.writeFieldName(String.valueOf(fields[i]));
-                write(json, fields[i + 1]);
+                writeValue(json, fields[i + 1]);
             }
             json.writeEndObject();
         } catch (IOException e) {
@@ -94,7 +94,7 @@
         return text.toString();
     }
 
-    private static void write(JsonGenerator json, Object value) throws IOException {
+    private static void writeValue(JsonGenerator json, Object value) throws IOException {
         if (value instanceof Integer || value instanceof Long) {
             json.writeNumber(((Number) value).longValue());
         } else if (value instanceof Boolean flag) {
--- a/protocol/src/main/java/org/hornbeamspread/transport/PeerConnection.java
+++ b/protocol/src/main/java/org/hornbeamspread/transport/PeerConnection.java
@@ -23,7 +23,7 @@
     private final Channel channel;
     private final PeerHandler handler;
     private final AtomicLong nextRequestId = new AtomicLong(1);
-    private final Map<Long, CompletableFuture<Envelope>> waiting = new ConcurrentHashMap<>();
+    private final Map<Long, CompletableFuture<Envelope>> pendingRequests = new ConcurrentHashMap<>();
     private final AtomicBoolean closed = new AtomicBoolean();
 
     /** Anything that the owner keeps with the connection; null until it is set. */
@@ -45,10 +45,10 @@
         }
         long id = nextRequestId.getAndIncrement();
         CompletableFuture<Envelope> answer = new CompletableFuture<>();
-        waiting.put(id, answer);
+        pendingRequests.put(id, answer);
         ScheduledFuture<?> timer = channel.eventLoop()
                 .schedule(
-                        () -> fail(
+                        () -> failRequest(
                                 id,
                                 FailureType.REQUEST_TIMEOUT,
                                 request.getBodyCase().name()),
@@ -60,11 +60,11 @@
                         .build())
                 .addListener(sent -> {
                     if (!sent.isSuccess()) {
-                        fail(id, FailureType.CONNECTION_LOST, String.valueOf(sent.cause()));
+                        failRequest(id, FailureType.CONNECTION_LOST, String.valueOf(sent.cause()));
                     }
                 });
         if (closed.get()) {
-            fail(id, FailureType.CONNECTION_LOST, "closed while sending");
+            failRequest(id, FailureType.CONNECTION_LOST, "closed while sending");
         }
         return answer.whenComplete((envelope, error) -> timer.cancel(false));
     }
@@ -96,12 +96,12 @@
     }
 
     /** The other end's address, for logs. */
-    public String remote() {
+    public String remoteAddress() {
         return String.valueOf(channel.remoteAddress());
     }
 
-    private void fail(long id, FailureType type, String detail) {
-        CompletableFuture<Envelope> answer = waiting.remove(id);
+    private void failRequest(long id, FailureType type, String detail) {
+        CompletableFuture<Envelope> answer = pendingRequests.remove(id);
         if (answer != null) {
             answer.completeExceptionally(new FailureException(type, detail));
         }
@@ -120,7 +120,7 @@
     }
 
     private void onAnswer(Envelope frame) {
-        CompletableFuture<Envelope> answer = waiting.remove(frame.getRequestId());
+        CompletableFuture<Envelope> answer = pendingRequests.remove(frame.getRequestId());
         if (answer == null) {
             return;
         }
@@ -134,22 +134,22 @@
     private void onRequest(Envelope frame) {
         long id = frame.getRequestId();
         try {
-            handler.onRequest(this, frame, answer -> answer(id, answer));
+            handler.onRequest(this, frame, answer -> sendAnswer(id, answer));
         } catch (RuntimeException e) {
-            answer(id, Envelopes.failureEnvelope(FailureException.of(e)));
+            sendAnswer(id, Envelopes.failureEnvelope(FailureException.of(e)));
         }
     }
 
     private void onUnsupportedVersion(Envelope frame) {
         if (!frame.getAnswer() && frame.getRequestId() != 0) {
-            answer(
+            sendAnswer(
                     frame.getRequestId(),
                     Envelopes.failureEnvelope(new FailureException(
                             FailureType.UNSUPPORTED_VERSION, String.valueOf(frame.getProtocolVersion()))));
         }
     }
 
-    private void answer(long id, Envelope answer) {
+    private void sendAnswer(long id, Envelope answer) {
         channel.writeAndFlush(answer.toBuilder()
                 .setProtocolVersion(Envelopes.PROTOCOL_VERSION)
                 .setRequestId(id)
@@ -159,19 +159,19 @@
 
     private void onClosed() {
         if (closed.compareAndSet(false, true)) {
-            for (Long id : waiting.keySet()) {
-                fail(id, FailureType.CONNECTION_LOST, "connection closed");
+            for (Long id : pendingRequests.keySet()) {
+                failRequest(id, FailureType.CONNECTION_LOST, "connection closed");
             }
             handler.onClose(this);
         }
     }
 
     /** Feeds Netty's events to the connection. */
-    static final class Inbound extends SimpleChannelInboundHandler<Envelope> {
+    static final class InboundHandler extends SimpleChannelInboundHandler<Envelope> {
         private final PeerHandler handler;
         private volatile PeerConnection connection;
 
-        Inbound(PeerHandler handler) {
+        InboundHandler(PeerHandler handler) {
             this.handler = handler;
         }
 
--- a/protocol/src/main/java/org/hornbeamspread/transport/PeerTransport.java
+++ b/protocol/src/main/java/org/hornbeamspread/transport/PeerTransport.java
@@ -30,10 +30,10 @@
     /** The largest frame that is accepted; a longer one closes its connection. */
     public static final int MAX_FRAME_BYTES = 16 << 20;
 
-    private static final int LENGTH_BYTES = 4;
+    private static final int LENGTH_PREFIX_BYTES = 4;
 
-    private final EventLoopGroup group;
-    private final boolean ownsGroup;
+    private final EventLoopGroup eventLoopGroup;
+    private final boolean ownsEventLoopGroup;
     private final AddressTranslator translator;
 
     /** A transport with its own network threads that connects to addresses as they are announced. */
@@ -43,67 +43,69 @@
 
     /** A transport that passes each address through a translator before it connects. */
     public PeerTransport(int threads, AddressTranslator translator) {
-        this.group = new NioEventLoopGroup(threads, new DefaultThreadFactory("network", true));
-        this.ownsGroup = true;
+        this.eventLoopGroup = new NioEventLoopGroup(threads, new DefaultThreadFactory("network", true));
+        this.ownsEventLoopGroup = true;
         this.translator = translator;
     }
 
     /** A transport on network threads that others use too; closing it leaves them running. */
     public PeerTransport(EventLoopGroup shared) {
-        this.group = shared;
-        this.ownsGroup = false;
+        this.eventLoopGroup = shared;
+        this.ownsEventLoopGroup = false;
         this.translator = AddressTranslator.identity();
     }
 
     /** Listens; port 0 takes a free one. Fails with CONNECTION_REFUSED when the address can't be bound. */
     public CompletableFuture<PeerServer> listen(Endpoint endpoint, PeerHandler handler) {
         ChannelFuture bound = new ServerBootstrap()
-                .group(group)
+                .group(eventLoopGroup)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childHandler(initializer(handler))
+                .childHandler(channelInitializer(handler))
                 .bind(endpoint.getHost(), endpoint.getPort());
-        return future(bound).thenApply(PeerServer::new);
+        return toCompletableFuture(bound).thenApply(PeerServer::new);
     }
 
     /** Connects. Fails with CONNECTION_REFUSED. */
     public CompletableFuture<PeerConnection> connect(Endpoint endpoint, Duration timeout, PeerHandler handler) {
         Endpoint target = translator.translate(endpoint);
         ChannelFuture opened = new Bootstrap()
-                .group(group)
+                .group(eventLoopGroup)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) timeout.toMillis())
-                .handler(initializer(handler))
+                .handler(channelInitializer(handler))
                 .connect(new InetSocketAddress(target.getHost(), target.getPort()));
-        return future(opened)
-                .thenApply(channel ->
-                        channel.pipeline().get(PeerConnection.Inbound.class).connection());
+        return toCompletableFuture(opened)
+                .thenApply(channel -> channel.pipeline()
+                        .get(PeerConnection.InboundHandler.class)
+                        .connection());
     }
 
     @Override
     public void close() {
-        if (ownsGroup) {
-            group.shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS);
+        if (ownsEventLoopGroup) {
+            eventLoopGroup.shutdownGracefully(0, 1, java.util.concurrent.TimeUnit.SECONDS);
         }
     }
 
-    private static ChannelInitializer<SocketChannel> initializer(PeerHandler handler) {
+    private static ChannelInitializer<SocketChannel> channelInitializer(PeerHandler handler) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(SocketChannel channel) {
                 ChannelPipeline pipeline = channel.pipeline();
-                pipeline.addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
+                pipeline.addLast(new LengthFieldBasedFrameDecoder(
+                        MAX_FRAME_BYTES, 0, LENGTH_PREFIX_BYTES, 0, LENGTH_PREFIX_BYTES));
                 pipeline.addLast(new ProtobufDecoder(Envelope.getDefaultInstance()));
-                pipeline.addLast(new LengthFieldPrepender(LENGTH_BYTES));
+                pipeline.addLast(new LengthFieldPrepender(LENGTH_PREFIX_BYTES));
                 pipeline.addLast(new ProtobufEncoder());
-                pipeline.addLast(new PeerConnection.Inbound(handler));
+                pipeline.addLast(new PeerConnection.InboundHandler(handler));
             }
         };
     }
 
-    private static CompletableFuture<Channel> future(ChannelFuture operation) {
+    private static CompletableFuture<Channel> toCompletableFuture(ChannelFuture operation) {
         CompletableFuture<Channel> result = new CompletableFuture<>();
         operation.addListener(done -> {
             if (done.isSuccess()) {
--- a/protocol/src/main/java/org/hornbeamspread/transport/RouteMessages.java
+++ b/protocol/src/main/java/org/hornbeamspread/transport/RouteMessages.java
@@ -35,11 +35,11 @@
     }
 
     /** The wire form of a configuration, without its source. */
-    public static RouteConfigurationDocument.Builder wire(RouteConfiguration configuration) {
+    public static RouteConfigurationDocument.Builder toWire(RouteConfiguration configuration) {
         RouteConfigurationDocument.Builder wire = RouteConfigurationDocument.newBuilder()
                 .setVersion(configuration.version())
                 .setIdleTransactionMs((int) configuration.idleTransactionMs());
-        configuration.routes().forEach(route -> wire.addRoutes(wire(route)));
+        configuration.routes().forEach(route -> wire.addRoutes(toWire(route)));
         configuration
                 .services()
                 .forEach(service -> wire.addServices(RoutedServiceDefinition.newBuilder()
@@ -64,7 +64,7 @@
     }
 
     /** The wire form of an instance. */
-    public static RegisteredInstance wire(DatabaseInstance instance) {
+    public static RegisteredInstance toWire(DatabaseInstance instance) {
         return RegisteredInstance.newBuilder()
                 .setInstanceId(instance.instanceId())
                 .setService(instance.service())
@@ -84,7 +84,7 @@
     }
 
     /** The wire form of a departure. */
-    public static InstanceDeparture wire(Departure departure) {
+    public static InstanceDeparture toWire(Departure departure) {
         return InstanceDeparture.newBuilder()
                 .setInstanceId(departure.instanceId())
                 .setBornMs(departure.bornMs())
@@ -97,7 +97,7 @@
     }
 
     /** The wire form of a lost copy. */
-    public static LostInstanceCopy wire(LostCopy copy) {
+    public static LostInstanceCopy toWire(LostCopy copy) {
         return LostInstanceCopy.newBuilder()
                 .setService(copy.service())
                 .setEndpoint(endpoint(copy.address()))
@@ -143,7 +143,7 @@
                 wire.getMaxStalenessMs());
     }
 
-    private static RouteDefinition wire(Route route) {
+    private static RouteDefinition toWire(Route route) {
         return RouteDefinition.newBuilder()
                 .setName(route.name())
                 .setDatabase(route.database())
--- a/protocol/src/test/java/org/hornbeamspread/http/RpcServerTest.java
+++ b/protocol/src/test/java/org/hornbeamspread/http/RpcServerTest.java
@@ -21,7 +21,7 @@
     private static final String EXECUTE = "hornbeamspread.Statements/Execute";
 
     @Test
-    void answersAndFailuresKeepTheirTypes() {
+    void responsesAndTypedFailuresReachTheClient() {
         RpcMethod<ExecuteRequest, ExecuteResponse> method = new RpcMethod<>(
                 EXECUTE, ExecuteRequest.getDefaultInstance(), RpcServerTest::execute, ExecuteResponse::getFailure);
         Endpoint loopback = Endpoint.newBuilder().setHost("127.0.0.1").build();
--- a/protocol/src/test/java/org/hornbeamspread/runtime/EndpointSettingsTest.java
+++ b/protocol/src/test/java/org/hornbeamspread/runtime/EndpointSettingsTest.java
@@ -21,13 +21,13 @@
 
     @ParameterizedTest
     @CsvSource({"'10.0.0.1:7,10.0.0.2:8', 2", "' 10.0.0.1:7 , ', 1", "'', 0"})
-    void listsPassBlankItemsOver(String value, int endpoints) {
-        assertThat(EndpointSettings.list(value)).hasSize(endpoints);
+    void blankListItemsAreSkipped(String value, int endpoints) {
+        assertThat(EndpointSettings.parseList(value)).hasSize(endpoints);
     }
 
     @Test
-    void aMapTranslatesWhatItNames() throws IOException {
-        AddressTranslator map = EndpointSettings.addressMap(write("10.0.0.1:7 = 127.0.0.1:9\n\n"));
+    void onlyMappedAddressesAreTranslated() throws IOException {
+        AddressTranslator map = EndpointSettings.readAddressMap(writeAddressMap("10.0.0.1:7 = 127.0.0.1:9\n\n"));
         assertThat(map.translate(AddressTranslator.parse("10.0.0.1:7")).getPort())
                 .isEqualTo(9);
         assertThat(map.translate(AddressTranslator.parse("10.0.0.2:7")).getPort())
@@ -36,22 +36,22 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"10.0.0.1:7", "10.0.0.1=127.0.0.1:9", "10.0.0.1:7=127.0.0.1:99999"})
-    void aMalformedLineIsRefusedWithTheFile(String line) throws IOException {
-        String file = write(line);
-        FailureException failure = assertThrows(FailureException.class, () -> EndpointSettings.addressMap(file));
+    void aMalformedLineIsRefusedAndTheFileNamed(String line) throws IOException {
+        String file = writeAddressMap(line);
+        FailureException failure = assertThrows(FailureException.class, () -> EndpointSettings.readAddressMap(file));
         assertThat(failure.type()).isEqualTo(FailureType.INVALID_SETTING);
         assertThat(failure.detail()).contains(file);
     }
 
     @Test
-    void aMissingFileIsRefused() {
+    void aMissingAddressMapIsRefused() {
         String file = directory.resolve("absent").toString();
-        assertThat(assertThrows(FailureException.class, () -> EndpointSettings.addressMap(file))
+        assertThat(assertThrows(FailureException.class, () -> EndpointSettings.readAddressMap(file))
                         .type())
                 .isEqualTo(FailureType.INVALID_SETTING);
     }
 
-    private String write(String text) throws IOException {
+    private String writeAddressMap(String text) throws IOException {
         return Files.writeString(directory.resolve("map"), text).toString();
     }
 }
--- a/protocol/src/test/java/org/hornbeamspread/runtime/JsonEventLogTest.java
+++ b/protocol/src/test/java/org/hornbeamspread/runtime/JsonEventLogTest.java
@@ -18,10 +18,10 @@
     private static final Clock TIME_OF_DAY = Clock.fixed(Instant.ofEpochMilli(1_000), ZoneOffset.UTC);
 
     private final ManualClock clock = new ManualClock();
-    private final LinkedBlockingQueue<String> written = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> writtenLines = new LinkedBlockingQueue<>();
 
     @Test
-    void anEventIsOneFlatObject() throws InterruptedException {
+    void anEventIsWrittenAsOneFlatJsonObject() throws InterruptedException {
         log(10, 0)
                 .record(
                         "served",
@@ -34,13 +34,13 @@
                         "cause",
                         new IllegalStateException("x"));
 
-        assertThat(written.poll(10, TimeUnit.SECONDS))
+        assertThat(writtenLines.poll(10, TimeUnit.SECONDS))
                 .isEqualTo("{\"time_ms\":1000,\"event\":\"served\",\"id\":\"a\\\"b\",\"elapsed_ms\":7,\"late\":false,"
                         + "\"cause\":\"java.lang.IllegalStateException: x\"}\n");
     }
 
     @Test
-    void linesOverTheBoundOfASecondAreDroppedAndCounted() {
+    void linesOverTheLimitPerSecondAreDroppedAndCounted() {
         JsonEventLog log = log(3, 0);
         for (int i = 0; i < 10; i++) {
             log.record("event", "number", i);
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void anOutputThatTakesNothingBlocksNobody() throws InterruptedException {
+    void aBlockedOutputDoesNotBlockCallers() throws InterruptedException {
         JsonEventLog log = log(10_000, 1);
         for (int i = 0; i < 5_000; i++) {
             log.record("event", "number", i);
@@ -77,9 +77,9 @@
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
-                written.add(new String(bytes, StandardCharsets.UTF_8));
+                writtenLines.add(new String(bytes, StandardCharsets.UTF_8));
             }
         };
-        return new JsonEventLog(clock, TIME_OF_DAY, linesPerSecond, new LogLines(output));
+        return new JsonEventLog(clock, TIME_OF_DAY, linesPerSecond, new AsyncLogWriter(output));
     }
 }
--- a/protocol/src/test/java/org/hornbeamspread/transport/PeerTransportTest.java
+++ b/protocol/src/test/java/org/hornbeamspread/transport/PeerTransportTest.java
@@ -31,9 +31,9 @@
     }
 
     @Test
-    void answersOutOfOrderReachTheirOwnRequests() {
+    void answersOutOfOrderAreMatchedToTheirRequests() {
         List<Consumer<Envelope>> held = new ArrayList<>();
-        PeerConnection connection = connected((peer, request, answer) -> {
+        PeerConnection connection = connect((peer, request, answer) -> {
             held.add(answer);
             if (held.size() == 2) {
                 held.get(1).accept(vote(2));
@@ -48,21 +48,21 @@
 
     @Test
     void aTypedFailureKeepsItsType() {
-        PeerConnection connection = connected((peer, request, answer) ->
+        PeerConnection connection = connect((peer, request, answer) ->
                 answer.accept(Envelopes.failureEnvelope(new FailureException(FailureType.WRONG_TERM, "7"))));
         assertThat(failureOf(connection.request(vote(0), TIMEOUT)).type()).isEqualTo(FailureType.WRONG_TERM);
     }
 
     @Test
-    void aBrokenConnectionFailsWhatWaits() {
-        PeerConnection connection = connected((peer, request, answer) -> peer.close());
+    void aClosedConnectionFailsPendingRequests() {
+        PeerConnection connection = connect((peer, request, answer) -> peer.close());
         Envelope request = Envelope.newBuilder()
                 .setLookUpKey(LookUpKey.getDefaultInstance())
                 .build();
         assertThat(failureOf(connection.request(request, TIMEOUT)).type()).isEqualTo(FailureType.CONNECTION_LOST);
     }
 
-    private PeerConnection connected(PeerHandler handler) {
+    private PeerConnection connect(PeerHandler handler) {
         PeerServer server = transport.listen(LOOPBACK, handler).join();
         Endpoint target = LOOPBACK.toBuilder().setPort(server.port()).build();
         return transport.connect(target, TIMEOUT, (peer, request, answer) -> {}).join();
--- a/proxy/src/main/java/org/hornbeamspread/proxy/DutyDispatcher.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/DutyDispatcher.java
@@ -4,7 +4,7 @@
 import java.lang.System.Logger.Level;
 import java.time.Clock;
 import java.time.Duration;
-import org.hornbeamspread.runtime.DutyThread;
+import org.hornbeamspread.runtime.EventLoopThread;
 
 /** A dispatcher on a duty thread of its own. */
 final class DutyDispatcher implements Dispatcher, AutoCloseable {
@@ -14,12 +14,12 @@
 
     private final Clock clock;
     private final TimerQueue timers;
-    private final DutyThread<Runnable> duty;
+    private final EventLoopThread<Runnable> duty;
 
     DutyDispatcher(String name, Clock clock) {
         this.clock = clock;
         this.timers = new TimerQueue(clock);
-        this.duty = new DutyThread<>(name, CAPACITY_EVENTS, Runnable::run, TICK, timers::runDue).start();
+        this.duty = new EventLoopThread<>(name, CAPACITY_EVENTS, Runnable::run, TICK, timers::runDue).start();
     }
 
     @Override
@@ -36,7 +36,7 @@
 
     @Override
     public boolean tryExecute(Runnable work) {
-        return duty.waitingEvents() < CAPACITY_EVENTS / 2 && duty.offer(work);
+        return duty.queuedEvents() < CAPACITY_EVENTS / 2 && duty.offer(work);
     }
 
     @Override
@@ -46,7 +46,7 @@
 
     /** Work that waits. */
     int waitingEvents() {
-        return duty.waitingEvents();
+        return duty.queuedEvents();
     }
 
     @Override
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyMain.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyMain.java
@@ -20,7 +20,7 @@
     @SuppressWarnings("ShutdownHook")
     public static void main(String[] arguments) {
         ProxyOptions options = new ProxyOptions();
-        if (CommandLine.answered(BINARY, options, System.out, arguments)) {
+        if (CommandLine.printHelpOrVersion(BINARY, options, System.out, arguments)) {
             return;
         }
         try {
--- a/proxy/src/test/java/org/hornbeamspread/proxy/FakeDatabase.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/FakeDatabase.java
@@ -118,7 +118,7 @@
 
     /** Completes when the connection is closed. */
     CompletableFuture<Void> closed(PeerConnection connection) {
-        return closing.computeIfAbsent(connection.remote(), remote -> new CompletableFuture<>());
+        return closing.computeIfAbsent(connection.remoteAddress(), remote -> new CompletableFuture<>());
     }
 
     private void push() {
