--- a/ctl/src/main/java/org/hornbeamspread/ctl/Advice.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/Advice.java
@@ -2,17 +2,17 @@
 
 import org.hornbeamspread.core.misc.FailureType;
 
-/** What an operator should do next after a failure. */
+/** Messages that say what an operator should do after a failure. */
 final class Advice {
     private Advice() {}
 
-    /** One sentence for a failure. */
+    /** The advice for a type of failure. */
     static String of(FailureType type) {
         return switch (type) {
             case INVALID_SETTING -> "run hornbeamspread-ctl --help and correct the command";
-            case INVALID_CONFIGURATION -> "correct the file at the place named and load it again";
+            case INVALID_CONFIGURATION -> "correct the file at the line in the message and load it again";
             case VERSION_CONFLICT ->
-                "another change came first: see 'configuration diff FILE', then load with the current version";
+                "another change was applied first: see 'configuration diff FILE', then load with the current version";
             case REQUEST_ID_REUSED -> "use a new --request-id for a new change";
             case CONNECTION_REFUSED -> "check --control and that the control processes run";
             case NOT_LEADER, NO_LEADER ->
--- a/ctl/src/main/java/org/hornbeamspread/ctl/ChangeCommands.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/ChangeCommands.java
@@ -5,15 +5,15 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** The changes to databases. */
+/** Commands that change the state of databases. */
 public final class ChangeCommands {
     private ChangeCommands() {}
 
-    /** The two directions of a departure. */
+    /** Whether a departure is started or cancelled. */
     public enum Direction {
-        /** No new work from now on. */
+        /** The database gets no new work. */
         START,
-        /** Takes work again. */
+        /** The database gets work again. */
         STOP
     }
 
@@ -25,11 +25,11 @@
         @Argument(index = 1, metaVar = "DATABASE", required = true)
         private String database = "";
 
-        @Option(name = "--request-id", usage = "the same id again gets the first outcome; default: a fresh one")
+        @Option(name = "--request-id", usage = "a resend with the same id gets the first outcome; default: a new id")
         private String requestId = "";
 
         @Override
-        public void run(CommandContext session) {
+        public void run(CommandContext context) {
             String id = CommandContext.requestIdOrNew(requestId);
             boolean departing = direction == Direction.START;
             SetDepartureRequest request = SetDepartureRequest.newBuilder()
@@ -37,7 +37,7 @@
                     .setDeparting(departing)
                     .setRequestId(id)
                     .build();
-            session.sendChange("SetDeparture", request, id, database + (departing ? " is departing" : " takes work"));
+            context.sendChange("SetDeparture", request, id, database + (departing ? " is departing" : " accepts work"));
         }
     }
 
@@ -49,18 +49,18 @@
         @Option(name = "--database", usage = "the new primary; default: the one with the latest position")
         private String database = "";
 
-        @Option(name = "--request-id", usage = "the same id again gets the first outcome; default: a fresh one")
+        @Option(name = "--request-id", usage = "a resend with the same id gets the first outcome; default: a new id")
         private String requestId = "";
 
         @Override
-        public void run(CommandContext session) {
+        public void run(CommandContext context) {
             String id = CommandContext.requestIdOrNew(requestId);
             PromoteDatabaseRequest request = PromoteDatabaseRequest.newBuilder()
                     .setGroup(group)
                     .setDatabaseId(database)
                     .setRequestId(id)
                     .build();
-            session.sendChange("PromoteDatabase", request, id, "promotion of " + group + " is under way");
+            context.sendChange("PromoteDatabase", request, id, "promotion of " + group + " is in progress");
         }
     }
 }
--- a/ctl/src/main/java/org/hornbeamspread/ctl/Command.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/Command.java
@@ -1,7 +1,7 @@
 package org.hornbeamspread.ctl;
 
-/** One sub-command; its options and arguments are filled in by the command line's parser. */
+/** A command; the command line parser sets its options and arguments. */
 public interface Command {
-    /** Runs it and prints its answer. Fails with a typed failure, which the caller prints. */
-    void run(CommandContext session);
+    /** Runs the command and prints the result. Fails with a typed failure, which the caller prints. */
+    void run(CommandContext context);
 }
--- a/ctl/src/main/java/org/hornbeamspread/ctl/CommandContext.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/CommandContext.java
@@ -18,7 +18,7 @@
 import org.hornbeamspread.protocol.schema.OperationResponse;
 import org.hornbeamspread.protocol.schema.Topology;
 
-/** What every command works with: the client, the output and the time. */
+/** The client, output streams and clock that the commands use. */
 public final class CommandContext {
     private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
@@ -47,7 +47,7 @@
         return clock.instant();
     }
 
-    /** Prints an answer in the chosen form. */
+    /** Prints an answer in the selected output format. */
     void print(Message answer, TextTable table) {
         if (format == OutputFormat.JSON) {
             out.println(new String(RpcCodec.JSON.encode(answer), StandardCharsets.UTF_8));
@@ -56,16 +56,16 @@
         }
     }
 
-    /** Prints a line for people; left out of JSON output. */
+    /** Prints a line of information; omitted from JSON output. */
     void printNote(String line) {
         if (format == OutputFormat.TABLE) {
             out.println(line);
         }
     }
 
-    /** Says how a change is sent again should its answer get lost. */
+    /** Prints the flags with which to send a change again if its answer is lost. */
     void printResendHint(String resendFlags) {
-        err.println("sending; should the answer get lost, send the same again with " + resendFlags);
+        err.println("sending; if the answer is lost, send the same command again with " + resendFlags);
     }
 
     Configuration configuration() {
@@ -84,8 +84,8 @@
                 answer -> Failure.getDefaultInstance());
     }
 
-    /** Asks for the topology until it fits. Fails with REQUEST_TIMEOUT, whose detail says what was waited for. */
-    Topology awaitTopology(Predicate<Topology> condition, Duration timeout, String what) {
+    /** Polls the topology until the condition holds. Fails with REQUEST_TIMEOUT, whose detail describes the condition. */
+    Topology awaitTopology(Predicate<Topology> condition, Duration timeout, String conditionText) {
         Instant deadline = clock.instant().plus(timeout);
         while (true) {
             Topology topology = topology();
@@ -93,21 +93,22 @@
                 return topology;
             }
             if (!clock.instant().isBefore(deadline)) {
-                throw new FailureException(FailureType.REQUEST_TIMEOUT, "waited " + timeout.toMillis() + " ms " + what);
+                throw new FailureException(
+                        FailureType.REQUEST_TIMEOUT, "waited " + timeout.toMillis() + " ms " + conditionText);
             }
             sleeper.sleep(POLL_INTERVAL);
         }
     }
 
-    /** Sends a change and prints that it was done. */
-    void sendChange(String method, Message request, String requestId, String done) {
+    /** Sends a change and prints its result. */
+    void sendChange(String method, Message request, String requestId, String result) {
         printResendHint("--request-id " + requestId);
         OperationResponse answer =
                 client.call(method, request, OperationResponse.getDefaultInstance(), OperationResponse::getFailure);
-        print(answer, new TextTable("RESULT", "REQUEST-ID", "REPLAYED").row(done, requestId, answer.getReplayed()));
+        print(answer, new TextTable("RESULT", "REQUEST-ID", "REPLAYED").row(result, requestId, answer.getReplayed()));
     }
 
-    /** The given request id, or a fresh one. */
+    /** The given request id, or a new one if it is empty. */
     static String requestIdOrNew(String given) {
         return given.isEmpty() ? UUID.randomUUID().toString() : given;
     }
--- a/ctl/src/main/java/org/hornbeamspread/ctl/ConfigurationCommand.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/ConfigurationCommand.java
@@ -31,12 +31,12 @@
     private Command command;
 
     @Override
-    public void run(CommandContext session) {
-        command.run(session);
+    public void run(CommandContext context) {
+        command.run(context);
     }
 
-    private static ApplyConfigurationResponse apply(CommandContext session, ApplyConfigurationRequest request) {
-        return session.client()
+    private static ApplyConfigurationResponse apply(CommandContext context, ApplyConfigurationRequest request) {
+        return context.client()
                 .call(
                         "ApplyConfiguration",
                         request,
@@ -44,47 +44,49 @@
                         ApplyConfigurationResponse::getFailure);
     }
 
-    private static void printChanges(CommandContext session, ApplyConfigurationResponse answer, String heading) {
+    private static void printChanges(CommandContext context, ApplyConfigurationResponse answer, String heading) {
         TextTable table = new TextTable(heading);
         answer.getChangesList().forEach(table::row);
-        session.print(answer, table);
+        context.print(answer, table);
     }
 
-    /** Whether control and every live proxy hold a version at least as new. */
+    /** Whether control and every live proxy have the given version or a newer one. */
     static Predicate<Topology> inForce(long version) {
         return topology -> topology.getConfigurationVersion() >= version
                 && topology.getProxiesList().stream().allMatch(proxy -> proxy.getConfigurationVersion() >= version);
     }
 
-    private static Topology await(CommandContext session, long version, int timeoutMs) {
-        return session.awaitTopology(
+    private static Topology await(CommandContext context, long version, int timeoutMs) {
+        return context.awaitTopology(
                 inForce(version),
                 Duration.ofMillis(timeoutMs),
                 "for version " + version + " at every live proxy; 'proxies' shows which are behind");
     }
 
-    /** Replaces the configuration by a file's. */
+    /** {@code configuration load FILE}: replaces the configuration by the contents of a file. */
     public static final class Load implements Command {
         @Argument(metaVar = "FILE", required = true, usage = "the group file")
         private String file = "";
 
-        @Option(name = "--expected-version", usage = "the version this replaces; default: the current one")
+        @Option(name = "--expected-version", usage = "the version to replace; default: the current version")
         private long expectedVersion = -1;
 
-        @Option(name = "--request-id", usage = "the same id again gets the first outcome; default: a fresh one")
+        @Option(name = "--request-id", usage = "a resend with the same id gets the first outcome; default: a new id")
         private String requestId = "";
 
-        @Option(name = "--dry-run", usage = "check it and show the changes, change nothing")
+        @Option(name = "--dry-run", usage = "validate the file and show the changes without applying them")
         private boolean dryRun;
 
-        @Option(name = "--await", usage = "wait until every live proxy has it, and say how long that took")
+        @Option(
+                name = "--await",
+                usage = "wait until every live proxy has the new version, and print how long that took")
         private boolean await;
 
         @Option(name = "--await-timeout-ms", usage = "how long to wait")
         private int awaitTimeoutMs = 30_000;
 
         @Override
-        public void run(CommandContext session) {
+        public void run(CommandContext context) {
             if (!requestId.isEmpty() && expectedVersion < 0) {
                 throw new FailureException(
                         FailureType.INVALID_SETTING,
@@ -93,39 +95,39 @@
             Configuration configuration = ConfigurationFile.read(Path.of(file));
             long expected = expectedVersion >= 0
                     ? expectedVersion
-                    : session.configuration().getVersion();
+                    : context.configuration().getVersion();
             String id = CommandContext.requestIdOrNew(requestId);
             if (!dryRun) {
-                session.printResendHint("--expected-version " + expected + " --request-id " + id);
+                context.printResendHint("--expected-version " + expected + " --request-id " + id);
             }
-            Instant start = session.now();
+            Instant start = context.now();
             ApplyConfigurationResponse answer = apply(
-                    session,
+                    context,
                     ApplyConfigurationRequest.newBuilder()
                             .setConfiguration(configuration)
                             .setExpectedVersion(expected)
                             .setRequestId(id)
                             .setDryRun(dryRun)
                             .build());
-            printChanges(session, answer, dryRun ? "WOULD CHANGE" : "CHANGED");
+            printChanges(context, answer, dryRun ? "WOULD CHANGE" : "CHANGED");
             if (dryRun) {
                 return;
             }
-            session.printNote("version " + answer.getVersion() + (answer.getReplayed() ? " (replayed)" : "")
+            context.printNote("version " + answer.getVersion() + (answer.getReplayed() ? " (replayed)" : "")
                     + " accepted," + " request id " + id);
             if (await) {
-                Topology topology = ConfigurationCommand.await(session, answer.getVersion(), awaitTimeoutMs);
-                session.printNote("in force at " + topology.getProxiesCount() + " proxies after "
-                        + Duration.between(start, session.now()).toMillis() + " ms");
+                Topology topology = ConfigurationCommand.await(context, answer.getVersion(), awaitTimeoutMs);
+                context.printNote("in force at " + topology.getProxiesCount() + " proxies after "
+                        + Duration.between(start, context.now()).toMillis() + " ms");
             }
         }
     }
 
-    /** Prints the configuration. */
+    /** {@code configuration show}: prints the configuration. */
     public static final class Show implements Command {
         @Override
-        public void run(CommandContext session) {
-            Configuration configuration = session.configuration();
+        public void run(CommandContext context) {
+            Configuration configuration = context.configuration();
             TextTable table = new TextTable("KIND", "NAME", "SETTINGS");
             for (RankDefinition rank : configuration.getRanksList()) {
                 table.row(
@@ -149,32 +151,32 @@
                                 + service.getStalenessAllowanceMs() + " ms, timeout " + service.getDefaultTimeoutMs()
                                 + " ms");
             }
-            session.printNote("version " + configuration.getVersion());
-            session.print(configuration, table);
+            context.printNote("version " + configuration.getVersion());
+            context.print(configuration, table);
         }
     }
 
-    /** Prints what a file would change. */
+    /** {@code configuration diff FILE}: prints the changes that loading a file would make. */
     public static final class Diff implements Command {
         @Argument(metaVar = "FILE", required = true, usage = "the group file")
         private String file = "";
 
         @Override
-        public void run(CommandContext session) {
+        public void run(CommandContext context) {
             Configuration configuration = ConfigurationFile.read(Path.of(file));
             ApplyConfigurationResponse answer = apply(
-                    session,
+                    context,
                     ApplyConfigurationRequest.newBuilder()
                             .setConfiguration(configuration)
-                            .setExpectedVersion(session.configuration().getVersion())
+                            .setExpectedVersion(context.configuration().getVersion())
                             .setRequestId(CommandContext.requestIdOrNew(""))
                             .setDryRun(true)
                             .build());
-            printChanges(session, answer, "WOULD CHANGE");
+            printChanges(context, answer, "WOULD CHANGE");
         }
     }
 
-    /** Waits until a version is in force. */
+    /** {@code configuration await VERSION}: waits until a version is in force at every live proxy. */
     public static final class Await implements Command {
         @Argument(metaVar = "VERSION", required = true, usage = "the version, or a newer one")
         private long version;
@@ -183,9 +185,9 @@
         private int awaitTimeoutMs = 30_000;
 
         @Override
-        public void run(CommandContext session) {
-            Topology topology = ConfigurationCommand.await(session, version, awaitTimeoutMs);
-            session.printNote("version " + topology.getConfigurationVersion() + " is in force at "
+        public void run(CommandContext context) {
+            Topology topology = ConfigurationCommand.await(context, version, awaitTimeoutMs);
+            context.printNote("version " + topology.getConfigurationVersion() + " is in force at "
                     + topology.getProxiesCount() + " proxies");
         }
     }
--- a/ctl/src/main/java/org/hornbeamspread/ctl/ConfigurationFile.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/ConfigurationFile.java
@@ -11,7 +11,7 @@
 import org.hornbeamspread.core.misc.FailureType;
 import org.hornbeamspread.protocol.schema.Configuration;
 
-/** Reads a group file: the JSON mapping of Configuration, with unknown fields refused. */
+/** Reads a group file: the JSON mapping of Configuration. A file with unknown fields is refused. */
 final class ConfigurationFile {
     private static final Pattern UNKNOWN_FIELD = Pattern.compile("Cannot find field: (\\S+)");
     private static final Pattern INVALID_VALUE = Pattern.compile("[Nn]ot an? [^:]+: (\\S+)");
@@ -19,18 +19,21 @@
 
     private ConfigurationFile() {}
 
-    /** Fails with INVALID_SETTING when the file can't be read, INVALID_CONFIGURATION with place and reason otherwise. */
+    /**
+     * Reads a configuration. Fails with INVALID_SETTING when the file cannot be read, and with INVALID_CONFIGURATION,
+     * whose detail gives the line and the reason, when its text is invalid.
+     */
     static Configuration read(Path file) {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new FailureException(FailureType.INVALID_SETTING, "can't read " + file, e);
+            throw new FailureException(FailureType.INVALID_SETTING, "cannot read " + file, e);
         }
         return parse(file.toString(), text);
     }
 
-    /** Parses a file's text; the name is for messages. */
+    /** Parses the text of a file; the file name is used in messages. */
     static Configuration parse(String name, String text) {
         Configuration.Builder builder = Configuration.newBuilder();
         try {
@@ -43,17 +46,20 @@
         return builder.build();
     }
 
-    /** The line a parser's message is about: the one it names, else the first that holds the word it names, else 1. */
+    /**
+     * The line of a parser error: the line in the parser's message, else the first line that contains the field or value
+     * in the message, else 1.
+     */
     private static int errorLine(String text, String reason) {
-        Matcher place = PARSER_LINE.matcher(reason);
-        if (place.find()) {
-            return Integer.parseInt(place.group(1));
+        Matcher position = PARSER_LINE.matcher(reason);
+        if (position.find()) {
+            return Integer.parseInt(position.group(1));
         }
         for (Pattern pattern : new Pattern[] {UNKNOWN_FIELD, INVALID_VALUE}) {
-            Matcher named = pattern.matcher(reason);
-            if (named.find()) {
-                int at = text.indexOf(named.group(1).replace("\"", ""));
-                return at < 0 ? 1 : (int) text.substring(0, at).lines().count();
+            Matcher fieldOrValue = pattern.matcher(reason);
+            if (fieldOrValue.find()) {
+                int offset = text.indexOf(fieldOrValue.group(1).replace("\"", ""));
+                return offset < 0 ? 1 : (int) text.substring(0, offset).lines().count();
             }
         }
         return 1;
--- a/ctl/src/main/java/org/hornbeamspread/ctl/ControlClient.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/ControlClient.java
@@ -17,9 +17,9 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * Calls the control leader. Any member may be asked; one that does not lead names the leader, which is asked next, and
- * one that can't be reached is passed over. Every change carries a request id, so that a change whose answer was lost
- * can be sent again, to another member too, and gets its first outcome.
+ * Calls the control leader. A call may go to any member. A follower returns the endpoint of the leader, which is called
+ * next; a member that cannot be reached is skipped. Every change carries a request id, so that a change whose answer was
+ * lost can be sent again, also to another member, and gets its first outcome.
  */
 final class ControlClient {
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(3);
@@ -31,10 +31,12 @@
     private final Clock clock;
     private final Sleeper sleeper;
 
-    /** Where to go on asking; starts with the first member. */
+    /**
+     * Index, modulo the number of members, of the member to call when no leader is named; starts with the first member.
+     */
     private int nextMember;
 
-    /** The leader that a member named last; empty when none was. */
+    /** The leader named in the last failure; empty if that failure named none. */
     private Optional<Endpoint> namedLeader = Optional.empty();
 
     ControlClient(List<Endpoint> members, Duration timeout, Clock clock, Sleeper pause) {
@@ -45,12 +47,13 @@
     }
 
     /**
-     * Calls until a member answers for good or the time is over. Fails with the typed refusal, or, when time is over,
-     * with an unknown outcome of any try in preference to the last failure.
+     * Calls members until an attempt succeeds, fails with a failure that is not retryable, or the timeout has passed.
+     * After the timeout, the call fails with the latest failure whose effect is unknown if any attempt had one, else
+     * with the last failure.
      */
     <A extends Message> A call(String method, Message request, A answer, Function<A, Failure> failureOf) {
         Instant deadline = clock.instant().plus(timeout);
-        Optional<FailureException> unknown = Optional.empty();
+        Optional<FailureException> unknownOutcome = Optional.empty();
         for (int attempt = 1; ; attempt++) {
             try {
                 return attempt("hornbeamspread.Operations/" + method, request, answer, failureOf);
@@ -58,9 +61,9 @@
                 if (!isRetryable(e.type())) {
                     throw e;
                 }
-                unknown = e.type().effect() == Effect.UNKNOWN ? Optional.of(e) : unknown;
+                unknownOutcome = e.type().effect() == Effect.UNKNOWN ? Optional.of(e) : unknownOutcome;
                 if (!clock.instant().isBefore(deadline)) {
-                    throw unknown.orElse(e);
+                    throw unknownOutcome.orElse(e);
                 }
                 selectNextTarget(e);
             }
@@ -86,7 +89,7 @@
         }
     }
 
-    /** Goes on with the leader that a member named, else with the next member. */
+    /** Selects the leader named in a failure, else the next member, for the next attempt. */
     private void selectNextTarget(FailureException failure) {
         namedLeader = Optional.empty();
         nextMember++;
--- a/ctl/src/main/java/org/hornbeamspread/ctl/ControlCommand.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/ControlCommand.java
@@ -10,32 +10,32 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 
-/** {@code control}: the members and who leads; {@code control replace}: puts a new member in an old one's place. */
+/** {@code control} lists the control members and their roles; {@code control replace} replaces a member. */
 public final class ControlCommand implements Command {
-    /** Null for the question. */
+    /** Null when {@code control} is given without a sub-command. */
     @Argument(metaVar = "[replace]", handler = SubCommandHandler.class)
     @SubCommands({@SubCommand(name = "replace", impl = Replace.class)})
     private Command command;
 
     @Override
-    public void run(CommandContext session) {
+    public void run(CommandContext context) {
         if (command != null) {
-            command.run(session);
+            command.run(context);
             return;
         }
-        Topology topology = session.topology();
+        Topology topology = context.topology();
         TextTable table = new TextTable("MEMBER", "ROLE", "VOTING", "MATCHED-INDEX", "PEER", "HTTP");
         for (ControlMember member : topology.getControlMembersList()) {
-            boolean leads = member.getMemberId().equals(topology.getControlLeaderId());
+            boolean isLeader = member.getMemberId().equals(topology.getControlLeaderId());
             table.row(
                     member.getMemberId(),
-                    leads ? "leader" : "follower",
+                    isLeader ? "leader" : "follower",
                     member.getVoting(),
                     member.getMatchedIndex(),
                     AddressTranslator.format(member.getPeer()),
                     AddressTranslator.format(member.getHttp()));
         }
-        session.print(topology, table);
+        context.print(topology, table);
     }
 
     /** {@code control replace MEMBER --new-member ID --peer H:P --http H:P}. */
@@ -43,7 +43,9 @@
         @Argument(metaVar = "MEMBER", required = true, usage = "the member to replace")
         private String member = "";
 
-        @Option(name = "--new-member", usage = "the new member's id; default: the same id, after a lost disk")
+        @Option(
+                name = "--new-member",
+                usage = "the new member's id; default: the same id, for a member that lost its disk")
         private String newMember = "";
 
         @Option(name = "--peer", required = true, metaVar = "HOST:PORT", usage = "the new member's peer endpoint")
@@ -52,11 +54,11 @@
         @Option(name = "--http", required = true, metaVar = "HOST:PORT", usage = "the new member's HTTP endpoint")
         private String http = "";
 
-        @Option(name = "--request-id", usage = "the same id again gets the first outcome; default: a fresh one")
+        @Option(name = "--request-id", usage = "a resend with the same id gets the first outcome; default: a new id")
         private String requestId = "";
 
         @Override
-        public void run(CommandContext session) {
+        public void run(CommandContext context) {
             String id = CommandContext.requestIdOrNew(requestId);
             String replacement = newMember.isEmpty() ? member : newMember;
             ReplaceControlMemberRequest request = ReplaceControlMemberRequest.newBuilder()
@@ -67,7 +69,7 @@
                             .setHttp(AddressTranslator.parse(http)))
                     .setRequestId(id)
                     .build();
-            session.sendChange("ReplaceControlMember", request, id, member + " is replaced by " + replacement);
+            context.sendChange("ReplaceControlMember", request, id, member + " is replaced by " + replacement);
         }
     }
 }
--- a/ctl/src/main/java/org/hornbeamspread/ctl/CtlMain.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/CtlMain.java
@@ -12,7 +12,7 @@
 import org.hornbeamspread.runtime.MonotonicClock;
 import org.hornbeamspread.transport.AddressTranslator;
 
-/** The binary hornbeamspread-ctl. */
+/** The main class of hornbeamspread-ctl. */
 public final class CtlMain {
     private static final String BINARY = "hornbeamspread-ctl";
     private static final String COMMANDS = "Commands: configuration load FILE | show | diff FILE | await VERSION;"
@@ -21,12 +21,12 @@
 
     private CtlMain() {}
 
-    /** Runs one command and exits with its code. */
+    /** Runs one command and exits with its exit code. */
     public static void main(String[] arguments) {
         System.exit(run(System.getenv(), System.out, System.err, arguments).code());
     }
 
-    /** Runs one command; the answer goes to {@code out} and a failure, with what to do next, to {@code err}. */
+    /** Runs one command; the result goes to {@code out}, and a failure, with advice for the operator, to {@code err}. */
     static ExitCode run(Map<String, String> environment, PrintStream out, PrintStream err, String... arguments) {
         if (CommandLine.printHelpOrVersion(BINARY, new CtlOptions(), out, arguments)) {
             if (List.of(arguments).contains("--help")) {
@@ -37,10 +37,10 @@
         try {
             CtlOptions options = CommandLine.parse(new CtlOptions(), environment, arguments);
             MonotonicClock clock = new MonotonicClock();
-            Sleeper pause = Sleeper.blocking();
+            Sleeper sleeper = Sleeper.blocking();
             ControlClient client = new ControlClient(
-                    parseMembers(options.control), Duration.ofMillis(options.timeoutMs), clock, pause);
-            options.command.run(new CommandContext(client, options.output, out, err, clock, pause));
+                    parseMembers(options.control), Duration.ofMillis(options.timeoutMs), clock, sleeper);
+            options.command.run(new CommandContext(client, options.output, out, err, clock, sleeper));
             return ExitCode.DONE;
         } catch (FailureException e) {
             err.println(BINARY + ": " + e.type() + ": " + e.getMessage());
@@ -51,7 +51,7 @@
 
     private static List<Endpoint> parseMembers(String list) {
         if (list.isEmpty()) {
-            throw new FailureException(FailureType.INVALID_SETTING, "--control is needed: HOST:PORT,HOST:PORT,...");
+            throw new FailureException(FailureType.INVALID_SETTING, "--control is required: HOST:PORT,HOST:PORT,...");
         }
         List<Endpoint> members = new ArrayList<>();
         for (String member : list.split(",", -1)) {
--- a/ctl/src/main/java/org/hornbeamspread/ctl/CtlOptions.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/CtlOptions.java
@@ -11,10 +11,10 @@
     @Option(name = "--control", metaVar = "HOST:PORT,...", usage = "HTTP endpoints of the control members")
     String control = "";
 
-    @Option(name = "--output", usage = "how answers are printed")
+    @Option(name = "--output", usage = "format of the output")
     OutputFormat output = OutputFormat.TABLE;
 
-    @Option(name = "--timeout-ms", usage = "how long to look for a leader that answers")
+    @Option(name = "--timeout-ms", usage = "how long to try to reach a leader")
     int timeoutMs = 10_000;
 
     @Argument(metaVar = "COMMAND", required = true, handler = SubCommandHandler.class)
--- a/ctl/src/main/java/org/hornbeamspread/ctl/ExitCode.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/ExitCode.java
@@ -3,17 +3,17 @@
 import org.hornbeamspread.core.misc.Effect;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** The exit codes of hornbeamspread-ctl. A code never changes its meaning. */
+/** The exit codes of hornbeamspread-ctl. The meaning of a code must not change. */
 public enum ExitCode {
-    /** The command did what it says. */
+    /** The command succeeded. */
     DONE(0),
-    /** The system refused it, and nothing changed. */
+    /** The system refused the command; nothing changed. */
     REFUSED(1),
-    /** The command line or a file is wrong; nothing was sent. */
+    /** The command line or a file is invalid; no request was sent. */
     USAGE(2),
-    /** No control member could be reached, or none leads. Nothing changed. */
+    /** No control member could be reached, or there is no leader. Nothing changed. */
     NOT_REACHABLE(3),
-    /** It may have been done: the answer was lost. */
+    /** The change may have been made: its answer was lost. */
     UNKNOWN_OUTCOME(4);
 
     private final int code;
--- a/ctl/src/main/java/org/hornbeamspread/ctl/OutputFormat.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/OutputFormat.java
@@ -1,8 +1,8 @@
 package org.hornbeamspread.ctl;
 
-/** How answers are printed. */
+/** The format of printed answers. */
 public enum OutputFormat {
-    /** Columns for people. */
+    /** Aligned columns of text. */
     TABLE,
     /** The JSON mapping of the answer. */
     JSON
--- a/ctl/src/main/java/org/hornbeamspread/ctl/Sleeper.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/Sleeper.java
@@ -2,12 +2,12 @@
 
 import java.time.Duration;
 
-/** Waits between two tries; a test's own advances its clock instead. */
+/** The delay between two attempts. A test can use an implementation that advances a clock instead. */
 interface Sleeper {
-    /** Returns when the time is over. */
+    /** Returns after the duration. */
     void sleep(Duration duration);
 
-    /** Blocks the calling thread. */
+    /** A sleeper that blocks the calling thread. */
     static Sleeper blocking() {
         return duration -> {
             try {
--- a/ctl/src/main/java/org/hornbeamspread/ctl/TextTable.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/TextTable.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Left-aligned columns with a heading. */
+/** A table of left-aligned text columns with headings. */
 final class TextTable {
     private static final String COLUMN_SEPARATOR = "  ";
 
@@ -13,7 +13,7 @@
         rows.add(List.of(headings));
     }
 
-    /** Adds a row; each cell is printed by its string form. */
+    /** Adds a row; each cell is converted to a string. */
     TextTable row(Object... cells) {
         List<String> texts = new ArrayList<>();
         for (Object cell : cells) {
@@ -23,7 +23,7 @@
         return this;
     }
 
-    /** The lines, each ended by a line break. */
+    /** The lines of the table, each followed by a line break. */
     String render() {
         int columns = rows.get(0).size();
         int[] widths = new int[columns];
--- a/ctl/src/main/java/org/hornbeamspread/ctl/TopologyCommands.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/TopologyCommands.java
@@ -8,7 +8,7 @@
 import org.hornbeamspread.transport.AddressTranslator;
 import org.kohsuke.args4j.Option;
 
-/** The questions about the running system. */
+/** Commands that show the state of the running system. */
 public final class TopologyCommands {
     private TopologyCommands() {}
 
@@ -34,11 +34,11 @@
                 "DATABASE", "GROUP", "ROLE", "DOMAIN", "ENDPOINT", "REACHABLE", "TRUSTED", "DEPARTING", "HOLDER");
         for (GroupView group : topology.getGroupsList()) {
             for (DatabaseEntry database : group.getDatabasesList()) {
-                boolean primary = database.getDatabaseId().equals(group.getPrimaryId());
+                boolean isPrimary = database.getDatabaseId().equals(group.getPrimaryId());
                 table.row(
                         database.getDatabaseId(),
                         group.getGroup(),
-                        primary ? "primary" : "replica",
+                        isPrimary ? "primary" : "replica",
                         database.getFailureDomain(),
                         AddressTranslator.format(database.getEndpoint()),
                         database.getReachable(),
@@ -64,20 +64,20 @@
         return table;
     }
 
-    /** {@code topology}: everything in one answer. */
+    /** {@code topology}: prints the groups, databases and proxies. */
     public static final class Overview implements Command {
         @Override
-        public void run(CommandContext session) {
-            Topology topology = session.topology();
-            session.printNote("configuration version " + topology.getConfigurationVersion() + ", control leader "
+        public void run(CommandContext context) {
+            Topology topology = context.topology();
+            context.printNote("configuration version " + topology.getConfigurationVersion() + ", control leader "
                     + orDash(topology.getControlLeaderId()));
-            session.print(topology, groupTable(topology));
-            session.printNote(databaseTable(topology).render());
-            session.printNote(proxyTable(topology).render());
+            context.print(topology, groupTable(topology));
+            context.printNote(databaseTable(topology).render());
+            context.printNote(proxyTable(topology).render());
         }
     }
 
-    /** {@code groups}. */
+    /** {@code groups}: prints the database groups. */
     public static final class Groups implements Command {
         @Option(name = "--await-writable", usage = "wait until every group has a writable primary")
         private boolean awaitWritable;
@@ -86,28 +86,28 @@
         private int awaitTimeoutMs = 30_000;
 
         @Override
-        public void run(CommandContext session) {
+        public void run(CommandContext context) {
             Topology topology = awaitWritable
-                    ? session.awaitTopology(
-                            seen -> seen.getGroupsCount() > 0
-                                    && seen.getGroupsList().stream().allMatch(GroupView::getWritable),
+                    ? context.awaitTopology(
+                            current -> current.getGroupsCount() > 0
+                                    && current.getGroupsList().stream().allMatch(GroupView::getWritable),
                             Duration.ofMillis(awaitTimeoutMs),
                             "for a writable primary in every group; 'databases' shows what is missing")
-                    : session.topology();
-            session.print(topology, groupTable(topology));
+                    : context.topology();
+            context.print(topology, groupTable(topology));
         }
     }
 
-    /** {@code databases}. */
+    /** {@code databases}: prints the databases of all groups. */
     public static final class Databases implements Command {
         @Override
-        public void run(CommandContext session) {
-            Topology topology = session.topology();
-            session.print(topology, databaseTable(topology));
+        public void run(CommandContext context) {
+            Topology topology = context.topology();
+            context.print(topology, databaseTable(topology));
         }
     }
 
-    /** {@code proxies}. */
+    /** {@code proxies}: prints the live proxies. */
     public static final class Proxies implements Command {
         @Option(name = "--await", metaVar = "N", usage = "wait until at least this many proxies are live")
         private int await;
@@ -116,12 +116,12 @@
         private int awaitTimeoutMs = 30_000;
 
         @Override
-        public void run(CommandContext session) {
-            Topology topology = session.awaitTopology(
-                    seen -> seen.getProxiesCount() >= await,
+        public void run(CommandContext context) {
+            Topology topology = context.awaitTopology(
+                    current -> current.getProxiesCount() >= await,
                     Duration.ofMillis(awaitTimeoutMs),
                     "for " + await + " live proxies; see the proxies' logs");
-            session.print(topology, proxyTable(topology));
+            context.print(topology, proxyTable(topology));
         }
     }
 }
--- a/ctl/src/main/java/org/hornbeamspread/ctl/package-info.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/package-info.java
@@ -1,2 +1,2 @@
-/** The operator's command line: every change and question, through the schema's own calls. */
+/** The operator's command line client, which changes and queries the system through its remote procedure calls. */
 package org.hornbeamspread.ctl;
--- a/ctl/src/test/java/org/hornbeamspread/ctl/ConfigurationFileTest.java
+++ b/ctl/src/test/java/org/hornbeamspread/ctl/ConfigurationFileTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A group file is read whole, or refused with the place and the reason. */
+/** A valid group file is read completely; an invalid one is refused with the line and the reason. */
 class ConfigurationFileTest {
     @ParameterizedTest
     @CsvSource({"entoto,rental-core,5,35", "ujaas,ledger,2,30"})
@@ -32,11 +32,11 @@
                 "{\"ranks\": [~{\"targetMs\": \"soon\"}]}|file:2: |soon",
                 "{\"ranks\": [~{\"targetMs\": 1~|file:3: |line"
             })
-    void anInvalidFileIsRefusedWithLineAndReason(String text, String place, String reason) {
+    void anInvalidFileIsRefusedWithLineAndReason(String text, String lineOfError, String reason) {
         FailureException failure =
                 assertThrows(FailureException.class, () -> ConfigurationFile.parse("file", text.replace('~', '\n')));
         assertThat(failure.type()).isEqualTo(FailureType.INVALID_CONFIGURATION);
-        assertThat(failure.detail()).startsWith(place.strip());
+        assertThat(failure.detail()).startsWith(lineOfError.strip());
         assertThat(failure.detail()).contains(reason);
     }
 }
--- a/ctl/src/test/java/org/hornbeamspread/ctl/CtlMainTest.java
+++ b/ctl/src/test/java/org/hornbeamspread/ctl/CtlMainTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The commands against a control member that answers from a script. */
+/** Runs commands against a control member that returns scripted answers. */
 class CtlMainTest {
     private static final Endpoint ANY_PORT =
             Endpoint.newBuilder().setHost("127.0.0.1").setPort(0).build();
@@ -84,13 +84,13 @@
 
     @ParameterizedTest
     @CsvSource({"-1,7", "3,3"})
-    void loadSendsTheExpectedVersion(long given, long sent) {
+    void loadSendsTheExpectedVersion(long expectedVersionFlag, long sentVersion) {
         List<String> command = new ArrayList<>(List.of("configuration", "load", "../examples/ujaas.json"));
-        if (given >= 0) {
-            command.addAll(List.of("--expected-version", String.valueOf(given)));
+        if (expectedVersionFlag >= 0) {
+            command.addAll(List.of("--expected-version", String.valueOf(expectedVersionFlag)));
         }
         assertThat(run(leader, command.toArray(String[]::new))).isEqualTo(ExitCode.DONE);
-        assertThat(applied.get(0).getExpectedVersion()).isEqualTo(sent);
+        assertThat(applied.get(0).getExpectedVersion()).isEqualTo(sentVersion);
         assertThat(applied.get(0).getRequestId()).isNotEmpty();
         assertThat(applied.get(0).getConfiguration().getGroupsCount()).isEqualTo(3);
     }
@@ -137,11 +137,12 @@
     @ParameterizedTest
     @CsvSource({"topology,3", "'promote g1',3"})
     void unreachableControlMembersGiveTheirExitCode(String command, int code) throws Exception {
-        String closed;
+        String closedEndpoint;
         try (ServerSocket socket = new ServerSocket(0)) {
-            closed = "127.0.0.1:" + socket.getLocalPort();
+            closedEndpoint = "127.0.0.1:" + socket.getLocalPort();
         }
-        assertThat(run(closed, ("--timeout-ms 0 " + command).split(" ", -1)).code())
+        assertThat(run(closedEndpoint, ("--timeout-ms 0 " + command).split(" ", -1))
+                        .code())
                 .isEqualTo(code);
     }
 
--- a/distribution/src/test/java/org/hornbeamspread/distribution/SettingsPageTest.java
+++ b/distribution/src/test/java/org/hornbeamspread/distribution/SettingsPageTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.kohsuke.args4j.Option;
 
-/** docs/settings.md names exactly the flags that the binaries take. */
+/** Checks that docs/settings.md lists exactly the flags that the binaries accept. */
 class SettingsPageTest {
     private static final Path PAGE = Path.of("../docs/settings.md");
     private static final Pattern FLAG_ROW = Pattern.compile("(?m)^\\| `(--[a-z-]+)` \\|");
@@ -39,13 +39,13 @@
     }
 
     private static Set<String> flagsInCode(String binary) {
-        String home = "org.hornbeamspread." + binary;
+        String packageName = "org.hornbeamspread." + binary;
         Set<String> flags = new TreeSet<>();
         for (JavaClass type : CLASSES) {
-            boolean isOfBinary =
-                    type.getPackageName().equals(home) || type.getPackageName().startsWith(home + ".");
+            boolean belongsToBinary = type.getPackageName().equals(packageName)
+                    || type.getPackageName().startsWith(packageName + ".");
             for (JavaField field : type.getFields()) {
-                if (isOfBinary && field.isAnnotatedWith(Option.class)) {
+                if (belongsToBinary && field.isAnnotatedWith(Option.class)) {
                     flags.add(field.getAnnotationOfType(Option.class).name());
                 }
             }
--- a/protocol/src/main/java/org/hornbeamspread/http/MetricsPage.java
+++ b/protocol/src/main/java/org/hornbeamspread/http/MetricsPage.java
@@ -6,15 +6,15 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** All metrics of a registry as text. */
+/** Renders all metrics of a registry in Prometheus's text format. */
 public final class MetricsPage {
-    /** The type of {@link #render}'s text. */
+    /** The content type of the text that {@link #render} returns. */
     public static final String CONTENT_TYPE =
             PrometheusTextFormatWriter.builder().build().getContentType();
 
     private MetricsPage() {}
 
-    /** The present values. */
+    /** The current values of all metrics. */
     public static byte[] render(PrometheusRegistry registry) {
         ByteArrayOutputStream text = new ByteArrayOutputStream();
         try {
--- a/protocol/src/main/java/org/hornbeamspread/http/RpcClient.java
+++ b/protocol/src/main/java/org/hornbeamspread/http/RpcClient.java
@@ -17,7 +17,7 @@
 import org.hornbeamspread.transport.AddressTranslator;
 import org.hornbeamspread.transport.Envelopes;
 
-/** Calls the schema's methods over HTTP, in protobuf's binary form. Safe for any thread. */
+/** Calls the schema's methods over HTTP, with protobuf's binary encoding. Thread-safe. */
 public final class RpcClient {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
@@ -27,38 +27,39 @@
             .build();
 
     /**
-     * Calls a method. An answer of the method's own type is returned also when it carries a failure; a bare Failure
-     * body fails the future with its type. Fails with CONNECTION_REFUSED, REQUEST_TIMEOUT or CONNECTION_LOST otherwise.
+     * Calls a method. A response of the method's response type completes the future normally, also when it contains a
+     * failure. A response with an error status whose body is a Failure message fails the future with the type of that
+     * failure. Transport errors fail the future with CONNECTION_REFUSED, REQUEST_TIMEOUT or CONNECTION_LOST.
      */
     public <A extends Message> CompletableFuture<A> call(
-            Endpoint server, String method, Message request, A answer, Duration timeout) {
-        HttpRequest http = HttpRequest.newBuilder(
+            Endpoint server, String method, Message request, A responsePrototype, Duration timeout) {
+        HttpRequest httpRequest = HttpRequest.newBuilder(
                         URI.create("http://" + AddressTranslator.format(server) + "/" + method))
                 .timeout(timeout)
                 .header("Content-Type", RpcCodec.PROTOBUF.contentType())
                 .POST(HttpRequest.BodyPublishers.ofByteArray(RpcCodec.PROTOBUF.encode(request)))
                 .build();
         return httpClient
-                .sendAsync(http, HttpResponse.BodyHandlers.ofByteArray())
+                .sendAsync(httpRequest, HttpResponse.BodyHandlers.ofByteArray())
                 .handle((response, error) -> {
                     if (error != null) {
                         throw transportFailure(error);
                     }
-                    return decode(response, answer);
+                    return decode(response, responsePrototype);
                 });
     }
 
-    private static <A extends Message> A decode(HttpResponse<byte[]> response, A answer) {
+    private static <A extends Message> A decode(HttpResponse<byte[]> response, A responsePrototype) {
         if (response.statusCode() != 200) {
             FailureException failure = parseFailure(response.body());
             if (failure != null) {
                 throw failure;
             }
         }
-        return RpcCodec.PROTOBUF.decode(answer, response.body());
+        return RpcCodec.PROTOBUF.decode(responsePrototype, response.body());
     }
 
-    /** The typed failure when the body is a Failure message, else null: the body is then the method's own answer. */
+    /** The typed failure when the body is a Failure message. Null when the body is of the method's response type. */
     private static FailureException parseFailure(byte[] body) {
         try {
             Failure failure = RpcCodec.PROTOBUF.decode(Failure.getDefaultInstance(), body);
--- a/protocol/src/main/java/org/hornbeamspread/http/RpcCodec.java
+++ b/protocol/src/main/java/org/hornbeamspread/http/RpcCodec.java
@@ -7,7 +7,7 @@
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** The two encodings of a call's body. */
+/** The encodings of request and response bodies. */
 public enum RpcCodec {
     /** Protobuf's binary form. */
     PROTOBUF("application/x-protobuf") {
@@ -21,7 +21,7 @@
             return builder.mergeFrom(body);
         }
     },
-    /** Protobuf's JSON mapping; unknown fields are refused. */
+    /** Protobuf's JSON mapping; a body with unknown fields is refused. */
     JSON("application/json") {
         @Override
         public byte[] encode(Message message) {
@@ -53,15 +53,15 @@
         return contentType;
     }
 
-    /** The codec of a Content-Type header; JSON when it names neither. */
+    /** The codec for a Content-Type header; JSON when the header is missing or names another type. */
     public static RpcCodec forContentType(String contentType) {
         return contentType != null && contentType.startsWith(PROTOBUF.contentType) ? PROTOBUF : JSON;
     }
 
-    /** A message's bytes. */
+    /** Encodes a message. */
     public abstract byte[] encode(Message message);
 
-    /** Parses a message. Fails with INVALID_REQUEST. */
+    /** Decodes a message. Fails with INVALID_REQUEST. */
     @SuppressWarnings("unchecked")
     public <M extends Message> M decode(M prototype, byte[] body) {
         try {
--- a/protocol/src/main/java/org/hornbeamspread/http/RpcMethod.java
+++ b/protocol/src/main/java/org/hornbeamspread/http/RpcMethod.java
@@ -6,20 +6,21 @@
 import org.hornbeamspread.protocol.schema.Failure;
 
 /**
- * One method of the schema.
+ * A method of the schema with its handler.
  *
  * @param name service and method as in the path, for example {@code hornbeamspread.Statements/Execute}
- * @param request the empty request, for parsing
+ * @param requestPrototype the default instance of the request type, for decoding
  * @param handler runs the call; called on an HTTP thread, which must not be blocked
- * @param failureOf the failure that an answer carries, the empty one when none: it decides the HTTP status
- * @param <Q> the request
- * @param <A> the answer
+ * @param failureOf extracts the failure of a response, the default instance when the call succeeded; the failure
+ *     determines the HTTP status
+ * @param <Q> the request type
+ * @param <A> the response type
  */
 public record RpcMethod<Q extends Message, A extends Message>(
         String name, Q requestPrototype, Function<Q, CompletableFuture<A>> handler, Function<A, Failure> failureOf) {
-    /** A method whose answer never carries a failure of its own. */
+    /** A method whose response type has no failure field. */
     public static <Q extends Message, A extends Message> RpcMethod<Q, A> of(
             String name, Q request, Function<Q, CompletableFuture<A>> handler) {
-        return new RpcMethod<>(name, request, handler, answer -> Failure.getDefaultInstance());
+        return new RpcMethod<>(name, request, handler, response -> Failure.getDefaultInstance());
     }
 }
--- a/protocol/src/main/java/org/hornbeamspread/http/RpcServer.java
+++ b/protocol/src/main/java/org/hornbeamspread/http/RpcServer.java
@@ -24,7 +24,7 @@
 
 /**
  * Serves the schema's methods as {@code POST /<package.Service>/<Method>}, and {@code GET /health}, {@code /ready} and
- * {@code /metrics}. A failed call's body is the Failure message.
+ * {@code /metrics}. The response body of a failed call is a Failure message.
  */
 public final class RpcServer implements AutoCloseable {
     private static final int MAX_BODY_BYTES = 4 << 20;
@@ -36,7 +36,7 @@
     private final PrometheusRegistry registry;
     private final RatpackServer server;
 
-    /** Starts to serve. Fails with CONNECTION_REFUSED when the address can't be bound. */
+    /** Starts the server. Fails with CONNECTION_REFUSED when the address cannot be bound. */
     public RpcServer(
             Endpoint endpoint, List<RpcMethod<?, ?>> methods, BooleanSupplier ready, PrometheusRegistry registry) {
         this.methods = methods.stream().collect(Collectors.toUnmodifiableMap(RpcMethod::name, Function.identity()));
@@ -45,7 +45,7 @@
         this.server = start(endpoint);
     }
 
-    /** The port that was bound. */
+    /** The port that the server listens on. */
     public int port() {
         return server.getBindPort();
     }
@@ -105,24 +105,24 @@
 
     private static <Q extends Message, A extends Message> void invoke(
             Context context, RpcCodec codec, RpcMethod<Q, A> method, byte[] body) {
-        CompletableFuture<A> answer;
+        CompletableFuture<A> response;
         try {
-            answer = method.handler().apply(codec.decode(method.requestPrototype(), body));
+            response = method.handler().apply(codec.decode(method.requestPrototype(), body));
         } catch (RuntimeException e) {
-            answer = CompletableFuture.failedFuture(e);
+            response = CompletableFuture.failedFuture(e);
         }
-        Promise.<A>toPromise(answer)
+        Promise.<A>toPromise(response)
                 .onError(error -> sendFailure(context, codec, FailureException.of(error)))
-                .then(result -> sendAnswer(context, codec, method, result));
+                .then(result -> sendResponse(context, codec, method, result));
     }
 
-    private static <Q extends Message, A extends Message> void sendAnswer(
-            Context context, RpcCodec codec, RpcMethod<Q, A> method, A answer) {
-        Failure failure = method.failureOf().apply(answer);
+    private static <Q extends Message, A extends Message> void sendResponse(
+            Context context, RpcCodec codec, RpcMethod<Q, A> method, A response) {
+        Failure failure = method.failureOf().apply(response);
         int status = failure.getType().isEmpty()
                 ? OK
                 : Envelopes.exception(failure).type().httpStatus();
-        send(context, codec, status, answer);
+        send(context, codec, status, response);
     }
 
     private static void sendFailure(Context context, RpcCodec codec, FailureException failure) {
--- a/protocol/src/main/java/org/hornbeamspread/runtime/AsyncLogWriter.java
+++ b/protocol/src/main/java/org/hornbeamspread/runtime/AsyncLogWriter.java
@@ -9,14 +9,17 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * Lines on their way to an output, written by a thread of their own from a bounded ring. A line that finds the ring full is
- * dropped and counted; nobody waits. A {@link EventLoopThread} would wake up fifty times a second for lines that may wait. Safe for any
- * thread.
+ * Writes lines to an output on a separate thread, from a bounded queue. A line that finds the queue full is dropped and
+ * counted, so that callers never block. The class has a thread of its own because an {@link EventLoopThread} would wake up
+ * fifty times a second for lines that can wait. Thread-safe.
  */
 public final class AsyncLogWriter {
     private static final int RING_LINES = 1_024;
 
-    /** How long the writer sleeps when it is not woken; the wake-up of a line that meets it falling asleep can be missed. */
+    /**
+     * The longest sleep of the writer thread. A wake-up can be missed when a line is queued while the thread is about to
+     * sleep; this timeout bounds the delay of that line.
+     */
     private static final long MAX_SLEEP_NS = 1_000_000_000;
 
     private final Queue<String> ring = new MpscArrayQueue<>(RING_LINES);
@@ -25,14 +28,14 @@
     private final Thread writerThread = new Thread(this::runWriter, "log");
     private volatile boolean sleeping;
 
-    /** Begins to write to an output. */
+    /** Starts the writer thread for an output. */
     public AsyncLogWriter(OutputStream output) {
         this.output = output;
         writerThread.setDaemon(true);
         writerThread.start();
     }
 
-    /** Takes a line; false when it is dropped. */
+    /** Queues a line. Returns false when the line is dropped. */
     public boolean offer(String line) {
         if (!ring.offer(line)) {
             droppedLines.incrementAndGet();
@@ -44,7 +47,7 @@
         return true;
     }
 
-    /** Lines that found the ring full so far. */
+    /** The number of lines dropped so far, because the queue was full or a write failed. */
     public long droppedLines() {
         return droppedLines.get();
     }
@@ -71,7 +74,7 @@
                 output.flush();
             }
         } catch (IOException e) {
-            // There is nowhere left to report it: the line counts as dropped.
+            // No other output is left to report the error to; the line counts as dropped.
             droppedLines.incrementAndGet();
         }
     }
--- a/protocol/src/main/java/org/hornbeamspread/runtime/CommandLine.java
+++ b/protocol/src/main/java/org/hornbeamspread/runtime/CommandLine.java
@@ -15,10 +15,10 @@
 
 /**
  * Reads settings from flags and environment variables into an annotated options object. The variable of {@code
- * --http-endpoint} is {@code HORNBEAMSPREAD_HTTP_ENDPOINT}; a flag wins over its variable.
+ * --http-endpoint} is {@code HORNBEAMSPREAD_HTTP_ENDPOINT}; a flag takes precedence over its variable.
  */
 public final class CommandLine {
-    /** Exit code for a refused setting. */
+    /** The exit code of a process whose settings are invalid. */
     public static final int EXIT_USAGE = 2;
 
     /** The version that {@code --version} prints. */
@@ -29,9 +29,9 @@
 
     private CommandLine() {}
 
-    /** Fills an options object. Fails with INVALID_SETTING, whose detail names the setting and what is allowed. */
+    /** Fills an options object. Fails with INVALID_SETTING, whose detail names the setting and the allowed values. */
     public static <T> T parse(T options, Map<String, String> environment, String... arguments) {
-        List<String> all = new ArrayList<>();
+        List<String> mergedArguments = new ArrayList<>();
         for (Field field : options.getClass().getDeclaredFields()) {
             Option option = field.getAnnotation(Option.class);
             if (option == null || List.of(arguments).contains(option.name())) {
@@ -39,15 +39,15 @@
             }
             String value = environment.get(environmentVariable(option.name()));
             if (value != null && field.getType() != boolean.class) {
-                all.add(option.name());
-                all.add(value);
+                mergedArguments.add(option.name());
+                mergedArguments.add(value);
             } else if (Boolean.parseBoolean(value)) {
-                all.add(option.name());
+                mergedArguments.add(option.name());
             }
         }
-        all.addAll(List.of(arguments));
+        mergedArguments.addAll(List.of(arguments));
         try {
-            parser(options).parseArgument(all);
+            parser(options).parseArgument(mergedArguments);
         } catch (CmdLineException e) {
             throw new FailureException(FailureType.INVALID_SETTING, String.valueOf(e.getMessage()));
         }
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Handles {@code --help} and {@code --version}. Returns true when one of them was given and printed; the caller
-     * then exits with 0.
+     * Handles {@code --help} and {@code --version}. Returns true when one of them was given and its text printed; the
+     * process then exits with 0.
      */
     public static boolean printHelpOrVersion(String binary, Object options, PrintStream out, String... arguments) {
         List<String> given = List.of(arguments);
--- a/protocol/src/main/java/org/hornbeamspread/runtime/EndpointSettings.java
+++ b/protocol/src/main/java/org/hornbeamspread/runtime/EndpointSettings.java
@@ -12,11 +12,11 @@
 import org.hornbeamspread.protocol.schema.Endpoint;
 import org.hornbeamspread.transport.AddressTranslator;
 
-/** Settings that name endpoints: lists of host:port, and address maps. */
+/** Parsers for settings that contain endpoints: lists of host:port, and address maps. */
 public final class EndpointSettings {
     private EndpointSettings() {}
 
-    /** The endpoints of a list separated by commas; blank items are passed over. Fails with INVALID_SETTING. */
+    /** The endpoints of a list separated by commas; blank items are skipped. Fails with INVALID_SETTING. */
     public static List<Endpoint> parseList(String value) {
         List<Endpoint> endpoints = new ArrayList<>();
         for (String item : value.split(",", -1)) {
@@ -28,8 +28,9 @@
     }
 
     /**
-     * The translator of an address map: a file with one {@code announced=reached} a line. An empty name leaves every
-     * address as it is. Fails with INVALID_SETTING, which names the file and the line.
+     * Reads an address map: a file with one {@code announced=reached} pair per line. An empty file name gives a
+     * translator that leaves every address unchanged. Fails with INVALID_SETTING; the detail names the file, and the
+     * line or address that is invalid.
      */
     public static AddressTranslator readAddressMap(String file) {
         if (file.isEmpty()) {
@@ -55,7 +56,7 @@
         try {
             return Files.readAllLines(Path.of(file));
         } catch (IOException e) {
-            throw invalidSetting("--address-map can't be read: " + file, e);
+            throw invalidSetting("--address-map file cannot be read: " + file, e);
         }
     }
 
--- a/protocol/src/main/java/org/hornbeamspread/runtime/EventLoopThread.java
+++ b/protocol/src/main/java/org/hornbeamspread/runtime/EventLoopThread.java
@@ -9,10 +9,11 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * One thread with one duty, fed through a bounded ring by any number of threads. The handler is called for each event
- * in order, and the tick is called at least once an interval. Nothing but this thread touches the duty's state.
+ * A single-threaded event loop that takes its events from a bounded queue with any number of producers. The handler is
+ * called for each event in order, and the tick once per interval. Only this thread may access the state that the
+ * handler and the tick use, so that state needs no locks.
  *
- * @param <E> the events of the duty
+ * @param <E> the type of the events
  */
 public final class EventLoopThread<E> implements AutoCloseable {
     private static final Logger LOG = System.getLogger(EventLoopThread.class.getName());
@@ -28,13 +29,13 @@
     private volatile boolean parked;
 
     /**
-     * Makes a duty; {@link #start} runs it.
+     * Creates the event loop; {@link #start} runs it.
      *
      * @param name the thread's name
-     * @param capacityEvents the ring's capacity, rounded up to a power of two
-     * @param handler called with each event, on the duty's thread
+     * @param capacityEvents the capacity of the queue, rounded up to a power of two
+     * @param handler called with each event, on this thread
      * @param tickInterval how often {@code tick} runs
-     * @param tick called on the duty's thread
+     * @param tick called on this thread
      */
     public EventLoopThread(String name, int capacityEvents, Consumer<E> handler, Duration tickInterval, Runnable tick) {
         this.ring = new MpscArrayQueue<>(capacityEvents);
@@ -51,7 +52,7 @@
         return this;
     }
 
-    /** Hands an event over without blocking. False, and counted, when the ring is full. */
+    /** Queues an event without blocking. When the queue is full, counts the event as refused and returns false. */
     public boolean offer(E event) {
         if (!ring.offer(event)) {
             refusedEvents.incrementAndGet();
@@ -63,17 +64,17 @@
         return true;
     }
 
-    /** Events refused because the ring was full. */
+    /** The number of events refused because the queue was full. */
     public long refusedEvents() {
         return refusedEvents.get();
     }
 
-    /** Events that wait in the ring. */
+    /** The number of events in the queue. */
     public int queuedEvents() {
         return ring.size();
     }
 
-    /** Stops the thread after the event it is at. */
+    /** Stops the thread once the current event is handled; events still queued are dropped. */
     @Override
     public void close() {
         running = false;
@@ -85,7 +86,7 @@
         return !running;
     }
 
-    /** Waits until a closed duty has stopped, or the time is over. False when it still runs. */
+    /** Waits until a closed event loop has stopped or the limit has passed. Returns false when the thread still runs. */
     public boolean awaitStop(Duration limit) throws InterruptedException {
         thread.join(Math.max(1, limit.toMillis()));
         return !thread.isAlive();
@@ -121,7 +122,7 @@
         try {
             work.run();
         } catch (RuntimeException e) {
-            LOG.log(Level.ERROR, "duty " + thread.getName() + " failed on an event", e);
+            LOG.log(Level.ERROR, "event loop " + thread.getName() + " failed in a handler or a tick", e);
         }
     }
 }
--- a/protocol/src/main/java/org/hornbeamspread/runtime/JsonEventLog.java
+++ b/protocol/src/main/java/org/hornbeamspread/runtime/JsonEventLog.java
@@ -13,8 +13,9 @@
 import org.hornbeamspread.core.misc.EventLog;
 
 /**
- * Events as lines of JSON, one flat object each: the time of day in milliseconds, the event, and its fields. Lines over the bound
- * of a second are dropped, and their number is reported with the next second's first line. Safe for any thread.
+ * Writes each event as one line of JSON, a flat object of the time of day in milliseconds, the event and its fields. Lines
+ * over the limit per second are dropped; the number of dropped lines is logged before the first line of the next second
+ * that has events. Thread-safe.
  */
 public final class JsonEventLog implements EventLog {
     private static final JsonFactory JSON = new JsonFactory();
@@ -28,14 +29,14 @@
     private final AtomicLong linesInSecond = new AtomicLong();
     private final AtomicLong linesOverLimit = new AtomicLong();
 
-    /** The last count of lines that found the output's ring full. */
+    /** The part of the writer's dropped lines that the log has reported. */
     private final AtomicLong reportedOutputDrops = new AtomicLong();
 
     /**
-     * A log of at most so many lines a second.
+     * Creates a log of at most {@code linesPerSecond} lines per second.
      *
-     * @param clock a steady clock, which the bound goes by
-     * @param timeOfDay stamps the lines
+     * @param clock a monotonic clock, for the limit per second
+     * @param timeOfDay the clock for the timestamps of the lines
      */
     public JsonEventLog(Clock clock, Clock timeOfDay, long linesPerSecond, AsyncLogWriter output) {
         this.monotonicClock = clock;
@@ -44,7 +45,7 @@
         this.logWriter = output;
     }
 
-    /** A log on standard output. */
+    /** Creates a log that writes to standard output. */
     public static JsonEventLog onStandardOutput(Clock clock, long linesPerSecond) {
         AsyncLogWriter output = new AsyncLogWriter(new BufferedOutputStream(new FileOutputStream(FileDescriptor.out)));
         return new JsonEventLog(clock, Clock.systemUTC(), linesPerSecond, output);
@@ -52,8 +53,8 @@
 
     @Override
     public void record(String event, Object... fields) {
-        long now = monotonicClock.millis() / SECOND_MS;
-        if (currentSecond.getAndSet(now) != now) {
+        long nowSecond = monotonicClock.millis() / SECOND_MS;
+        if (currentSecond.getAndSet(nowSecond) != nowSecond) {
             linesInSecond.set(0);
             reportDropped();
         }
@@ -64,16 +65,16 @@
         }
     }
 
-    /** Lines dropped and not yet reported. */
+    /** The number of dropped lines that the log has not reported yet. */
     public long droppedLines() {
         return linesOverLimit.get() + logWriter.droppedLines() - reportedOutputDrops.get();
     }
 
     private void reportDropped() {
-        long full = logWriter.droppedLines();
-        long lost = linesOverLimit.getAndSet(0) + full - reportedOutputDrops.getAndSet(full);
-        if (lost > 0) {
-            logWriter.offer(formatLine("log_lines_dropped", "lines", lost));
+        long outputDrops = logWriter.droppedLines();
+        long unreported = linesOverLimit.getAndSet(0) + outputDrops - reportedOutputDrops.getAndSet(outputDrops);
+        if (unreported > 0) {
+            logWriter.offer(formatLine("log_lines_dropped", "lines", unreported));
         }
     }
 
--- a/protocol/src/main/java/org/hornbeamspread/runtime/MonotonicClock.java
+++ b/protocol/src/main/java/org/hornbeamspread/runtime/MonotonicClock.java
@@ -5,7 +5,7 @@
 import java.time.ZoneId;
 import java.time.ZoneOffset;
 
-/** Wall time sampled once and advanced by the monotonic timer, so that leases survive a stepped wall clock. */
+/** Wall time sampled once and advanced by the monotonic timer, so that a step of the wall clock does not affect leases. */
 public final class MonotonicClock extends Clock {
     private final Instant start = Instant.now();
     private final long startNs = System.nanoTime();
--- a/protocol/src/main/java/org/hornbeamspread/runtime/package-info.java
+++ b/protocol/src/main/java/org/hornbeamspread/runtime/package-info.java
@@ -1,2 +1,2 @@
-/** What every binary shares: clock, duty threads, settings, metrics, start and stop. */
+/** Infrastructure shared by all binaries: clock, event loop threads, command-line settings and event log. */
 package org.hornbeamspread.runtime;
--- a/protocol/src/main/java/org/hornbeamspread/transport/AddressTranslator.java
+++ b/protocol/src/main/java/org/hornbeamspread/transport/AddressTranslator.java
@@ -5,28 +5,28 @@
 import org.hornbeamspread.core.misc.FailureType;
 import org.hornbeamspread.protocol.schema.Endpoint;
 
-/** Maps announced addresses to the ones this process reaches them by, as behind address translation or a test link. */
+/** Maps announced addresses to the addresses to connect to, for use behind network address translation or a test link. */
 public interface AddressTranslator {
     /** The address to connect to. */
     Endpoint translate(Endpoint announced);
 
-    /** Leaves every address as it is. */
+    /** A translator that leaves every address unchanged. */
     static AddressTranslator identity() {
         return announced -> announced;
     }
 
-    /** Replaces the addresses in a table and leaves the others. */
+    /** A translator that replaces the addresses in a table and leaves others unchanged. */
     static AddressTranslator table(Map<Endpoint, Endpoint> table) {
         Map<Endpoint, Endpoint> copy = Map.copyOf(table);
         return announced -> copy.getOrDefault(announced, announced);
     }
 
-    /** The host and port that {@link #parse} reads. */
+    /** Formats an endpoint as host:port, which {@link #parse} accepts. */
     static String format(Endpoint endpoint) {
         return endpoint.getHost() + ":" + endpoint.getPort();
     }
 
-    /** Reads a host and port. Fails with INVALID_SETTING. */
+    /** Parses host:port. Fails with INVALID_SETTING. */
     static Endpoint parse(String hostAndPort) {
         int colon = hostAndPort.lastIndexOf(':');
         try {
--- a/protocol/src/main/java/org/hornbeamspread/transport/Envelopes.java
+++ b/protocol/src/main/java/org/hornbeamspread/transport/Envelopes.java
@@ -10,7 +10,7 @@
 
 /** Conversions between wire messages and the types of {@code core}. */
 public final class Envelopes {
-    /** The version of the framed protocol that this build speaks. */
+    /** The version of the framed protocol that this build implements. */
     public static final int PROTOCOL_VERSION = 1;
 
     private Envelopes() {}
@@ -26,12 +26,12 @@
                 .build();
     }
 
-    /** An answer that carries a failure. */
+    /** An answer that contains a failure. */
     public static Envelope failureEnvelope(FailureException failure) {
         return Envelope.newBuilder().setFailure(failure(failure)).build();
     }
 
-    /** The typed failure of a wire form; an unknown type becomes INTERNAL, whose effect is unknown. */
+    /** A failure from its wire form. An unknown type becomes INTERNAL, whose effect is unknown. */
     public static FailureException exception(Failure failure) {
         java.time.Duration retryAfter = java.time.Duration.ofMillis(failure.getRetryAfterMs());
         for (FailureType type : FailureType.values()) {
--- a/protocol/src/main/java/org/hornbeamspread/transport/PeerConnection.java
+++ b/protocol/src/main/java/org/hornbeamspread/transport/PeerConnection.java
@@ -16,8 +16,8 @@
 import org.hornbeamspread.protocol.schema.Envelope;
 
 /**
- * One TCP connection that carries requests, answers and pushes both ways. Answers are matched by request id; one that
- * comes after its timeout is dropped. Safe for any thread.
+ * A TCP connection that carries requests, answers and pushes in both directions. An answer is matched to its request by
+ * request id; an answer that arrives after the timeout of its request is dropped. Thread-safe.
  */
 public final class PeerConnection {
     private final Channel channel;
@@ -26,7 +26,7 @@
     private final Map<Long, CompletableFuture<Envelope>> pendingRequests = new ConcurrentHashMap<>();
     private final AtomicBoolean closed = new AtomicBoolean();
 
-    /** Anything that the owner keeps with the connection; null until it is set. */
+    /** An object that the owner associates with the connection; null until set. */
     private volatile Object attachment;
 
     PeerConnection(Channel channel, PeerHandler handler) {
@@ -36,7 +36,8 @@
 
     /**
      * Sends a request. Fails with CONNECTION_REFUSED when the connection was closed before anything was sent, with
-     * CONNECTION_LOST when it broke later, REQUEST_TIMEOUT, or the typed failure that the other side answered.
+     * CONNECTION_LOST when the connection broke later, with REQUEST_TIMEOUT, or with the typed failure in the peer's
+     * answer.
      */
     public CompletableFuture<Envelope> request(Envelope request, Duration timeout) {
         if (!isOpen()) {
@@ -46,7 +47,7 @@
         long id = nextRequestId.getAndIncrement();
         CompletableFuture<Envelope> answer = new CompletableFuture<>();
         pendingRequests.put(id, answer);
-        ScheduledFuture<?> timer = channel.eventLoop()
+        ScheduledFuture<?> timeoutTask = channel.eventLoop()
                 .schedule(
                         () -> failRequest(
                                 id,
@@ -58,18 +59,18 @@
                         .setProtocolVersion(Envelopes.PROTOCOL_VERSION)
                         .setRequestId(id)
                         .build())
-                .addListener(sent -> {
-                    if (!sent.isSuccess()) {
-                        failRequest(id, FailureType.CONNECTION_LOST, String.valueOf(sent.cause()));
+                .addListener(write -> {
+                    if (!write.isSuccess()) {
+                        failRequest(id, FailureType.CONNECTION_LOST, String.valueOf(write.cause()));
                     }
                 });
         if (closed.get()) {
             failRequest(id, FailureType.CONNECTION_LOST, "closed while sending");
         }
-        return answer.whenComplete((envelope, error) -> timer.cancel(false));
+        return answer.whenComplete((envelope, error) -> timeoutTask.cancel(false));
     }
 
-    /** Sends a message that has no answer. Dropped when the connection is closed. */
+    /** Sends a message that has no answer. The message is dropped when the connection is closed. */
     public void push(Envelope push) {
         channel.writeAndFlush(
                 push.toBuilder().setProtocolVersion(Envelopes.PROTOCOL_VERSION).build());
@@ -80,22 +81,22 @@
         return channel.isActive() && !closed.get();
     }
 
-    /** Closes the connection; waiting requests fail with CONNECTION_LOST. */
+    /** Closes the connection; pending requests fail with CONNECTION_LOST. */
     public void close() {
         channel.close();
     }
 
-    /** What {@link #attach} set, or null. */
+    /** The object set by {@link #attach}, or null. */
     public Object attachment() {
         return attachment;
     }
 
-    /** Keeps an object of the owner's with the connection. */
+    /** Associates an object with the connection. */
     public void attach(Object value) {
         attachment = value;
     }
 
-    /** The other end's address, for logs. */
+    /** The peer's address, for logs. */
     public String remoteAddress() {
         return String.valueOf(channel.remoteAddress());
     }
@@ -166,7 +167,7 @@
         }
     }
 
-    /** Feeds Netty's events to the connection. */
+    /** Forwards Netty's channel events to the connection and its handler. */
     static final class InboundHandler extends SimpleChannelInboundHandler<Envelope> {
         private final PeerHandler handler;
         private volatile PeerConnection connection;
--- a/protocol/src/main/java/org/hornbeamspread/transport/PeerHandler.java
+++ b/protocol/src/main/java/org/hornbeamspread/transport/PeerHandler.java
@@ -3,20 +3,20 @@
 import java.util.function.Consumer;
 import org.hornbeamspread.protocol.schema.Envelope;
 
-/** What a process does with the frames of one connection. Called on a network thread, which must not be blocked. */
+/** Handles the events of a connection. The methods are called on a network thread, which must not be blocked. */
 public interface PeerHandler {
     /**
-     * A request arrived. The answer may be given later and from any thread, once; request id and version are filled in
-     * by the transport.
+     * Called for a request. The answer may be passed later and from any thread, but only once. The transport fills in
+     * the request id and the protocol version.
      */
     void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> answer);
 
-    /** A push arrived. */
+    /** Called for a push, a message without an answer. */
     default void onPush(PeerConnection connection, Envelope push) {}
 
-    /** The connection is open. */
+    /** Called when the connection is open. */
     default void onOpen(PeerConnection connection) {}
 
-    /** The connection is closed; requests that waited on it have failed already. */
+    /** Called when the connection is closed, after its pending requests have failed. */
     default void onClose(PeerConnection connection) {}
 }
--- a/protocol/src/main/java/org/hornbeamspread/transport/PeerServer.java
+++ b/protocol/src/main/java/org/hornbeamspread/transport/PeerServer.java
@@ -3,7 +3,7 @@
 import io.netty.channel.Channel;
 import java.net.InetSocketAddress;
 
-/** A listening address. */
+/** A listening TCP socket. */
 public final class PeerServer implements AutoCloseable {
     private final Channel channel;
 
@@ -11,12 +11,12 @@
         this.channel = channel;
     }
 
-    /** The port that was bound. */
+    /** The port that the socket listens on. */
     public int port() {
         return ((InetSocketAddress) channel.localAddress()).getPort();
     }
 
-    /** Stops listening; open connections stay. */
+    /** Stops listening; open connections stay open. */
     @Override
     public void close() {
         channel.close();
--- a/protocol/src/main/java/org/hornbeamspread/transport/PeerTransport.java
+++ b/protocol/src/main/java/org/hornbeamspread/transport/PeerTransport.java
@@ -27,7 +27,7 @@
 
 /** Opens and accepts peer connections. Frames are length-prefixed protobuf envelopes. */
 public final class PeerTransport implements AutoCloseable {
-    /** The largest frame that is accepted; a longer one closes its connection. */
+    /** The maximum size of a frame; a longer frame closes its connection. */
     public static final int MAX_FRAME_BYTES = 16 << 20;
 
     private static final int LENGTH_PREFIX_BYTES = 4;
@@ -36,48 +36,48 @@
     private final boolean ownsEventLoopGroup;
     private final AddressTranslator translator;
 
-    /** A transport with its own network threads that connects to addresses as they are announced. */
+    /** A transport with its own network threads that connects to addresses as announced. */
     public PeerTransport(int threads) {
         this(threads, AddressTranslator.identity());
     }
 
-    /** A transport that passes each address through a translator before it connects. */
+    /** A transport with its own network threads that translates each address before connecting. */
     public PeerTransport(int threads, AddressTranslator translator) {
         this.eventLoopGroup = new NioEventLoopGroup(threads, new DefaultThreadFactory("network", true));
         this.ownsEventLoopGroup = true;
         this.translator = translator;
     }
 
-    /** A transport on network threads that others use too; closing it leaves them running. */
+    /** A transport on shared network threads, which keep running when the transport is closed. */
     public PeerTransport(EventLoopGroup shared) {
         this.eventLoopGroup = shared;
         this.ownsEventLoopGroup = false;
         this.translator = AddressTranslator.identity();
     }
 
-    /** Listens; port 0 takes a free one. Fails with CONNECTION_REFUSED when the address can't be bound. */
+    /** Listens; port 0 selects a free port. Fails with CONNECTION_REFUSED when the address cannot be bound. */
     public CompletableFuture<PeerServer> listen(Endpoint endpoint, PeerHandler handler) {
-        ChannelFuture bound = new ServerBootstrap()
+        ChannelFuture binding = new ServerBootstrap()
                 .group(eventLoopGroup)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(channelInitializer(handler))
                 .bind(endpoint.getHost(), endpoint.getPort());
-        return toCompletableFuture(bound).thenApply(PeerServer::new);
+        return toCompletableFuture(binding).thenApply(PeerServer::new);
     }
 
-    /** Connects. Fails with CONNECTION_REFUSED. */
+    /** Connects to the translated address of an endpoint. Fails with CONNECTION_REFUSED. */
     public CompletableFuture<PeerConnection> connect(Endpoint endpoint, Duration timeout, PeerHandler handler) {
         Endpoint target = translator.translate(endpoint);
-        ChannelFuture opened = new Bootstrap()
+        ChannelFuture connecting = new Bootstrap()
                 .group(eventLoopGroup)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) timeout.toMillis())
                 .handler(channelInitializer(handler))
                 .connect(new InetSocketAddress(target.getHost(), target.getPort()));
-        return toCompletableFuture(opened)
+        return toCompletableFuture(connecting)
                 .thenApply(channel -> channel.pipeline()
                         .get(PeerConnection.InboundHandler.class)
                         .connection());
@@ -107,12 +107,12 @@
 
     private static CompletableFuture<Channel> toCompletableFuture(ChannelFuture operation) {
         CompletableFuture<Channel> result = new CompletableFuture<>();
-        operation.addListener(done -> {
-            if (done.isSuccess()) {
+        operation.addListener(completed -> {
+            if (completed.isSuccess()) {
                 result.complete(operation.channel());
             } else {
                 result.completeExceptionally(
-                        new FailureException(FailureType.CONNECTION_REFUSED, String.valueOf(done.cause())));
+                        new FailureException(FailureType.CONNECTION_REFUSED, String.valueOf(completed.cause())));
             }
         });
         return result;
--- a/protocol/src/main/java/org/hornbeamspread/transport/RouteMessages.java
+++ b/protocol/src/main/java/org/hornbeamspread/transport/RouteMessages.java
@@ -34,7 +34,7 @@
                 wire.getIdleTransactionMs());
     }
 
-    /** The wire form of a configuration, without its source. */
+    /** The wire form of a configuration, without the source document. */
     public static RouteConfigurationDocument.Builder toWire(RouteConfiguration configuration) {
         RouteConfigurationDocument.Builder wire = RouteConfigurationDocument.newBuilder()
                 .setVersion(configuration.version())
@@ -106,7 +106,7 @@
                 .build();
     }
 
-    /** Has a registry hold what a control state does. */
+    /** Replaces the contents of a registry by those of a control state. */
     public static void restore(InstanceRegistry registry, ControlState state) {
         registry.restore(
                 state.getInstancesList().stream().map(RouteMessages::instance).toList(),
--- a/protocol/src/main/java/org/hornbeamspread/transport/package-info.java
+++ b/protocol/src/main/java/org/hornbeamspread/transport/package-info.java
@@ -1,2 +1,2 @@
-/** Framed protobuf over Netty between processes. */
+/** Length-prefixed protobuf messages over TCP between processes, on Netty. */
 package org.hornbeamspread.transport;
--- a/protocol/src/test/java/org/hornbeamspread/http/RpcServerTest.java
+++ b/protocol/src/test/java/org/hornbeamspread/http/RpcServerTest.java
@@ -16,6 +16,7 @@
 import org.hornbeamspread.transport.Envelopes;
 import org.junit.jupiter.api.Test;
 
+/** Responses, failures inside a response and failures of a call reach the client over HTTP with their types. */
 final class RpcServerTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final String EXECUTE = "hornbeamspread.Statements/Execute";
@@ -53,8 +54,8 @@
         return new RpcClient().call(target, method, request, ExecuteResponse.getDefaultInstance(), TIMEOUT);
     }
 
-    private static FailureType failure(CompletableFuture<ExecuteResponse> answer) {
-        return FailureException.of(assertThrows(CompletionException.class, answer::join))
+    private static FailureType failure(CompletableFuture<ExecuteResponse> call) {
+        return FailureException.of(assertThrows(CompletionException.class, call::join))
                 .type();
     }
 }
--- a/protocol/src/test/java/org/hornbeamspread/runtime/EndpointSettingsTest.java
+++ b/protocol/src/test/java/org/hornbeamspread/runtime/EndpointSettingsTest.java
@@ -15,22 +15,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Endpoint lists and address maps are parsed; a file that is missing or malformed is refused. */
 final class EndpointSettingsTest {
     @TempDir
     private Path directory;
 
     @ParameterizedTest
     @CsvSource({"'10.0.0.1:7,10.0.0.2:8', 2", "' 10.0.0.1:7 , ', 1", "'', 0"})
-    void blankListItemsAreSkipped(String value, int endpoints) {
-        assertThat(EndpointSettings.parseList(value)).hasSize(endpoints);
+    void blankListItemsAreSkipped(String value, int expectedSize) {
+        assertThat(EndpointSettings.parseList(value)).hasSize(expectedSize);
     }
 
     @Test
     void onlyMappedAddressesAreTranslated() throws IOException {
-        AddressTranslator map = EndpointSettings.readAddressMap(writeAddressMap("10.0.0.1:7 = 127.0.0.1:9\n\n"));
-        assertThat(map.translate(AddressTranslator.parse("10.0.0.1:7")).getPort())
+        AddressTranslator translator = EndpointSettings.readAddressMap(writeAddressMap("10.0.0.1:7 = 127.0.0.1:9\n\n"));
+        assertThat(translator.translate(AddressTranslator.parse("10.0.0.1:7")).getPort())
                 .isEqualTo(9);
-        assertThat(map.translate(AddressTranslator.parse("10.0.0.2:7")).getPort())
+        assertThat(translator.translate(AddressTranslator.parse("10.0.0.2:7")).getPort())
                 .isEqualTo(7);
     }
 
--- a/protocol/src/test/java/org/hornbeamspread/runtime/JsonEventLogTest.java
+++ b/protocol/src/test/java/org/hornbeamspread/runtime/JsonEventLogTest.java
@@ -14,6 +14,7 @@
 import org.hornbeamspread.core.misc.ManualClock;
 import org.junit.jupiter.api.Test;
 
+/** Events are written as JSON lines, and lines over a limit are dropped and counted instead of blocking the caller. */
 final class JsonEventLogTest {
     private static final Clock TIME_OF_DAY = Clock.fixed(Instant.ofEpochMilli(1_000), ZoneOffset.UTC);
 
@@ -62,18 +63,18 @@
         assertThat(log.droppedLines()).isAtLeast(3_000);
     }
 
-    private JsonEventLog log(long linesPerSecond, int stuck) {
-        CountDownLatch never = new CountDownLatch(stuck);
+    private JsonEventLog log(long linesPerSecond, int latchCount) {
+        CountDownLatch outputLatch = new CountDownLatch(latchCount);
         OutputStream output = new OutputStream() {
             @Override
             public void write(int ignored) {
-                throw new AssertionError("lines are written whole");
+                throw new AssertionError("expected one write of a whole line, not of a single byte");
             }
 
             @Override
             public void write(byte[] bytes) {
                 try {
-                    never.await();
+                    outputLatch.await();
                 } catch (InterruptedException e) {
                     Thread.currentThread().interrupt();
                 }
--- a/protocol/src/test/java/org/hornbeamspread/transport/PeerTransportTest.java
+++ b/protocol/src/test/java/org/hornbeamspread/transport/PeerTransportTest.java
@@ -18,6 +18,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** Answers and failures over a peer connection reach the request that they belong to. */
 final class PeerTransportTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final Endpoint LOOPBACK =
@@ -32,12 +33,12 @@
 
     @Test
     void answersOutOfOrderAreMatchedToTheirRequests() {
-        List<Consumer<Envelope>> held = new ArrayList<>();
+        List<Consumer<Envelope>> pendingAnswers = new ArrayList<>();
         PeerConnection connection = connect((peer, request, answer) -> {
-            held.add(answer);
-            if (held.size() == 2) {
-                held.get(1).accept(vote(2));
-                held.get(0).accept(vote(1));
+            pendingAnswers.add(answer);
+            if (pendingAnswers.size() == 2) {
+                pendingAnswers.get(1).accept(vote(2));
+                pendingAnswers.get(0).accept(vote(1));
             }
         });
         CompletableFuture<Envelope> first = connection.request(vote(0), TIMEOUT);
