--- a/distribution/src/test/java/org/hornbeamspread/distribution/SettingsPageTest.java
+++ b/distribution/src/test/java/org/hornbeamspread/distribution/SettingsPageTest.java
@@ -20,7 +20,7 @@
 /** Checks that docs/settings.md lists exactly the flags that the binaries accept. */
 class SettingsPageTest {
     private static final Path PAGE = Path.of("../docs/settings.md");
-    private static final Pattern FLAG_ROW = Pattern.compile("(?m)^\\| `(--[a-z-]+)` \\|");
+    private static final Pattern ROW = Pattern.compile("(?m)^\\| `(--[a-z-]+)` \\|");
     private static final Set<String> COMMON_FLAGS = Set.of("--help", "--version");
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .importPackages(
@@ -63,7 +63,7 @@
             return flags;
         }
         int to = page.indexOf("\n## ", from + heading.length());
-        Matcher row = FLAG_ROW.matcher(page.substring(from, to < 0 ? page.length() : to));
+        Matcher row = ROW.matcher(page.substring(from, to < 0 ? page.length() : to));
         while (row.find()) {
             flags.add(row.group(1));
         }
