--- a/control/src/main/java/org/hornbeamspread/control/consensus/DiskWriter.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/DiskWriter.java
@@ -11,7 +11,7 @@
 import org.hornbeamspread.core.consensus.ConsensusEvent;
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
-import org.hornbeamspread.runtime.DutyThread;
+import org.hornbeamspread.runtime.EventLoopThread;
 
 /**
  * Writes and syncs on its own thread. The consensus thread submits one batch at a time and collects the next batch
@@ -27,7 +27,7 @@
     private final DiskLog diskLog;
     private final MemberDirectory directory;
     private final Consumer<ConsensusEvent> eventListener;
-    private final DutyThread<List<ConsensusEffect.Persist>> thread;
+    private final EventLoopThread<List<ConsensusEffect.Persist>> thread;
 
     /** The batch being collected; used by the consensus thread only. */
     private List<ConsensusEffect.Persist> nextBatch = new ArrayList<>();
@@ -44,7 +44,7 @@
         this.diskLog = diskLog;
         this.directory = directory;
         this.eventListener = eventListener;
-        this.thread = new DutyThread<>(name, RING_CAPACITY, this::write, RETRY_INTERVAL, this::retryRefusedBatch);
+        this.thread = new EventLoopThread<>(name, RING_CAPACITY, this::write, RETRY_INTERVAL, this::retryRefusedBatch);
     }
 
     void start() {
--- a/ctl/src/main/java/org/hornbeamspread/ctl/Session.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/CommandContext.java
@@ -18,8 +18,8 @@
 import org.hornbeamspread.protocol.schema.OperationResponse;
 import org.hornbeamspread.protocol.schema.Topology;
 
-/** What every command works with: the client, the output and the time. */
-public final class Session {
+/** The client, output streams and clock that the commands use. */
+public final class CommandContext {
     private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
 
     private final ControlClient client;
@@ -27,15 +27,16 @@
     private final PrintStream out;
     private final PrintStream err;
     private final Clock clock;
-    private final Pause pause;
+    private final Sleeper sleeper;
 
-    Session(ControlClient client, OutputFormat format, PrintStream out, PrintStream err, Clock clock, Pause pause) {
+    CommandContext(
+            ControlClient client, OutputFormat format, PrintStream out, PrintStream err, Clock clock, Sleeper pause) {
         this.client = client;
         this.format = format;
         this.out = out;
         this.err = err;
         this.clock = clock;
-        this.pause = pause;
+        this.sleeper = pause;
     }
 
     ControlClient client() {
@@ -46,7 +47,7 @@
         return clock.instant();
     }
 
-    /** Prints an answer in the chosen form. */
+    /** Prints an answer in the selected output format. */
     void print(Message answer, TextTable table) {
         if (format == OutputFormat.JSON) {
             out.println(new String(RpcCodec.JSON.encode(answer), StandardCharsets.UTF_8));
@@ -55,16 +56,16 @@
         }
     }
 
-    /** Prints a line for people; left out of JSON output. */
-    void note(String line) {
+    /** Prints a line of information; omitted from JSON output. */
+    void printNote(String line) {
         if (format == OutputFormat.TABLE) {
             out.println(line);
         }
     }
 
-    /** Says how a change is sent again should its answer get lost. */
-    void announceChange(String resendFlags) {
-        err.println("sending; should the answer get lost, send the same again with " + resendFlags);
+    /** Prints the flags with which to send a change again if its answer is lost. */
+    void printResendHint(String resendFlags) {
+        err.println("sending; if the answer is lost, send the same command again with " + resendFlags);
     }
 
     Configuration configuration() {
@@ -83,8 +84,8 @@
                 answer -> Failure.getDefaultInstance());
     }
 
-    /** Asks for the topology until it fits. Fails with REQUEST_TIMEOUT, whose detail says what was waited for. */
-    Topology awaitTopology(Predicate<Topology> condition, Duration timeout, String what) {
+    /** Polls the topology until the condition holds. Fails with REQUEST_TIMEOUT, whose detail describes the condition. */
+    Topology awaitTopology(Predicate<Topology> condition, Duration timeout, String conditionText) {
         Instant deadline = clock.instant().plus(timeout);
         while (true) {
             Topology topology = topology();
@@ -92,22 +93,23 @@
                 return topology;
             }
             if (!clock.instant().isBefore(deadline)) {
-                throw new FailureException(FailureType.REQUEST_TIMEOUT, "waited " + timeout.toMillis() + " ms " + what);
+                throw new FailureException(
+                        FailureType.REQUEST_TIMEOUT, "waited " + timeout.toMillis() + " ms " + conditionText);
             }
-            pause.sleep(POLL_INTERVAL);
+            sleeper.sleep(POLL_INTERVAL);
         }
     }
 
-    /** Sends a change and prints that it was done. */
-    void change(String method, Message request, String requestId, String done) {
-        announceChange("--request-id " + requestId);
+    /** Sends a change and prints its result. */
+    void sendChange(String method, Message request, String requestId, String result) {
+        printResendHint("--request-id " + requestId);
         OperationResponse answer =
                 client.call(method, request, OperationResponse.getDefaultInstance(), OperationResponse::getFailure);
-        print(answer, new TextTable("RESULT", "REQUEST-ID", "REPLAYED").row(done, requestId, answer.getReplayed()));
+        print(answer, new TextTable("RESULT", "REQUEST-ID", "REPLAYED").row(result, requestId, answer.getReplayed()));
     }
 
-    /** The given request id, or a fresh one. */
-    static String requestId(String given) {
+    /** The given request id, or a new one if it is empty. */
+    static String requestIdOrNew(String given) {
         return given.isEmpty() ? UUID.randomUUID().toString() : given;
     }
 }
--- a/ctl/src/main/java/org/hornbeamspread/ctl/ControlClient.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/ControlClient.java
@@ -17,63 +17,67 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * Calls the control leader. Any member may be asked; one that does not lead names the leader, which is asked next, and
- * one that can't be reached is passed over. Every change carries a request id, so that a change whose answer was lost
- * can be sent again, to another member too, and gets its first outcome.
+ * Calls the control leader. A call may go to any member. A follower returns the endpoint of the leader, which is called
+ * next; a member that cannot be reached is skipped. Every change carries a request id, so that a change whose answer was
+ * lost can be sent again, also to another member, and gets its first outcome.
  */
 final class ControlClient {
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofSeconds(3);
-    private static final Duration ROUND_PAUSE = Duration.ofMillis(100);
+    private static final Duration ROUND_DELAY = Duration.ofMillis(100);
 
-    private final RpcClient client = new RpcClient();
+    private final RpcClient rpcClient = new RpcClient();
     private final List<Endpoint> members;
     private final Duration timeout;
     private final Clock clock;
-    private final Pause pause;
+    private final Sleeper sleeper;
 
-    /** Where to go on asking; starts with the first member. */
-    private int next;
+    /**
+     * Index, modulo the number of members, of the member to call when no leader is named; starts with the first member.
+     */
+    private int nextMember;
 
-    /** The leader that a member named last; empty when none was. */
-    private Optional<Endpoint> named = Optional.empty();
+    /** The leader named in the last failure; empty if that failure named none. */
+    private Optional<Endpoint> namedLeader = Optional.empty();
 
-    ControlClient(List<Endpoint> members, Duration timeout, Clock clock, Pause pause) {
+    ControlClient(List<Endpoint> members, Duration timeout, Clock clock, Sleeper pause) {
         this.members = List.copyOf(members);
         this.timeout = timeout;
         this.clock = clock;
-        this.pause = pause;
+        this.sleeper = pause;
     }
 
     /**
-     * Calls until a member answers for good or the time is over. Fails with the typed refusal, or, when time is over,
-     * with an unknown outcome of any try in preference to the last failure.
+     * Calls members until an attempt succeeds, fails with a failure that is not retryable, or the timeout has passed.
+     * After the timeout, the call fails with the latest failure whose effect is unknown if any attempt had one, else
+     * with the last failure.
      */
     <A extends Message> A call(String method, Message request, A answer, Function<A, Failure> failureOf) {
         Instant deadline = clock.instant().plus(timeout);
-        Optional<FailureException> unknown = Optional.empty();
+        Optional<FailureException> unknownOutcome = Optional.empty();
         for (int attempt = 1; ; attempt++) {
             try {
                 return attempt("hornbeamspread.Operations/" + method, request, answer, failureOf);
             } catch (FailureException e) {
-                if (!isWorthAnotherTry(e.type())) {
+                if (!isRetryable(e.type())) {
                     throw e;
                 }
-                unknown = e.type().effect() == Effect.UNKNOWN ? Optional.of(e) : unknown;
+                unknownOutcome = e.type().effect() == Effect.UNKNOWN ? Optional.of(e) : unknownOutcome;
                 if (!clock.instant().isBefore(deadline)) {
-                    throw unknown.orElse(e);
+                    throw unknownOutcome.orElse(e);
                 }
-                redirect(e);
+                selectNextTarget(e);
             }
             if (attempt % members.size() == 0) {
-                pause.sleep(ROUND_PAUSE);
+                sleeper.sleep(ROUND_DELAY);
             }
         }
     }
 
     private <A extends Message> A attempt(String method, Message request, A answer, Function<A, Failure> failureOf) {
-        Endpoint target = named.orElseGet(() -> members.get(next % members.size()));
+        Endpoint target = namedLeader.orElseGet(() -> members.get(nextMember % members.size()));
         try {
-            A result = client.call(target, method, request, answer, ATTEMPT_TIMEOUT)
+            A result = rpcClient
+                    .call(target, method, request, answer, ATTEMPT_TIMEOUT)
                     .join();
             Failure failure = failureOf.apply(result);
             if (!failure.getType().isEmpty()) {
@@ -85,20 +89,20 @@
         }
     }
 
-    /** Goes on with the leader that a member named, else with the next member. */
-    private void redirect(FailureException failure) {
-        named = Optional.empty();
-        next++;
+    /** Selects the leader named in a failure, else the next member, for the next attempt. */
+    private void selectNextTarget(FailureException failure) {
+        namedLeader = Optional.empty();
+        nextMember++;
         if (failure.type() == FailureType.NOT_LEADER && !failure.detail().isEmpty()) {
             try {
-                named = Optional.of(AddressTranslator.parse(failure.detail()));
+                namedLeader = Optional.of(AddressTranslator.parse(failure.detail()));
             } catch (FailureException e) {
-                named = Optional.empty();
+                namedLeader = Optional.empty();
             }
         }
     }
 
-    private static boolean isWorthAnotherTry(FailureType type) {
+    private static boolean isRetryable(FailureType type) {
         return switch (type) {
             case NOT_LEADER, NO_LEADER, LEADERSHIP_LOST, CONNECTION_REFUSED, CONNECTION_LOST, REQUEST_TIMEOUT -> true;
             default -> false;
--- a/ctl/src/main/java/org/hornbeamspread/ctl/Pause.java
+++ b/ctl/src/main/java/org/hornbeamspread/ctl/Sleeper.java
@@ -2,13 +2,13 @@
 
 import java.time.Duration;
 
-/** Waits between two tries; a test's own advances its clock instead. */
-interface Pause {
-    /** Returns when the time is over. */
+/** The delay between two attempts. A test can use an implementation that advances a clock instead. */
+interface Sleeper {
+    /** Returns after the duration. */
     void sleep(Duration duration);
 
-    /** Blocks the calling thread. */
-    static Pause blocking() {
+    /** A sleeper that blocks the calling thread. */
+    static Sleeper blocking() {
         return duration -> {
             try {
                 Thread.sleep(duration.toMillis());
--- a/distribution/src/test/java/org/hornbeamspread/distribution/SettingsPageTest.java
+++ b/distribution/src/test/java/org/hornbeamspread/distribution/SettingsPageTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.kohsuke.args4j.Option;
 
-/** docs/settings.md names exactly the flags that the binaries take. */
+/** Checks that docs/settings.md lists exactly the flags that the binaries accept. */
 class SettingsPageTest {
     private static final Path PAGE = Path.of("../docs/settings.md");
     private static final Pattern ROW = Pattern.compile("(?m)^\\| `(--[a-z-]+)` \\|");
-    private static final Set<String> ON_EVERY_BINARY = Set.of("--help", "--version");
+    private static final Set<String> COMMON_FLAGS = Set.of("--help", "--version");
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .importPackages(
                     "org.hornbeamspread.proxy",
@@ -32,25 +32,25 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"proxy", "control", "emulator", "ctl", "load"})
-    void thePageNamesEveryFlagAndNoOther(String binary) throws IOException {
+    void thePageListsExactlyTheFlagsOfTheBinary(String binary) throws IOException {
         assertWithMessage("flags of hornbeamspread-%s", binary)
                 .that(flagsOnPage(binary))
                 .isEqualTo(flagsInCode(binary));
     }
 
     private static Set<String> flagsInCode(String binary) {
-        String home = "org.hornbeamspread." + binary;
+        String packageName = "org.hornbeamspread." + binary;
         Set<String> flags = new TreeSet<>();
         for (JavaClass type : CLASSES) {
-            boolean isOfBinary =
-                    type.getPackageName().equals(home) || type.getPackageName().startsWith(home + ".");
+            boolean belongsToBinary = type.getPackageName().equals(packageName)
+                    || type.getPackageName().startsWith(packageName + ".");
             for (JavaField field : type.getFields()) {
-                if (isOfBinary && field.isAnnotatedWith(Option.class)) {
+                if (belongsToBinary && field.isAnnotatedWith(Option.class)) {
                     flags.add(field.getAnnotationOfType(Option.class).name());
                 }
             }
         }
-        flags.removeAll(ON_EVERY_BINARY);
+        flags.removeAll(COMMON_FLAGS);
         return flags;
     }
 
--- a/protocol/src/main/java/org/hornbeamspread/http/RpcServer.java
+++ b/protocol/src/main/java/org/hornbeamspread/http/RpcServer.java
@@ -24,7 +24,7 @@
 
 /**
  * Serves the schema's methods as {@code POST /<package.Service>/<Method>}, and {@code GET /health}, {@code /ready} and
- * {@code /metrics}. A failed call's body is the Failure message.
+ * {@code /metrics}. The response body of a failed call is a Failure message.
  */
 public final class RpcServer implements AutoCloseable {
     private static final int MAX_BODY_BYTES = 4 << 20;
@@ -36,7 +36,7 @@
     private final PrometheusRegistry registry;
     private final RatpackServer server;
 
-    /** Starts to serve. Fails with CONNECTION_REFUSED when the address can't be bound. */
+    /** Starts the server. Fails with CONNECTION_REFUSED when the address cannot be bound. */
     public RpcServer(
             Endpoint endpoint, List<RpcMethod<?, ?>> methods, BooleanSupplier ready, PrometheusRegistry registry) {
         this.methods = methods.stream().collect(Collectors.toUnmodifiableMap(RpcMethod::name, Function.identity()));
@@ -45,7 +45,7 @@
         this.server = start(endpoint);
     }
 
-    /** The port that was bound. */
+    /** The port that the server listens on. */
     public int port() {
         return server.getBindPort();
     }
@@ -67,17 +67,17 @@
                             .address(InetAddress.getByName(endpoint.getHost()))
                             .port(endpoint.getPort())
                             .maxContentLength(MAX_BODY_BYTES))
-                    .handlers(this::chain));
+                    .handlers(this::configureRoutes));
         } catch (Exception e) {
             throw new FailureException(FailureType.CONNECTION_REFUSED, AddressTranslator.format(endpoint) + " " + e, e);
         }
     }
 
-    private void chain(Chain chain) {
+    private void configureRoutes(Chain chain) {
         chain.get("health", context -> context.render("ok\n"))
                 .get("ready", this::renderReady)
                 .get("metrics", this::renderMetrics)
-                .post(":service/:method", this::call);
+                .post(":service/:method", this::handleCall);
     }
 
     private void renderReady(Context context) {
@@ -90,8 +90,9 @@
         context.getResponse().contentType(MetricsPage.CONTENT_TYPE).send(MetricsPage.render(registry));
     }
 
-    private void call(Context context) {
-        RpcCodec codec = RpcCodec.of(context.getRequest().getHeaders().get("Content-Type"));
+    private void handleCall(Context context) {
+        RpcCodec codec =
+                RpcCodec.forContentType(context.getRequest().getHeaders().get("Content-Type"));
         String name = context.getPathTokens().get("service") + "/"
                 + context.getPathTokens().get("method");
         RpcMethod<?, ?> method = methods.get(name);
@@ -99,29 +100,29 @@
             sendFailure(context, codec, new FailureException(FailureType.UNKNOWN_METHOD, name));
             return;
         }
-        context.getRequest().getBody().then(body -> run(context, codec, method, body.getBytes()));
+        context.getRequest().getBody().then(body -> invoke(context, codec, method, body.getBytes()));
     }
 
-    private static <Q extends Message, A extends Message> void run(
+    private static <Q extends Message, A extends Message> void invoke(
             Context context, RpcCodec codec, RpcMethod<Q, A> method, byte[] body) {
-        CompletableFuture<A> answer;
+        CompletableFuture<A> response;
         try {
-            answer = method.handler().apply(codec.decode(method.request(), body));
+            response = method.handler().apply(codec.decode(method.requestPrototype(), body));
         } catch (RuntimeException e) {
-            answer = CompletableFuture.failedFuture(e);
+            response = CompletableFuture.failedFuture(e);
         }
-        Promise.<A>toPromise(answer)
+        Promise.<A>toPromise(response)
                 .onError(error -> sendFailure(context, codec, FailureException.of(error)))
-                .then(result -> sendAnswer(context, codec, method, result));
+                .then(result -> sendResponse(context, codec, method, result));
     }
 
-    private static <Q extends Message, A extends Message> void sendAnswer(
-            Context context, RpcCodec codec, RpcMethod<Q, A> method, A answer) {
-        Failure failure = method.failureOf().apply(answer);
+    private static <Q extends Message, A extends Message> void sendResponse(
+            Context context, RpcCodec codec, RpcMethod<Q, A> method, A response) {
+        Failure failure = method.failureOf().apply(response);
         int status = failure.getType().isEmpty()
                 ? OK
                 : Envelopes.exception(failure).type().httpStatus();
-        send(context, codec, status, answer);
+        send(context, codec, status, response);
     }
 
     private static void sendFailure(Context context, RpcCodec codec, FailureException failure) {
--- a/protocol/src/main/java/org/hornbeamspread/runtime/JsonEventLog.java
+++ b/protocol/src/main/java/org/hornbeamspread/runtime/JsonEventLog.java
@@ -13,71 +13,72 @@
 import org.hornbeamspread.core.misc.EventLog;
 
 /**
- * Events as lines of JSON, one flat object each: the time of day in milliseconds, the event, and its fields. Lines over the bound
- * of a second are dropped, and their number is reported with the next second's first line. Safe for any thread.
+ * Writes each event as one line of JSON, a flat object of the time of day in milliseconds, the event and its fields. Lines
+ * over the limit per second are dropped; the number of dropped lines is logged before the first line of the next second
+ * that has events. Thread-safe.
  */
 public final class JsonEventLog implements EventLog {
     private static final JsonFactory JSON = new JsonFactory();
     private static final long SECOND_MS = 1_000;
 
-    private final Clock clock;
+    private final Clock monotonicClock;
     private final Clock timeOfDay;
-    private final LogLines output;
+    private final AsyncLogWriter logWriter;
     private final long linesPerSecond;
-    private final AtomicLong second = new AtomicLong();
-    private final AtomicLong lines = new AtomicLong();
-    private final AtomicLong overBound = new AtomicLong();
+    private final AtomicLong currentSecond = new AtomicLong();
+    private final AtomicLong linesInSecond = new AtomicLong();
+    private final AtomicLong linesOverLimit = new AtomicLong();
 
-    /** The last count of lines that found the output's ring full. */
-    private final AtomicLong reportedFull = new AtomicLong();
+    /** The part of the writer's dropped lines that the log has reported. */
+    private final AtomicLong reportedOutputDrops = new AtomicLong();
 
     /**
-     * A log of at most so many lines a second.
+     * Creates a log of at most {@code linesPerSecond} lines per second.
      *
-     * @param clock a steady clock, which the bound goes by
-     * @param timeOfDay stamps the lines
+     * @param clock a monotonic clock, for the limit per second
+     * @param timeOfDay the clock for the timestamps of the lines
      */
-    public JsonEventLog(Clock clock, Clock timeOfDay, long linesPerSecond, LogLines output) {
-        this.clock = clock;
+    public JsonEventLog(Clock clock, Clock timeOfDay, long linesPerSecond, AsyncLogWriter output) {
+        this.monotonicClock = clock;
         this.timeOfDay = timeOfDay;
         this.linesPerSecond = linesPerSecond;
-        this.output = output;
+        this.logWriter = output;
     }
 
-    /** A log on standard output. */
+    /** Creates a log that writes to standard output. */
     public static JsonEventLog onStandardOutput(Clock clock, long linesPerSecond) {
-        LogLines output = new LogLines(new BufferedOutputStream(new FileOutputStream(FileDescriptor.out)));
+        AsyncLogWriter output = new AsyncLogWriter(new BufferedOutputStream(new FileOutputStream(FileDescriptor.out)));
         return new JsonEventLog(clock, Clock.systemUTC(), linesPerSecond, output);
     }
 
     @Override
     public void record(String event, Object... fields) {
-        long now = clock.millis() / SECOND_MS;
-        if (second.getAndSet(now) != now) {
-            lines.set(0);
+        long nowSecond = monotonicClock.millis() / SECOND_MS;
+        if (currentSecond.getAndSet(nowSecond) != nowSecond) {
+            linesInSecond.set(0);
             reportDropped();
         }
-        if (lines.incrementAndGet() > linesPerSecond) {
-            overBound.incrementAndGet();
+        if (linesInSecond.incrementAndGet() > linesPerSecond) {
+            linesOverLimit.incrementAndGet();
         } else {
-            output.offer(line(event, fields));
+            logWriter.offer(formatLine(event, fields));
         }
     }
 
-    /** Lines dropped and not yet reported. */
+    /** The number of dropped lines that the log has not reported yet. */
     public long droppedLines() {
-        return overBound.get() + output.dropped() - reportedFull.get();
+        return linesOverLimit.get() + logWriter.droppedLines() - reportedOutputDrops.get();
     }
 
     private void reportDropped() {
-        long full = output.dropped();
-        long lost = overBound.getAndSet(0) + full - reportedFull.getAndSet(full);
-        if (lost > 0) {
-            output.offer(line("log_lines_dropped", "lines", lost));
+        long outputDrops = logWriter.droppedLines();
+        long unreported = linesOverLimit.getAndSet(0) + outputDrops - reportedOutputDrops.getAndSet(outputDrops);
+        if (unreported > 0) {
+            logWriter.offer(formatLine("log_lines_dropped", "lines", unreported));
         }
     }
 
-    private String line(String event, Object... fields) {
+    private String formatLine(String event, Object... fields) {
         StringWriter text = new StringWriter();
         try (JsonGenerator json = JSON.createGenerator(text)) {
             json.writeStartObject();
@@ -85,7 +86,7 @@
             json.writeStringField("event", event);
             for (int i = 0; i + 1 < fields.length; i += 2) {
                 json.writeFieldName(String.valueOf(fields[i]));
-                write(json, fields[i + 1]);
+                writeValue(json, fields[i + 1]);
             }
             json.writeEndObject();
         } catch (IOException e) {
@@ -94,7 +95,7 @@
         return text.toString();
     }
 
-    private static void write(JsonGenerator json, Object value) throws IOException {
+    private static void writeValue(JsonGenerator json, Object value) throws IOException {
         if (value instanceof Integer || value instanceof Long) {
             json.writeNumber(((Number) value).longValue());
         } else if (value instanceof Boolean flag) {
--- a/protocol/src/test/java/org/hornbeamspread/transport/PeerTransportTest.java
+++ b/protocol/src/test/java/org/hornbeamspread/transport/PeerTransportTest.java
@@ -18,6 +18,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** Answers and failures over a peer connection reach the request that they belong to. */
 final class PeerTransportTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(20);
     private static final Endpoint LOOPBACK =
@@ -31,13 +32,13 @@
     }
 
     @Test
-    void answersOutOfOrderReachTheirOwnRequests() {
-        List<Consumer<Envelope>> held = new ArrayList<>();
-        PeerConnection connection = connected((peer, request, answer) -> {
-            held.add(answer);
-            if (held.size() == 2) {
-                held.get(1).accept(vote(2));
-                held.get(0).accept(vote(1));
+    void answersOutOfOrderAreMatchedToTheirRequests() {
+        List<Consumer<Envelope>> pendingAnswers = new ArrayList<>();
+        PeerConnection connection = connect((peer, request, answer) -> {
+            pendingAnswers.add(answer);
+            if (pendingAnswers.size() == 2) {
+                pendingAnswers.get(1).accept(vote(2));
+                pendingAnswers.get(0).accept(vote(1));
             }
         });
         CompletableFuture<Envelope> first = connection.request(vote(0), TIMEOUT);
@@ -48,21 +49,21 @@
 
     @Test
     void aTypedFailureKeepsItsType() {
-        PeerConnection connection = connected((peer, request, answer) ->
+        PeerConnection connection = connect((peer, request, answer) ->
                 answer.accept(Envelopes.failureEnvelope(new FailureException(FailureType.WRONG_TERM, "7"))));
         assertThat(failureOf(connection.request(vote(0), TIMEOUT)).type()).isEqualTo(FailureType.WRONG_TERM);
     }
 
     @Test
-    void aBrokenConnectionFailsWhatWaits() {
-        PeerConnection connection = connected((peer, request, answer) -> peer.close());
+    void aClosedConnectionFailsPendingRequests() {
+        PeerConnection connection = connect((peer, request, answer) -> peer.close());
         Envelope request = Envelope.newBuilder()
                 .setLookUpKey(LookUpKey.getDefaultInstance())
                 .build();
         assertThat(failureOf(connection.request(request, TIMEOUT)).type()).isEqualTo(FailureType.CONNECTION_LOST);
     }
 
-    private PeerConnection connected(PeerHandler handler) {
+    private PeerConnection connect(PeerHandler handler) {
         PeerServer server = transport.listen(LOOPBACK, handler).join();
         Endpoint target = LOOPBACK.toBuilder().setPort(server.port()).build();
         return transport.connect(target, TIMEOUT, (peer, request, answer) -> {}).join();
--- a/proxy/src/main/java/org/hornbeamspread/proxy/SingleThreadDispatcher.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/SingleThreadDispatcher.java
@@ -4,7 +4,7 @@
 import java.lang.System.Logger.Level;
 import java.time.Clock;
 import java.time.Duration;
-import org.hornbeamspread.runtime.DutyThread;
+import org.hornbeamspread.runtime.EventLoopThread;
 
 /** A dispatcher with a dedicated thread and a bounded task queue. */
 final class SingleThreadDispatcher implements Dispatcher, AutoCloseable {
@@ -14,13 +14,13 @@
 
     private final Clock clock;
     private final TimerQueue timers;
-    private final DutyThread<Runnable> thread;
+    private final EventLoopThread<Runnable> thread;
 
     SingleThreadDispatcher(String name, Clock clock) {
         this.clock = clock;
         this.timers = new TimerQueue(clock);
-        this.thread =
-                new DutyThread<>(name, MAX_QUEUED_TASKS, Runnable::run, TIMER_CHECK_INTERVAL, timers::runDue).start();
+        this.thread = new EventLoopThread<>(name, MAX_QUEUED_TASKS, Runnable::run, TIMER_CHECK_INTERVAL, timers::runDue)
+                .start();
     }
 
     @Override
@@ -37,7 +37,7 @@
 
     @Override
     public boolean tryExecute(Runnable task) {
-        return thread.waitingEvents() < MAX_QUEUED_TASKS / 2 && thread.offer(task);
+        return thread.queuedEvents() < MAX_QUEUED_TASKS / 2 && thread.offer(task);
     }
 
     @Override
@@ -47,7 +47,7 @@
 
     /** The number of tasks that wait to run. */
     int queuedTasks() {
-        return thread.waitingEvents();
+        return thread.queuedEvents();
     }
 
     @Override
--- a/proxy/src/test/java/org/hornbeamspread/proxy/FakeDatabase.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/FakeDatabase.java
@@ -118,7 +118,7 @@
 
     /** A future that completes when the connection is closed. */
     CompletableFuture<Void> closeFuture(PeerConnection connection) {
-        return closeFutures.computeIfAbsent(connection.remote(), remote -> new CompletableFuture<>());
+        return closeFutures.computeIfAbsent(connection.remoteAddress(), remote -> new CompletableFuture<>());
     }
 
     private void pushReport() {
