--- a/emulator/src/main/java/org/hornbeamspread/emulator/Announcer.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/Announcer.java
@@ -14,43 +14,43 @@
 final class Announcer {
     private static final Duration INTERVAL = Duration.ofMillis(300);
 
-    private final DecisionLoop loop;
+    private final EventLoop eventLoop;
     private final PeerTransport transport;
     private final Supplier<Announce> announcement;
-    private final Map<Endpoint, PeerConnection> open = new HashMap<>();
+    private final Map<Endpoint, PeerConnection> connections = new HashMap<>();
 
-    Announcer(DecisionLoop loop, PeerTransport transport, Supplier<Announce> announcement) {
-        this.loop = loop;
+    Announcer(EventLoop loop, PeerTransport transport, Supplier<Announce> announcement) {
+        this.eventLoop = loop;
         this.transport = transport;
         this.announcement = announcement;
     }
 
     /** Announces to an endpoint from now on. */
-    void start(Endpoint endpoint) {
+    void addEndpoint(Endpoint endpoint) {
         announce(endpoint);
     }
 
     /** Announces at once to every open connection. */
     void announceNow() {
-        open.values().forEach(this::push);
+        connections.values().forEach(this::push);
     }
 
     private void announce(Endpoint endpoint) {
-        PeerConnection connection = open.get(endpoint);
+        PeerConnection connection = connections.get(endpoint);
         if (connection != null && connection.isOpen()) {
             push(connection);
-            loop.after(INTERVAL, () -> announce(endpoint));
+            eventLoop.schedule(INTERVAL, () -> announce(endpoint));
             return;
         }
-        open.remove(endpoint);
+        connections.remove(endpoint);
         transport
                 .connect(endpoint, INTERVAL, (peer, request, answer) -> {})
-                .whenComplete((opened, error) -> loop.submit(() -> {
+                .whenComplete((opened, error) -> eventLoop.submit(() -> {
                     if (error == null) {
-                        open.put(endpoint, opened);
+                        connections.put(endpoint, opened);
                         push(opened);
                     }
-                    loop.after(INTERVAL, () -> announce(endpoint));
+                    eventLoop.schedule(INTERVAL, () -> announce(endpoint));
                 }));
     }
 
--- a/emulator/src/main/java/org/hornbeamspread/emulator/ClientSession.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/ClientSession.java
@@ -8,46 +8,46 @@
 
 /** One accepted connection. Its database requests run one after another, in order of arrival. Decision thread only. */
 final class ClientSession {
-    private final Deque<Runnable> waiting = new ArrayDeque<>();
-    private boolean busy;
-    private boolean counted;
+    private final Deque<Runnable> pendingRequests = new ArrayDeque<>();
+    private boolean requestInProgress;
+    private boolean countedAsConnection;
     private boolean connected;
     private boolean closed;
 
     /** Null while no transaction is open. */
     private DatabaseTransaction transaction;
 
-    /** Runs a request when the earlier ones are done; it must call {@link #done} once. */
+    /** Runs a request when the earlier ones are done; it must call {@link #completeRequest} once. */
     void submit(Runnable request) {
-        if (busy) {
-            waiting.add(request);
+        if (requestInProgress) {
+            pendingRequests.add(request);
         } else {
-            busy = true;
+            requestInProgress = true;
             request.run();
         }
     }
 
     /** The request at work is answered; the next one starts. */
-    void done() {
-        Runnable next = waiting.poll();
+    void completeRequest() {
+        Runnable next = pendingRequests.poll();
         if (next == null) {
-            busy = false;
+            requestInProgress = false;
         } else {
             next.run();
         }
     }
 
     /** Counts the session as a database connection. */
-    void count() {
-        counted = true;
+    void markCounted() {
+        countedAsConnection = true;
     }
 
     boolean isCounted() {
-        return counted;
+        return countedAsConnection;
     }
 
     /** The connect time has passed. */
-    void connect() {
+    void markConnected() {
         connected = true;
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** Opens a transaction. Fails with INVALID_REQUEST when one is open. */
-    void begin(DatabaseTransaction opened) {
+    void beginTransaction(DatabaseTransaction opened) {
         if (transaction != null) {
             throw new FailureException(FailureType.INVALID_REQUEST, "a transaction is open on this connection");
         }
@@ -82,7 +82,7 @@
     }
 
     /** Takes the open transaction out. Fails with UNKNOWN_TRANSACTION. */
-    DatabaseTransaction end() {
+    DatabaseTransaction takeTransaction() {
         if (transaction == null) {
             throw new FailureException(FailureType.UNKNOWN_TRANSACTION, "none on this connection");
         }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseDisk.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseDisk.java
@@ -12,7 +12,7 @@
     void append(List<LogEntry> entries);
 
     /** Cuts the log back to a number of entries and keeps those that were cut apart. Fails with DISK_FAILED. */
-    void cutBack(int remainingEntries, List<LogEntry> setAside);
+    void truncateLog(int remainingEntries, List<LogEntry> setAside);
 
     /** Keeps nothing: a database without a disk. */
     static DatabaseDisk none() {
@@ -24,7 +24,7 @@
             public void append(List<LogEntry> entries) {}
 
             @Override
-            public void cutBack(int remainingEntries, List<LogEntry> setAside) {}
+            public void truncateLog(int remainingEntries, List<LogEntry> setAside) {}
         };
     }
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseLauncher.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseLauncher.java
@@ -43,7 +43,7 @@
 
     private static DatabaseState state(EmulatorOptions options, Clock clock) {
         if (options.dataDir.isEmpty()) {
-            DatabaseMetadata fresh = DatabaseMetadata.fresh(clock.millis(), !options.diskLost);
+            DatabaseMetadata fresh = DatabaseMetadata.initial(clock.millis(), !options.diskLost);
             return new DatabaseState(DatabaseDisk.none(), fresh, List.of(), fault(options));
         }
         FileDatabaseDisk disk = new FileDatabaseDisk(Path.of(options.dataDir));
@@ -51,9 +51,9 @@
                 options.diskLost || (options.expectData && disk.readMetadata().isEmpty());
         DatabaseMetadata metadata = disk.readMetadata()
                 .map(saved -> saved.withIncarnation(saved.incarnation() + 1))
-                .orElseGet(() -> DatabaseMetadata.fresh(clock.millis(), !lost));
+                .orElseGet(() -> DatabaseMetadata.initial(clock.millis(), !lost));
         List<LogEntry> recovered = disk.recoveredEntries();
-        return new DatabaseState(disk, lost ? metadata.lost() : metadata, recovered, fault(options));
+        return new DatabaseState(disk, lost ? metadata.diskLost() : metadata, recovered, fault(options));
     }
 
     private static RowFault fault(EmulatorOptions options) {
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseLog.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseLog.java
@@ -22,7 +22,7 @@
     }
 
     /** The position of the last entry. */
-    LogPosition end() {
+    LogPosition lastPosition() {
         return positionAt(entries.size());
     }
 
@@ -34,7 +34,7 @@
     }
 
     /** Whether the log holds an entry at this position. The start of the log is held by every log. */
-    boolean holds(LogPosition position) {
+    boolean contains(LogPosition position) {
         return position.indexEntries() <= entries.size()
                 && positionAt((int) position.indexEntries()).equals(position);
     }
@@ -42,8 +42,9 @@
     /** Adds the next entry. Fails with INVALID_POSITION when it does not follow the last one. */
     void append(LogEntry entry) {
         LogPosition position = Envelopes.position(entry.getPosition());
-        if (position.indexEntries() != entries.size() + 1L || position.term() < end().term()) {
-            throw new FailureException(FailureType.INVALID_POSITION, position + " does not follow " + end());
+        if (position.indexEntries() != entries.size() + 1L
+                || position.term() < lastPosition().term()) {
+            throw new FailureException(FailureType.INVALID_POSITION, position + " does not follow " + lastPosition());
         }
         entries.add(entry);
         if (!entry.getIdempotencyKey().isEmpty()) {
@@ -52,7 +53,7 @@
     }
 
     /** Removes every entry behind an index and returns them. */
-    List<LogEntry> cutBack(int lastIndex) {
+    List<LogEntry> truncate(int lastIndex) {
         List<LogEntry> tail = entries.subList(lastIndex, entries.size());
         List<LogEntry> cut = List.copyOf(tail);
         cut.forEach(entry -> indexByKey.remove(entry.getIdempotencyKey()));
@@ -61,17 +62,17 @@
     }
 
     /** The entry with an idempotency key. */
-    Optional<LogEntry> byKey(String key) {
+    Optional<LogEntry> findByIdempotencyKey(String key) {
         return Optional.ofNullable(indexByKey.get(key)).map(index -> entries.get(index - 1));
     }
 
     /** Up to {@code maxEntries} entries behind an index. */
-    List<LogEntry> after(int index, int maxEntries) {
+    List<LogEntry> entriesAfter(int index, int maxEntries) {
         return List.copyOf(entries.subList(index, Math.min(entries.size(), index + maxEntries)));
     }
 
     /** The highest index below {@code belowIndex} whose entry's term is at most {@code term}; 0 when there is none. */
-    int lastIndexAtOrBelow(long term, long belowIndex) {
+    int lastIndexWithTermAtMost(long term, long belowIndex) {
         int index = (int) Math.min(entries.size(), belowIndex - 1);
         while (index > 0 && positionAt(index).term() > term) {
             index--;
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseMetadata.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseMetadata.java
@@ -18,7 +18,7 @@
     }
 
     /** The first start of a database. */
-    static DatabaseMetadata fresh(long incarnation, boolean trusted) {
+    static DatabaseMetadata initial(long incarnation, boolean trusted) {
         return new DatabaseMetadata(incarnation, 0, 0, 0, trusted);
     }
 
@@ -42,7 +42,7 @@
         return new DatabaseMetadata(incarnation, term, term, fencedTerm, trusted);
     }
 
-    DatabaseMetadata lost() {
+    DatabaseMetadata diskLost() {
         return new DatabaseMetadata(incarnation, term, followedTerm, fencedTerm, false);
     }
 
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseServer.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseServer.java
@@ -38,20 +38,20 @@
  */
 final class DatabaseServer implements PeerHandler, AutoCloseable {
     private static final Logger LOG = System.getLogger(DatabaseServer.class.getName());
-    private static final Duration FOLLOW_ANSWER_LIMIT = Duration.ofMillis(500);
-    private static final Duration DEPARTURE_LIMIT = Duration.ofSeconds(5);
-    private static final Duration DEPARTURE_CHECK = Duration.ofMillis(100);
-    private static final Duration BIND_LIMIT = Duration.ofSeconds(5);
+    private static final Duration FOLLOW_ANSWER_TIMEOUT = Duration.ofMillis(500);
+    private static final Duration DEPARTURE_TIMEOUT = Duration.ofSeconds(5);
+    private static final Duration DEPARTURE_CHECK_INTERVAL = Duration.ofMillis(100);
+    private static final Duration BIND_TIMEOUT = Duration.ofSeconds(5);
 
     private final DatabaseSettings settings;
     private final DatabaseState state;
     private final PeerTransport transport;
-    private final DecisionLoop loop = new DecisionLoop(() -> {});
+    private final EventLoop eventLoop = new EventLoop(() -> {});
     private final StatementService statements;
     private final LogFollower follower;
     private final PositionSubscribers subscribers;
     private final Announcer announcer;
-    private final List<Consumer<Integer>> waitingReads = new ArrayList<>();
+    private final List<Consumer<Integer>> pendingReads = new ArrayList<>();
     private final PeerServer server;
     private final Endpoint endpoint;
     private boolean departing;
@@ -61,17 +61,17 @@
         this.settings = settings;
         this.state = state;
         this.transport = transport;
-        this.subscribers = new PositionSubscribers(loop, this::report);
-        this.statements = new StatementService(settings, state, loop, this::changed);
-        this.follower = new LogFollower(settings, state, loop, transport, this::changed);
-        this.announcer = new Announcer(loop, transport, this::announcement);
-        loop.start();
+        this.subscribers = new PositionSubscribers(eventLoop, this::report);
+        this.statements = new StatementService(settings, state, eventLoop, this::handleStateChange);
+        this.follower = new LogFollower(settings, state, eventLoop, transport, this::handleStateChange);
+        this.announcer = new Announcer(eventLoop, transport, this::announcement);
+        eventLoop.start();
         this.server = transport
                 .listen(settings.endpoint(), this)
-                .orTimeout(BIND_LIMIT.toMillis(), TimeUnit.MILLISECONDS)
+                .orTimeout(BIND_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
                 .join();
         this.endpoint = settings.endpoint().toBuilder().setPort(server.port()).build();
-        loop.submit(() -> settings.announceTo().forEach(announcer::start));
+        eventLoop.submit(() -> settings.announceTo().forEach(announcer::addEndpoint));
     }
 
     /** Where it listens. */
@@ -82,20 +82,20 @@
     /** Announces the departure. Completes when no connection is left, after five seconds at most. */
     CompletableFuture<Void> depart() {
         CompletableFuture<Void> empty = new CompletableFuture<>();
-        loop.submit(() -> {
+        eventLoop.submit(() -> {
             departing = true;
             LOG.log(Level.INFO, "database {0} is departing", settings.databaseId());
             announcer.announceNow();
-            subscribers.changed();
-            loop.after(DEPARTURE_CHECK, () -> checkEmpty(empty));
+            subscribers.schedulePush();
+            eventLoop.schedule(DEPARTURE_CHECK_INTERVAL, () -> completeWhenDrained(empty));
         });
-        return empty.completeOnTimeout(null, DEPARTURE_LIMIT.toMillis(), TimeUnit.MILLISECONDS);
+        return empty.completeOnTimeout(null, DEPARTURE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     @Override
     public void close() {
         server.close();
-        loop.close();
+        eventLoop.close();
         transport.close();
     }
 
@@ -106,7 +106,7 @@
 
     @Override
     public void onClose(PeerConnection connection) {
-        loop.submit(() -> {
+        eventLoop.submit(() -> {
             subscribers.remove(connection);
             statements.close(session(connection));
         });
@@ -121,7 +121,7 @@
                 answer.accept(Envelopes.failureEnvelope(e));
             }
         };
-        if (!loop.offer(task)) {
+        if (!eventLoop.offer(task)) {
             answer.accept(Envelopes.failureEnvelope(
                     new FailureException(FailureType.RING_FULL, "requests of " + settings.databaseId())));
         }
@@ -147,10 +147,10 @@
 
     private void enqueue(ClientSession session, Envelope request, Consumer<Envelope> answer) {
         String key = idempotencyKey(request);
-        statements.arrived(key);
+        statements.requestArrived(key);
         session.submit(() -> handleInOrder(session, request, answer, () -> {
-            statements.left(key);
-            session.done();
+            statements.requestCompleted(key);
+            session.completeRequest();
         }));
     }
 
@@ -163,7 +163,7 @@
             statements.execute(session, request.getExecuteStatements(), answer, done);
             return;
         }
-        answer.accept(StatementService.attempt(() -> switch (request.getBodyCase()) {
+        answer.accept(StatementService.resultOrFailure(() -> switch (request.getBodyCase()) {
             case BEGIN_TRANSACTION -> statements.begin(session, request.getBeginTransaction());
             case COMMIT_TRANSACTION -> statements.commit(session, request.getCommitTransaction());
             default -> statements.rollback(session);
@@ -187,7 +187,7 @@
     private Envelope fence(Fence request) {
         state.fence(request.getTerm());
         follower.stop();
-        roleChanged("fenced");
+        handleRoleChange("fenced");
         return Envelope.newBuilder()
                 .setFenced(Fenced.newBuilder().setReport(report()))
                 .build();
@@ -198,68 +198,68 @@
                 .setMarker(Envelopes.position(state.promote(request.getTerm())))
                 .build();
         follower.stop();
-        roleChanged("primary");
+        handleRoleChange("primary");
         return Envelope.newBuilder().setPromoted(promoted).build();
     }
 
     private void follow(Follow request, Consumer<Envelope> answer) {
-        boolean isNew = !follower.follows(request);
+        boolean isNew = !follower.isFollowing(request);
         if (isNew) {
             state.follow(request.getTerm());
-            roleChanged("replica of " + request.getPrimaryId());
+            handleRoleChange("replica of " + request.getPrimaryId());
         }
-        Consumer<Integer> once = new Once(setAside -> answer.accept(Envelope.newBuilder()
+        Consumer<Integer> once = new OneShotCallback(setAside -> answer.accept(Envelope.newBuilder()
                 .setFollowing(Following.newBuilder().setReport(report()).setEntriesSetAside(setAside))
                 .build()));
         follower.follow(request, once);
-        loop.after(FOLLOW_ANSWER_LIMIT, () -> once.accept(0));
+        eventLoop.schedule(FOLLOW_ANSWER_TIMEOUT, () -> once.accept(0));
     }
 
     private Envelope readmit(Readmit request) {
         state.readmit(request.getTerm(), request.getIncarnation());
-        roleChanged("trusted again");
+        handleRoleChange("trusted again");
         return Envelope.newBuilder()
                 .setReadmitted(Readmitted.getDefaultInstance())
                 .build();
     }
 
     private void readLog(ReadLog request, Consumer<Envelope> answer) {
-        LogRead read = state.read(request);
+        LogRead read = state.readLog(request);
         if (!read.getMatches() || read.getEntriesCount() > 0 || request.getWaitMs() == 0) {
             answer.accept(Envelope.newBuilder().setLogRead(read).build());
             return;
         }
-        Consumer<Integer> again = new Once(ignored -> answer.accept(StatementService.attempt(
-                () -> Envelope.newBuilder().setLogRead(state.read(request)).build())));
-        waitingReads.add(again);
-        loop.after(Duration.ofMillis(request.getWaitMs()), () -> {
-            waitingReads.remove(again);
+        Consumer<Integer> again = new OneShotCallback(ignored -> answer.accept(StatementService.resultOrFailure(
+                () -> Envelope.newBuilder().setLogRead(state.readLog(request)).build())));
+        pendingReads.add(again);
+        eventLoop.schedule(Duration.ofMillis(request.getWaitMs()), () -> {
+            pendingReads.remove(again);
             again.accept(0);
         });
     }
 
-    private void changed() {
-        List<Consumer<Integer>> reads = List.copyOf(waitingReads);
-        waitingReads.clear();
+    private void handleStateChange() {
+        List<Consumer<Integer>> reads = List.copyOf(pendingReads);
+        pendingReads.clear();
         reads.forEach(read -> read.accept(0));
-        subscribers.changed();
+        subscribers.schedulePush();
     }
 
-    private void roleChanged(String role) {
+    private void handleRoleChange(String role) {
         LOG.log(
                 Level.INFO,
                 "database {0} is {1} at term {2}",
                 settings.databaseId(),
                 role,
                 state.metadata().term());
-        changed();
+        handleStateChange();
     }
 
-    private void checkEmpty(CompletableFuture<Void> empty) {
+    private void completeWhenDrained(CompletableFuture<Void> empty) {
         if (statements.connections() == 0) {
             empty.complete(null);
         } else {
-            loop.after(DEPARTURE_CHECK, () -> checkEmpty(empty));
+            eventLoop.schedule(DEPARTURE_CHECK_INTERVAL, () -> completeWhenDrained(empty));
         }
     }
 
@@ -293,11 +293,11 @@
     }
 
     /** Passes the first call on and ignores the others. */
-    private static final class Once implements Consumer<Integer> {
+    private static final class OneShotCallback implements Consumer<Integer> {
         private final Consumer<Integer> target;
         private boolean called;
 
-        Once(Consumer<Integer> target) {
+        OneShotCallback(Consumer<Integer> target) {
             this.target = target;
         }
 
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseSettings.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseSettings.java
@@ -38,7 +38,7 @@
     /** Checks every setting. Fails with INVALID_SETTING. */
     DatabaseSettings {
         announceTo = List.copyOf(announceTo);
-        firstWrong(databaseId, group, slots, connectionLimit).ifPresent(detail -> {
+        firstInvalidSetting(databaseId, group, slots, connectionLimit).ifPresent(detail -> {
             throw new FailureException(FailureType.INVALID_SETTING, detail);
         });
         if (connectTimeMs < 0 || statementMs < 0 || replicationLagMs < 0) {
@@ -46,7 +46,8 @@
         }
     }
 
-    private static Optional<String> firstWrong(String databaseId, String group, int slots, int connectionLimit) {
+    private static Optional<String> firstInvalidSetting(
+            String databaseId, String group, int slots, int connectionLimit) {
         if (databaseId.isBlank()) {
             return Optional.of("--database-id must not be empty");
         }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseState.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseState.java
@@ -57,8 +57,8 @@
     }
 
     /** The position of the last entry. */
-    LogPosition end() {
-        return log.end();
+    LogPosition lastPosition() {
+        return log.lastPosition();
     }
 
     /** The position of an entry by index. */
@@ -89,14 +89,14 @@
             throw wrongTerm(term);
         }
         LogEntry entry = LogEntry.newBuilder()
-                .setPosition(Envelopes.position(next(term)))
+                .setPosition(Envelopes.position(nextPosition(term)))
                 .setMarker(true)
                 .build();
         disk.append(List.of(entry));
         apply(entry);
         save(metadata.promoted());
         primary = true;
-        marker = log.end();
+        marker = log.lastPosition();
         return marker;
     }
 
@@ -113,14 +113,14 @@
      * Accepts the log of the term's primary, which agrees with this one up to {@code match}. Returns the entries behind
      * it, which are set aside. Fails with WRONG_TERM when the term is not this database's.
      */
-    List<LogEntry> accept(long term, LogPosition match) {
+    List<LogEntry> acceptLog(long term, LogPosition match) {
         if (term != metadata.term() || primary) {
             throw wrongTerm(term);
         }
         List<LogEntry> cut = List.of();
         if (match.indexEntries() < log.size()) {
-            cut = log.cutBack((int) match.indexEntries());
-            disk.cutBack(log.size(), cut);
+            cut = log.truncate((int) match.indexEntries());
+            disk.truncateLog(log.size(), cut);
             rebuildRows();
         }
         if (metadata.followedTerm() != term) {
@@ -158,11 +158,11 @@
     }
 
     /** The outcome of an earlier commit with this key. */
-    Optional<CommitOutcome> committed(String idempotencyKey) {
+    Optional<CommitOutcome> findCommit(String idempotencyKey) {
         if (idempotencyKey.isEmpty()) {
             return Optional.empty();
         }
-        return log.byKey(idempotencyKey)
+        return log.findByIdempotencyKey(idempotencyKey)
                 .map(entry -> new CommitOutcome(entry.getResultsList(), Envelopes.position(entry.getPosition()), true));
     }
 
@@ -172,41 +172,41 @@
      */
     CommitOutcome commit(DatabaseTransaction transaction, String idempotencyKey) {
         if (transaction.readOnly()) {
-            return new CommitOutcome(transaction.results(), log.end(), false);
+            return new CommitOutcome(transaction.results(), log.lastPosition(), false);
         }
         checkWritable(transaction.term());
-        Optional<CommitOutcome> earlier = committed(idempotencyKey);
+        Optional<CommitOutcome> earlier = findCommit(idempotencyKey);
         if (earlier.isPresent()) {
             return earlier.get();
         }
         List<Statement> writes = transaction.writes();
         if (writes.isEmpty() && idempotencyKey.isEmpty()) {
-            return new CommitOutcome(transaction.results(), log.end(), false);
+            return new CommitOutcome(transaction.results(), log.lastPosition(), false);
         }
         StatementRunner.runAll(new RowOverlay(rows), writes);
         LogEntry entry = LogEntry.newBuilder()
-                .setPosition(Envelopes.position(next(metadata.term())))
+                .setPosition(Envelopes.position(nextPosition(metadata.term())))
                 .setIdempotencyKey(idempotencyKey)
                 .addAllStatements(writes)
                 .addAllResults(idempotencyKey.isEmpty() ? List.of() : transaction.results())
                 .build();
         disk.append(List.of(entry));
         apply(entry);
-        return new CommitOutcome(transaction.results(), log.end(), false);
+        return new CommitOutcome(transaction.results(), log.lastPosition(), false);
     }
 
     /** Answers a replica of this term. Fails with WRONG_TERM or NOT_PRIMARY. */
-    LogRead read(ReadLog request) {
+    LogRead readLog(ReadLog request) {
         checkWritable(request.getTerm());
         LogPosition after = Envelopes.position(request.getAfter());
         LogRead.Builder answer = LogRead.newBuilder()
                 .setTerm(metadata.term())
-                .setPrimaryPosition(Envelopes.position(log.end()))
-                .setMatches(log.holds(after));
+                .setPrimaryPosition(Envelopes.position(log.lastPosition()))
+                .setMatches(log.contains(after));
         if (answer.getMatches()) {
-            answer.addAllEntries(log.after((int) after.indexEntries(), request.getMaxEntries()));
+            answer.addAllEntries(log.entriesAfter((int) after.indexEntries(), request.getMaxEntries()));
         } else {
-            answer.setMatchingIndex(log.lastIndexAtOrBelow(after.term(), after.indexEntries()));
+            answer.setMatchingIndex(log.lastIndexWithTermAtMost(after.term(), after.indexEntries()));
         }
         return answer.build();
     }
@@ -218,8 +218,8 @@
                 .setTerm(metadata.term())
                 .setRole(primary ? DatabaseRole.PRIMARY : DatabaseRole.REPLICA)
                 .setFollowedTerm(metadata.followedTerm())
-                .setSynced(Envelopes.position(log.end()))
-                .setApplied(Envelopes.position(log.end()))
+                .setSynced(Envelopes.position(log.lastPosition()))
+                .setApplied(Envelopes.position(log.lastPosition()))
                 .setTrusted(metadata.trusted());
         if (primary) {
             report.setMarker(Envelopes.position(marker));
@@ -227,7 +227,7 @@
         return report;
     }
 
-    private LogPosition next(long term) {
+    private LogPosition nextPosition(long term) {
         return new LogPosition(term, log.size() + 1L);
     }
 
@@ -247,7 +247,7 @@
     private void rebuildRows() {
         rows.clear();
         appliedWrites = 0;
-        log.after(0, log.size()).forEach(this::applyRows);
+        log.entriesAfter(0, log.size()).forEach(this::applyRows);
     }
 
     private void demote() {
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseTransaction.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseTransaction.java
@@ -44,7 +44,7 @@
     }
 
     /** Keeps the key that came with a statement, for the commit. Fails with INVALID_REQUEST when there is another. */
-    void useKey(String key) {
+    void setIdempotencyKey(String key) {
         if (!idempotencyKey.isEmpty() && !idempotencyKey.equals(key)) {
             throw new FailureException(FailureType.INVALID_REQUEST, "a second idempotency key in one transaction");
         }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LinkLane.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DirectedLink.java
@@ -3,24 +3,24 @@
 import java.time.Duration;
 
 /** One direction between two failure domains: latency, bandwidth, a cut, and a count of bytes. One thread only. */
-final class LinkLane {
+final class DirectedLink {
     private static final long NS_PER_MS = Duration.ofMillis(1).toNanos();
 
-    private final LinkPlan.Pair pair;
+    private final LinkConfiguration.OrderedPair pair;
     private final boolean interRegion;
     private final long latencyNs;
     private final SharedBandwidth bandwidth;
     private boolean cut;
     private long bytes;
 
-    LinkLane(LinkPlan.Pair pair, boolean interRegion, double latencyMs, SharedBandwidth bandwidth) {
+    DirectedLink(LinkConfiguration.OrderedPair pair, boolean interRegion, double latencyMs, SharedBandwidth bandwidth) {
         this.pair = pair;
         this.interRegion = interRegion;
         this.latencyNs = Math.round(latencyMs * NS_PER_MS);
         this.bandwidth = bandwidth;
     }
 
-    LinkPlan.Pair pair() {
+    LinkConfiguration.OrderedPair pair() {
         return pair;
     }
 
@@ -29,9 +29,9 @@
     }
 
     /** Counts a chunk and returns when it arrives, unless the lane is cut by then. */
-    long send(int chunkBytes, long nowNs) {
+    long scheduleArrival(int chunkBytes, long nowNs) {
         bytes += chunkBytes;
-        return bandwidth.send(chunkBytes, nowNs) + latencyNs;
+        return bandwidth.reserve(chunkBytes, nowNs) + latencyNs;
     }
 
     /** Payload bytes that entered the lane. */
--- a/emulator/src/main/java/org/hornbeamspread/emulator/FileDatabaseDisk.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/FileDatabaseDisk.java
@@ -23,7 +23,7 @@
     private static final int HEADER_BYTES = 2 * Integer.BYTES;
     private static final int METADATA_BYTES = 4 * Long.BYTES + 1;
 
-    private final Path folder;
+    private final Path directory;
     private final FileChannel log;
 
     /** The end offset of each entry in the log file. */
@@ -33,7 +33,7 @@
 
     /** Opens the folder, which is made when it is missing, and reads the log. Fails with DISK_FAILED. */
     FileDatabaseDisk(Path folder) {
-        this.folder = folder;
+        this.directory = folder;
         try {
             Files.createDirectories(folder);
             this.log = FileChannel.open(
@@ -43,7 +43,7 @@
                     StandardOpenOption.WRITE);
             recover();
         } catch (IOException e) {
-            throw failed(e);
+            throw diskFailure(e);
         }
     }
 
@@ -54,7 +54,7 @@
 
     /** The saved metadata; empty when there is none. Fails with DISK_FAILED, or LOG_CORRUPTED. */
     Optional<DatabaseMetadata> readMetadata() {
-        Path file = folder.resolve("metadata");
+        Path file = directory.resolve("metadata");
         if (!Files.exists(file)) {
             return Optional.empty();
         }
@@ -67,7 +67,7 @@
             return Optional.of(new DatabaseMetadata(
                     bytes.getLong(), bytes.getLong(), bytes.getLong(), bytes.getLong(), bytes.get() != 0));
         } catch (IOException e) {
-            throw failed(e);
+            throw diskFailure(e);
         }
     }
 
@@ -81,7 +81,7 @@
                 .put((byte) (metadata.trusted() ? 1 : 0))
                 .putInt(checksum(bytes.slice(0, METADATA_BYTES)))
                 .flip();
-        Path temporary = folder.resolve("metadata.new");
+        Path temporary = directory.resolve("metadata.new");
         try {
             try (FileChannel file = FileChannel.open(
                     temporary,
@@ -91,10 +91,10 @@
                 writeFully(file, bytes);
                 file.force(true);
             }
-            Files.move(temporary, folder.resolve("metadata"), StandardCopyOption.ATOMIC_MOVE);
-            syncFolder();
+            Files.move(temporary, directory.resolve("metadata"), StandardCopyOption.ATOMIC_MOVE);
+            syncDirectory();
         } catch (IOException e) {
-            throw failed(e);
+            throw diskFailure(e);
         }
     }
 
@@ -111,15 +111,15 @@
             }
             log.force(false);
         } catch (IOException e) {
-            throw failed(e);
+            throw diskFailure(e);
         }
     }
 
     @Override
-    public void cutBack(int remainingEntries, List<LogEntry> setAside) {
+    public void truncateLog(int remainingEntries, List<LogEntry> setAside) {
         try {
             try (FileChannel file = FileChannel.open(
-                    folder.resolve("set-aside"),
+                    directory.resolve("set-aside"),
                     StandardOpenOption.CREATE,
                     StandardOpenOption.WRITE,
                     StandardOpenOption.APPEND)) {
@@ -128,20 +128,20 @@
                 }
                 file.force(true);
             }
-            truncate(remainingEntries);
+            truncateFile(remainingEntries);
         } catch (IOException e) {
-            throw failed(e);
+            throw diskFailure(e);
         }
     }
 
-    private void truncate(int remainingEntries) throws IOException {
+    private void truncateFile(int remainingEntries) throws IOException {
         endOffsets.subList(remainingEntries, endOffsets.size()).clear();
         log.truncate(endOffset(remainingEntries));
         log.force(true);
     }
 
     private void recover() throws IOException {
-        ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(folder.resolve("log")));
+        ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(directory.resolve("log")));
         while (bytes.remaining() >= HEADER_BYTES) {
             int length = bytes.getInt();
             int checksum = bytes.getInt();
@@ -156,16 +156,16 @@
             bytes.position(bytes.position() + length);
             endOffsets.add((long) bytes.position());
         }
-        truncate(endOffsets.size());
-        syncFolder();
+        truncateFile(endOffsets.size());
+        syncDirectory();
     }
 
     private long endOffset(int entries) {
         return entries == 0 ? 0 : endOffsets.get(entries - 1);
     }
 
-    private void syncFolder() throws IOException {
-        try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
+    private void syncDirectory() throws IOException {
+        try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
             channel.force(true);
         }
     }
@@ -191,7 +191,7 @@
         }
     }
 
-    private static FailureException failed(IOException cause) {
+    private static FailureException diskFailure(IOException cause) {
         return new FailureException(FailureType.DISK_FAILED, String.valueOf(cause.getMessage()), cause);
     }
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LinkPlan.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LinkConfiguration.java
@@ -12,13 +12,13 @@
  * @param latencyMs one-way latency by ordered pair of failure domains, in milliseconds
  * @param bandwidthBytesPerSecond bandwidth by ordered pair of regions, shared by all its links
  */
-record LinkPlan(
+record LinkConfiguration(
         List<LinkRoute> routes,
         Map<String, String> regions,
-        Map<Pair, Double> latencyMs,
-        Map<Pair, Double> bandwidthBytesPerSecond) {
+        Map<OrderedPair, Double> latencyMs,
+        Map<OrderedPair, Double> bandwidthBytesPerSecond) {
     /** Copies its parts. */
-    LinkPlan {
+    LinkConfiguration {
         routes = List.copyOf(routes);
         regions = Map.copyOf(regions);
         latencyMs = Map.copyOf(latencyMs);
@@ -26,17 +26,17 @@
     }
 
     /** The lanes between every two failure domains; lanes of the same ordered pair of regions share their bandwidth. */
-    Map<Pair, LinkLane> lanes() {
-        Map<Pair, SharedBandwidth> shared = new HashMap<>();
-        bandwidthBytesPerSecond.forEach((pair, rate) -> shared.put(pair, SharedBandwidth.of(rate)));
-        Map<Pair, LinkLane> lanes = new HashMap<>();
+    Map<OrderedPair, DirectedLink> directedLinks() {
+        Map<OrderedPair, SharedBandwidth> shared = new HashMap<>();
+        bandwidthBytesPerSecond.forEach((pair, rate) -> shared.put(pair, SharedBandwidth.withRate(rate)));
+        Map<OrderedPair, DirectedLink> lanes = new HashMap<>();
         for (String from : regions.keySet()) {
             for (String to : regions.keySet()) {
-                Pair pair = new Pair(from, to);
-                Pair regionPair = new Pair(regions.get(from), regions.get(to));
+                OrderedPair pair = new OrderedPair(from, to);
+                OrderedPair regionPair = new OrderedPair(regions.get(from), regions.get(to));
                 lanes.put(
                         pair,
-                        new LinkLane(
+                        new DirectedLink(
                                 pair,
                                 !regionPair.from().equals(regionPair.to()),
                                 latencyMs.getOrDefault(pair, 0.0),
@@ -52,5 +52,5 @@
      * @param from where bytes leave
      * @param to where they arrive
      */
-    record Pair(String from, String to) {}
+    record OrderedPair(String from, String to) {}
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LinkConnection.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LinkConnection.java
@@ -27,34 +27,34 @@
 
     private final Channel caller;
     private final Endpoint target;
-    private final Way forward;
-    private final Way back;
+    private final Direction forward;
+    private final Direction backward;
 
-    LinkConnection(Channel caller, Endpoint target, LinkLane forwardLane, LinkLane backLane) {
+    LinkConnection(Channel caller, Endpoint target, DirectedLink forwardLane, DirectedLink backLane) {
         this.caller = caller;
         this.target = target;
-        this.forward = new Way(forwardLane);
-        this.back = new Way(backLane);
+        this.forward = new Direction(forwardLane);
+        this.backward = new Direction(backLane);
     }
 
     /** Starts to forward; the caller's channel must not read by itself yet. */
     void start() {
-        back.sink = caller;
-        back.established = true;
+        backward.sink = caller;
+        backward.established = true;
         forward.source = caller;
-        caller.pipeline().addLast(new Receiver(forward));
-        forward.send(Parcel.open());
+        caller.pipeline().addLast(new SocketReader(forward));
+        forward.send(Segment.open());
     }
 
     /** Delivers what may arrive now, as after a lane is healed. */
     void deliver() {
         forward.deliver();
-        back.deliver();
+        backward.deliver();
     }
 
     /** Whether both ends are gone and nothing is under way. */
     boolean isFinished() {
-        return forward.closed && back.closed;
+        return forward.closed && backward.closed;
     }
 
     private void connect() {
@@ -63,18 +63,18 @@
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.AUTO_READ, false)
-                .handler(new Receiver(back))
+                .handler(new SocketReader(backward))
                 .connect(new InetSocketAddress(target.getHost(), target.getPort()))
-                .addListener((ChannelFutureListener) this::connected);
+                .addListener((ChannelFutureListener) this::handleConnectResult);
     }
 
-    private void connected(ChannelFuture opened) {
+    private void handleConnectResult(ChannelFuture opened) {
         if (opened.isSuccess()) {
             forward.sink = opened.channel();
-            back.source = opened.channel();
-            back.send(Parcel.open());
+            backward.source = opened.channel();
+            backward.send(Segment.open());
         } else {
-            back.send(Parcel.close());
+            backward.send(Segment.close());
             forward.closed = true;
         }
     }
@@ -92,19 +92,19 @@
      * @param kind what it is
      * @param data its bytes; empty unless it is data
      */
-    private record Parcel(Kind kind, ByteBuf data) {
-        static Parcel open() {
-            return new Parcel(Kind.OPEN, Unpooled.EMPTY_BUFFER);
+    private record Segment(Kind kind, ByteBuf data) {
+        static Segment open() {
+            return new Segment(Kind.OPEN, Unpooled.EMPTY_BUFFER);
         }
 
-        static Parcel close() {
-            return new Parcel(Kind.CLOSE, Unpooled.EMPTY_BUFFER);
+        static Segment close() {
+            return new Segment(Kind.CLOSE, Unpooled.EMPTY_BUFFER);
         }
     }
 
     /** One direction with its two sockets. */
-    private final class Way {
-        private final LinkDirection<Parcel> direction;
+    private final class Direction {
+        private final LinkQueue<Segment> queue;
 
         /** Where bytes come from; null until it is connected. */
         private Channel source;
@@ -115,59 +115,59 @@
         /** Whether the sink is connected and the source knows it. */
         private boolean established;
 
-        private boolean deliveryPlanned;
+        private boolean deliveryScheduled;
         private boolean closed;
 
-        Way(LinkLane lane) {
-            this.direction = new LinkDirection<>(lane);
+        Direction(DirectedLink lane) {
+            this.queue = new LinkQueue<>(lane);
         }
 
-        void send(Parcel parcel) {
-            direction.add(parcel, parcel.data().readableBytes(), System.nanoTime());
-            throttle();
+        void send(Segment parcel) {
+            queue.add(parcel, parcel.data().readableBytes(), System.nanoTime());
+            updateAutoRead();
             deliver();
         }
 
         void deliver() {
-            Optional<Parcel> next = direction.poll(System.nanoTime());
+            Optional<Segment> next = queue.poll(System.nanoTime());
             while (next.isPresent()) {
-                arrive(next.get());
-                next = direction.poll(System.nanoTime());
+                handleArrival(next.get());
+                next = queue.poll(System.nanoTime());
             }
-            throttle();
-            OptionalLong waitNs = direction.waitNs(System.nanoTime());
-            if (waitNs.isPresent() && !deliveryPlanned) {
-                deliveryPlanned = true;
-                caller.eventLoop().schedule(this::deliverAsPlanned, waitNs.getAsLong(), TimeUnit.NANOSECONDS);
+            updateAutoRead();
+            OptionalLong waitNs = queue.nsUntilNextArrival(System.nanoTime());
+            if (waitNs.isPresent() && !deliveryScheduled) {
+                deliveryScheduled = true;
+                caller.eventLoop().schedule(this::runScheduledDelivery, waitNs.getAsLong(), TimeUnit.NANOSECONDS);
             }
         }
 
-        private void deliverAsPlanned() {
-            deliveryPlanned = false;
+        private void runScheduledDelivery() {
+            deliveryScheduled = false;
             deliver();
         }
 
-        void throttle() {
+        void updateAutoRead() {
             if (source != null) {
                 source.config()
-                        .setAutoRead(direction.queuedBytes() < MAX_QUEUED_BYTES
+                        .setAutoRead(queue.queuedBytes() < MAX_QUEUED_BYTES
                                 && established
                                 && (sink.isWritable() || !sink.isActive()));
             }
         }
 
-        private void open() {
+        private void handleOpen() {
             if (this == forward) {
                 connect();
             } else {
                 forward.established = true;
-                forward.throttle();
+                forward.updateAutoRead();
             }
         }
 
-        private void arrive(Parcel parcel) {
+        private void handleArrival(Segment parcel) {
             switch (parcel.kind()) {
-                case OPEN -> open();
+                case OPEN -> handleOpen();
                 case DATA -> sink.writeAndFlush(parcel.data());
                 case CLOSE -> {
                     closed = true;
@@ -180,31 +180,31 @@
     }
 
     /** Reads one socket into its way, and resumes the other way when the socket can take more. */
-    private final class Receiver extends ChannelInboundHandlerAdapter {
-        private final Way way;
+    private final class SocketReader extends ChannelInboundHandlerAdapter {
+        private final Direction direction;
 
-        Receiver(Way way) {
-            this.way = way;
+        SocketReader(Direction way) {
+            this.direction = way;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
-            if (way.closed) {
+            if (direction.closed) {
                 ReferenceCountUtil.release(message);
             } else {
-                way.send(new Parcel(Kind.DATA, (ByteBuf) message));
+                direction.send(new Segment(Kind.DATA, (ByteBuf) message));
             }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            Way other = way == forward ? back : forward;
-            other.throttle();
+            Direction other = direction == forward ? backward : forward;
+            other.updateAutoRead();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            way.send(Parcel.close());
+            direction.send(Segment.close());
         }
 
         @Override
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LinkLauncher.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LinkLauncher.java
@@ -19,7 +19,7 @@
 
     /** Reads the link file, listens on every route, and serves the links' control. */
     static RpcServer start(EmulatorOptions options) {
-        LinkServer links = new LinkServer(LinkFile.parse(readLines(Path.of(options.linkFile))));
+        LinkServer links = new LinkServer(LinkFileParser.parse(readLines(Path.of(options.linkFile))));
         return new RpcServer(
                 AddressTranslator.parse(options.httpEndpoint),
                 List.of(
@@ -27,7 +27,7 @@
                         RpcMethod.of(
                                 "hornbeamspread.Links/GetLinkBytes",
                                 GetLinkBytesRequest.getDefaultInstance(),
-                                ignored -> links.bytes())),
+                                ignored -> links.getLinkBytes())),
                 () -> true,
                 new PrometheusRegistry());
     }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LinkDirection.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LinkQueue.java
@@ -11,25 +11,25 @@
  *
  * @param <T> a chunk
  */
-final class LinkDirection<T> {
-    private final LinkLane lane;
-    private final Deque<UnderWay<T>> chunks = new ArrayDeque<>();
+final class LinkQueue<T> {
+    private final DirectedLink link;
+    private final Deque<ChunkInFlight<T>> chunks = new ArrayDeque<>();
     private long queuedBytes;
 
-    LinkDirection(LinkLane lane) {
-        this.lane = lane;
+    LinkQueue(DirectedLink lane) {
+        this.link = lane;
     }
 
     /** Sends a chunk. */
     void add(T chunk, int bytes, long nowNs) {
-        chunks.add(new UnderWay<>(chunk, bytes, lane.send(bytes, nowNs)));
+        chunks.add(new ChunkInFlight<>(chunk, bytes, link.scheduleArrival(bytes, nowNs)));
         queuedBytes += bytes;
     }
 
     /** The next chunk that has arrived. */
     Optional<T> poll(long nowNs) {
-        UnderWay<T> head = chunks.peek();
-        if (head == null || lane.isCut() || head.dueNs() - nowNs > 0) {
+        ChunkInFlight<T> head = chunks.peek();
+        if (head == null || link.isCut() || head.arrivalNs() - nowNs > 0) {
             return Optional.empty();
         }
         chunks.remove();
@@ -38,9 +38,11 @@
     }
 
     /** How long until the next chunk arrives; empty when nothing is under way or the lane is cut. */
-    OptionalLong waitNs(long nowNs) {
-        UnderWay<T> head = chunks.peek();
-        return head == null || lane.isCut() ? OptionalLong.empty() : OptionalLong.of(Math.max(0, head.dueNs() - nowNs));
+    OptionalLong nsUntilNextArrival(long nowNs) {
+        ChunkInFlight<T> head = chunks.peek();
+        return head == null || link.isCut()
+                ? OptionalLong.empty()
+                : OptionalLong.of(Math.max(0, head.arrivalNs() - nowNs));
     }
 
     /** Bytes under way. */
@@ -55,5 +57,5 @@
      * @param bytes its size
      * @param dueNs when it arrives
      */
-    private record UnderWay<T>(T chunk, int bytes, long dueNs) {}
+    private record ChunkInFlight<T>(T chunk, int bytes, long arrivalNs) {}
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LinkServer.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LinkServer.java
@@ -20,7 +20,7 @@
 import java.util.stream.Stream;
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
-import org.hornbeamspread.emulator.LinkPlan.Pair;
+import org.hornbeamspread.emulator.LinkConfiguration.OrderedPair;
 import org.hornbeamspread.protocol.schema.DomainPair;
 import org.hornbeamspread.protocol.schema.DomainPairBytes;
 import org.hornbeamspread.protocol.schema.LinkBytes;
@@ -30,46 +30,46 @@
 
 /** Forwards every route of a plan with its lanes' latency, bandwidth and cuts. One event loop owns all lanes. */
 final class LinkServer implements AutoCloseable {
-    private static final String ANY = "*";
+    private static final String ANY_DOMAIN = "*";
 
-    private final LinkPlan plan;
-    private final EventLoopGroup group = new NioEventLoopGroup(1, new DefaultThreadFactory("links", true));
-    private final Map<Pair, LinkLane> lanes;
+    private final LinkConfiguration configuration;
+    private final EventLoopGroup eventLoopGroup = new NioEventLoopGroup(1, new DefaultThreadFactory("links", true));
+    private final Map<OrderedPair, DirectedLink> links;
     private final List<LinkConnection> connections = new ArrayList<>();
-    private final List<Channel> servers = new ArrayList<>();
+    private final List<Channel> listeners = new ArrayList<>();
 
     /** Listens on every route. Fails with CONNECTION_REFUSED when one can't be bound. */
-    LinkServer(LinkPlan plan) {
-        this.plan = plan;
-        this.lanes = plan.lanes();
-        plan.routes().forEach(route -> servers.add(listen(route)));
+    LinkServer(LinkConfiguration plan) {
+        this.configuration = plan;
+        this.links = plan.directedLinks();
+        plan.routes().forEach(route -> listeners.add(listen(route)));
     }
 
     /** The port that a route of the plan listens on, by the route's place in the plan. */
     int port(int route) {
-        return ((InetSocketAddress) servers.get(route).localAddress()).getPort();
+        return ((InetSocketAddress) listeners.get(route).localAddress()).getPort();
     }
 
     /** Cuts or heals lanes. Fails with INVALID_REQUEST for an unknown failure domain. Any thread. */
     CompletableFuture<SetCutResponse> setCut(SetCutRequest request) {
         checkDomain(request.getFrom());
         checkDomain(request.getTo());
-        return CompletableFuture.supplyAsync(() -> applyCut(request), group.next());
+        return CompletableFuture.supplyAsync(() -> applyCut(request), eventLoopGroup.next());
     }
 
     /** The payload bytes that entered each lane. Any thread. */
-    CompletableFuture<LinkBytes> bytes() {
-        return CompletableFuture.supplyAsync(this::countBytes, group.next());
+    CompletableFuture<LinkBytes> getLinkBytes() {
+        return CompletableFuture.supplyAsync(this::countBytes, eventLoopGroup.next());
     }
 
     @Override
     public void close() {
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+        eventLoopGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
     private Channel listen(LinkRoute route) {
         ChannelFuture bound = new ServerBootstrap()
-                .group(group)
+                .group(eventLoopGroup)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
@@ -89,8 +89,8 @@
     }
 
     private void accept(LinkRoute route, Channel caller) {
-        LinkLane forward = lanes.get(new Pair(route.from(), route.to()));
-        LinkLane back = lanes.get(new Pair(route.to(), route.from()));
+        DirectedLink forward = links.get(new OrderedPair(route.from(), route.to()));
+        DirectedLink back = links.get(new OrderedPair(route.to(), route.from()));
         LinkConnection connection = new LinkConnection(caller, route.target(), forward, back);
         connections.removeIf(LinkConnection::isFinished);
         connections.add(connection);
@@ -98,7 +98,7 @@
     }
 
     private SetCutResponse applyCut(SetCutRequest request) {
-        for (LinkLane lane : lanes.values()) {
+        for (DirectedLink lane : links.values()) {
             boolean named = matches(lane.pair(), request.getFrom(), request.getTo());
             boolean reverse = request.getBothDirections() && matches(lane.pair(), request.getTo(), request.getFrom());
             if (named || reverse) {
@@ -107,8 +107,8 @@
         }
         connections.forEach(LinkConnection::deliver);
         SetCutResponse.Builder response = SetCutResponse.newBuilder();
-        ordered()
-                .filter(LinkLane::isCut)
+        sortedLinks()
+                .filter(DirectedLink::isCut)
                 .forEach(lane -> response.addCuts(DomainPair.newBuilder()
                         .setFrom(lane.pair().from())
                         .setTo(lane.pair().to())));
@@ -117,36 +117,36 @@
 
     private LinkBytes countBytes() {
         LinkBytes.Builder counts = LinkBytes.newBuilder();
-        ordered()
+        sortedLinks()
                 .forEach(lane -> counts.addPairs(DomainPairBytes.newBuilder()
                         .setFrom(lane.pair().from())
                         .setTo(lane.pair().to())
                         .setInterRegion(lane.interRegion())
                         .setBytes(lane.bytes())));
-        return counts.setInterRegionBytes(lanes.values().stream()
-                        .filter(LinkLane::interRegion)
-                        .mapToLong(LinkLane::bytes)
+        return counts.setInterRegionBytes(links.values().stream()
+                        .filter(DirectedLink::interRegion)
+                        .mapToLong(DirectedLink::bytes)
                         .sum())
                 .build();
     }
 
-    private Stream<LinkLane> ordered() {
-        return lanes.values().stream()
-                .sorted(Comparator.comparing((LinkLane lane) -> lane.pair().from())
+    private Stream<DirectedLink> sortedLinks() {
+        return links.values().stream()
+                .sorted(Comparator.comparing((DirectedLink lane) -> lane.pair().from())
                         .thenComparing(lane -> lane.pair().to()));
     }
 
     private void checkDomain(String domain) {
-        if (!ANY.equals(domain) && !plan.regions().containsKey(domain)) {
+        if (!ANY_DOMAIN.equals(domain) && !configuration.regions().containsKey(domain)) {
             throw new FailureException(FailureType.INVALID_REQUEST, "no such failure domain: " + domain);
         }
     }
 
     /** A domain's links to itself are cut only by name: a cut from * leaves each domain whole. */
-    private static boolean matches(Pair pair, String from, String to) {
-        boolean wide = ANY.equals(from) || ANY.equals(to);
-        return (ANY.equals(from) || pair.from().equals(from))
-                && (ANY.equals(to) || pair.to().equals(to))
+    private static boolean matches(OrderedPair pair, String from, String to) {
+        boolean wide = ANY_DOMAIN.equals(from) || ANY_DOMAIN.equals(to);
+        return (ANY_DOMAIN.equals(from) || pair.from().equals(from))
+                && (ANY_DOMAIN.equals(to) || pair.to().equals(to))
                 && !(wide && pair.from().equals(pair.to()));
     }
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LogFollower.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LogFollower.java
@@ -20,23 +20,23 @@
  * one is dropped. Decision thread only.
  */
 final class LogFollower {
-    private static final int MAX_ENTRIES = 256;
-    private static final int WAIT_MS = 300;
-    private static final Duration TIMEOUT = Duration.ofSeconds(1);
-    private static final Duration RETRY_PAUSE = Duration.ofMillis(50);
+    private static final int MAX_ENTRIES_PER_READ = 256;
+    private static final int LONG_POLL_MS = 300;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(50);
 
     private final DatabaseSettings settings;
     private final DatabaseState state;
-    private final DecisionLoop loop;
+    private final EventLoop eventLoop;
     private final PeerTransport transport;
     private final Runnable onChange;
     private Follow target = Follow.getDefaultInstance();
     private long epoch;
-    private boolean accepted;
+    private boolean logAccepted;
     private int setAsideEntries;
 
     /** Where the next request starts: the last entry that was received, perhaps not appended yet. */
-    private LogPosition received = LogPosition.NONE;
+    private LogPosition lastReceived = LogPosition.NONE;
 
     /** Called once, when the primary's log is accepted. */
     private Consumer<Integer> onAccepted = ignored -> {};
@@ -44,25 +44,25 @@
     LogFollower(
             DatabaseSettings settings,
             DatabaseState state,
-            DecisionLoop loop,
+            EventLoop loop,
             PeerTransport transport,
             Runnable onChange) {
         this.settings = settings;
         this.state = state;
-        this.loop = loop;
+        this.eventLoop = loop;
         this.transport = transport;
         this.onChange = onChange;
     }
 
     /** Whether it follows this primary at this term already. */
-    boolean follows(Follow request) {
+    boolean isFollowing(Follow request) {
         return request.equals(target);
     }
 
     /** Follows a primary. The callback gets the number of entries that were set aside, once the log is accepted. */
     void follow(Follow request, Consumer<Integer> whenAccepted) {
-        if (follows(request)) {
-            if (accepted) {
+        if (isFollowing(request)) {
+            if (logAccepted) {
                 whenAccepted.accept(setAsideEntries);
             } else {
                 onAccepted = onAccepted.andThen(whenAccepted);
@@ -72,36 +72,36 @@
         stop();
         target = request;
         onAccepted = whenAccepted;
-        received = state.end();
-        open(epoch);
+        lastReceived = state.lastPosition();
+        connectToPrimary(epoch);
     }
 
     /** Stops, as after a fence. */
     void stop() {
         epoch++;
         target = Follow.getDefaultInstance();
-        accepted = false;
+        logAccepted = false;
         setAsideEntries = 0;
         onAccepted = ignored -> {};
     }
 
-    private void open(long at) {
+    private void connectToPrimary(long at) {
         if (at != epoch) {
             return;
         }
         Endpoint primary = target.getPrimary();
         transport
-                .connect(primary, TIMEOUT, (connection, request, answer) -> {})
-                .whenComplete((connection, error) -> loop.submit(() -> {
+                .connect(primary, REQUEST_TIMEOUT, (connection, request, answer) -> {})
+                .whenComplete((connection, error) -> eventLoop.submit(() -> {
                     if (error != null) {
-                        loop.after(RETRY_PAUSE, () -> open(at));
+                        eventLoop.schedule(RETRY_DELAY, () -> connectToPrimary(at));
                     } else {
-                        pull(at, connection);
+                        fetchEntries(at, connection);
                     }
                 }));
     }
 
-    private void pull(long at, PeerConnection connection) {
+    private void fetchEntries(long at, PeerConnection connection) {
         if (at != epoch) {
             connection.close();
             return;
@@ -110,32 +110,32 @@
                 .setReadLog(ReadLog.newBuilder()
                         .setFollowerId(settings.databaseId())
                         .setTerm(target.getTerm())
-                        .setAfter(Envelopes.position(received))
-                        .setMaxEntries(MAX_ENTRIES)
-                        .setWaitMs(WAIT_MS))
+                        .setAfter(Envelopes.position(lastReceived))
+                        .setMaxEntries(MAX_ENTRIES_PER_READ)
+                        .setWaitMs(LONG_POLL_MS))
                 .build();
         connection
-                .request(request, TIMEOUT)
-                .whenComplete((answer, error) -> loop.submit(() -> {
+                .request(request, REQUEST_TIMEOUT)
+                .whenComplete((answer, error) -> eventLoop.submit(() -> {
                     boolean usable = error == null && answer.getLogRead().getTerm() == target.getTerm();
                     if (at == epoch && usable) {
-                        take(answer.getLogRead());
-                        pull(at, connection);
+                        processLogRead(answer.getLogRead());
+                        fetchEntries(at, connection);
                     } else {
                         connection.close();
-                        loop.after(RETRY_PAUSE, () -> open(at));
+                        eventLoop.schedule(RETRY_DELAY, () -> connectToPrimary(at));
                     }
                 }));
     }
 
-    private void take(LogRead read) {
+    private void processLogRead(LogRead read) {
         if (!read.getMatches()) {
-            received = state.positionAt(Math.min(read.getMatchingIndex(), received.indexEntries() - 1));
+            lastReceived = state.positionAt(Math.min(read.getMatchingIndex(), lastReceived.indexEntries() - 1));
             return;
         }
-        if (!accepted) {
-            accepted = true;
-            setAsideEntries += state.accept(target.getTerm(), received).size();
+        if (!logAccepted) {
+            logAccepted = true;
+            setAsideEntries += state.acceptLog(target.getTerm(), lastReceived).size();
             onChange.run();
             onAccepted.accept(setAsideEntries);
         }
@@ -143,12 +143,12 @@
         if (entries.isEmpty()) {
             return;
         }
-        received = Envelopes.position(entries.get(entries.size() - 1).getPosition());
+        lastReceived = Envelopes.position(entries.get(entries.size() - 1).getPosition());
         if (settings.replicationLagMs() == 0) {
             append(epoch, entries);
         } else {
             long at = epoch;
-            loop.after(Duration.ofMillis(settings.replicationLagMs()), () -> append(at, entries));
+            eventLoop.schedule(Duration.ofMillis(settings.replicationLagMs()), () -> append(at, entries));
         }
     }
 
--- a/emulator/src/main/java/org/hornbeamspread/emulator/PositionSubscribers.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/PositionSubscribers.java
@@ -9,57 +9,57 @@
 
 /** Pushes the position report to subscribers: soon after a change, and as a heartbeat. Decision thread only. */
 final class PositionSubscribers {
-    private static final Duration COALESCE = Duration.ofMillis(1);
+    private static final Duration COALESCE_DELAY = Duration.ofMillis(1);
     private static final int MIN_HEARTBEAT_MS = 20;
 
-    private final DecisionLoop loop;
+    private final EventLoop eventLoop;
     private final Supplier<PositionReport> report;
-    private final IdentityHashMap<PeerConnection, Integer> heartbeatMs = new IdentityHashMap<>();
-    private boolean pushPlanned;
+    private final IdentityHashMap<PeerConnection, Integer> heartbeatIntervalsMs = new IdentityHashMap<>();
+    private boolean pushScheduled;
 
-    PositionSubscribers(DecisionLoop loop, Supplier<PositionReport> report) {
-        this.loop = loop;
+    PositionSubscribers(EventLoop loop, Supplier<PositionReport> report) {
+        this.eventLoop = loop;
         this.report = report;
     }
 
     /** Adds a subscriber, or changes its heartbeat. */
     void add(PeerConnection connection, int everyMs) {
-        boolean isNew = heartbeatMs.put(connection, Math.max(MIN_HEARTBEAT_MS, everyMs)) == null;
+        boolean isNew = heartbeatIntervalsMs.put(connection, Math.max(MIN_HEARTBEAT_MS, everyMs)) == null;
         if (isNew) {
-            heartbeat(connection);
+            scheduleHeartbeat(connection);
         }
     }
 
     /** Forgets a subscriber. */
     void remove(PeerConnection connection) {
-        heartbeatMs.remove(connection);
+        heartbeatIntervalsMs.remove(connection);
     }
 
     /** Plans a push to everybody. */
-    void changed() {
-        if (!pushPlanned && !heartbeatMs.isEmpty()) {
-            pushPlanned = true;
-            loop.after(COALESCE, () -> {
-                pushPlanned = false;
-                Envelope push = envelope();
-                heartbeatMs.keySet().forEach(connection -> connection.push(push));
+    void schedulePush() {
+        if (!pushScheduled && !heartbeatIntervalsMs.isEmpty()) {
+            pushScheduled = true;
+            eventLoop.schedule(COALESCE_DELAY, () -> {
+                pushScheduled = false;
+                Envelope push = reportEnvelope();
+                heartbeatIntervalsMs.keySet().forEach(connection -> connection.push(push));
             });
         }
     }
 
-    private void heartbeat(PeerConnection connection) {
-        Integer everyMs = heartbeatMs.get(connection);
+    private void scheduleHeartbeat(PeerConnection connection) {
+        Integer everyMs = heartbeatIntervalsMs.get(connection);
         if (everyMs != null) {
-            loop.after(Duration.ofMillis(everyMs), () -> {
-                if (heartbeatMs.containsKey(connection)) {
-                    connection.push(envelope());
-                    heartbeat(connection);
+            eventLoop.schedule(Duration.ofMillis(everyMs), () -> {
+                if (heartbeatIntervalsMs.containsKey(connection)) {
+                    connection.push(reportEnvelope());
+                    scheduleHeartbeat(connection);
                 }
             });
         }
     }
 
-    private Envelope envelope() {
+    private Envelope reportEnvelope() {
         return Envelope.newBuilder().setPositionReport(report.get()).build();
     }
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/RowOverlay.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/RowOverlay.java
@@ -6,40 +6,40 @@
 
 /** Writes that are not committed yet, seen on top of the rows below. */
 final class RowOverlay implements Rows {
-    private final Rows below;
-    private final RowStore written = new RowStore();
-    private final TreeMap<TableKey, String> order = new TreeMap<>();
+    private final Rows base;
+    private final RowStore ownRows = new RowStore();
+    private final TreeMap<TableKey, String> orderedWrites = new TreeMap<>();
 
     RowOverlay(Rows below) {
-        this.below = below;
+        this.base = below;
     }
 
     @Override
     public Optional<String> get(String table, String key) {
-        Optional<String> own = written.get(table, key);
-        return own.isPresent() ? own : below.get(table, key);
+        Optional<String> own = ownRows.get(table, key);
+        return own.isPresent() ? own : base.get(table, key);
     }
 
     @Override
     public SortedMap<String, String> withPrefix(String table, String prefix) {
-        SortedMap<String, String> own = written.withPrefix(table, prefix);
+        SortedMap<String, String> own = ownRows.withPrefix(table, prefix);
         if (own.isEmpty()) {
-            return below.withPrefix(table, prefix);
+            return base.withPrefix(table, prefix);
         }
-        SortedMap<String, String> merged = new TreeMap<>(below.withPrefix(table, prefix));
+        SortedMap<String, String> merged = new TreeMap<>(base.withPrefix(table, prefix));
         merged.putAll(own);
         return merged;
     }
 
     @Override
     public void put(String table, String key, String value) {
-        written.put(table, key, value);
-        order.put(new TableKey(table, key), value);
+        ownRows.put(table, key, value);
+        orderedWrites.put(new TableKey(table, key), value);
     }
 
     /** Writes everything to the rows below. */
     void flush() {
-        order.forEach((at, value) -> below.put(at.table(), at.key(), value));
+        orderedWrites.forEach((at, value) -> base.put(at.table(), at.key(), value));
     }
 
     /**
--- a/emulator/src/main/java/org/hornbeamspread/emulator/SharedBandwidth.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/SharedBandwidth.java
@@ -10,7 +10,7 @@
     private final double nsPerByte;
 
     /** When the wire has sent everything that was given to it; meaningless while it was never used. */
-    private long freeAtNs;
+    private long busyUntilNs;
 
     private boolean used;
 
@@ -19,7 +19,7 @@
     }
 
     /** A wire of a rate. */
-    static SharedBandwidth of(double bytesPerSecond) {
+    static SharedBandwidth withRate(double bytesPerSecond) {
         return new SharedBandwidth(NS_PER_SECOND / bytesPerSecond);
     }
 
@@ -29,10 +29,10 @@
     }
 
     /** Gives a chunk to the wire and returns when its last byte has left. */
-    long send(int bytes, long nowNs) {
-        long startNs = used ? Math.max(nowNs, freeAtNs) : nowNs;
+    long reserve(int bytes, long nowNs) {
+        long startNs = used ? Math.max(nowNs, busyUntilNs) : nowNs;
         used = true;
-        freeAtNs = startNs + Math.round(bytes * nsPerByte);
-        return freeAtNs;
+        busyUntilNs = startNs + Math.round(bytes * nsPerByte);
+        return busyUntilNs;
     }
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/SlotQueue.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/SlotQueue.java
@@ -6,7 +6,7 @@
 /** A database's slots: a task takes a free one, or waits for one in order of arrival. One thread only. */
 final class SlotQueue {
     private final int slots;
-    private final Deque<Runnable> waiting = new ArrayDeque<>();
+    private final Deque<Runnable> pendingTasks = new ArrayDeque<>();
     private int inUse;
 
     SlotQueue(int slots) {
@@ -19,13 +19,13 @@
             inUse++;
             task.run();
         } else {
-            waiting.add(task);
+            pendingTasks.add(task);
         }
     }
 
     /** Gives a slot back; the oldest waiting task takes it. */
     void release() {
-        Runnable next = waiting.poll();
+        Runnable next = pendingTasks.poll();
         if (next == null) {
             inUse--;
         } else {
--- a/emulator/src/main/java/org/hornbeamspread/emulator/StatementRunner.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/StatementRunner.java
@@ -28,7 +28,7 @@
         if (!"sleep".equals(statement.getName())) {
             return 0;
         }
-        return Math.max(0, Math.min(MAX_SLEEP_MS, number(statement, 0)));
+        return Math.max(0, Math.min(MAX_SLEEP_MS, integerArgument(statement, 0)));
     }
 
     /** Runs statements in order. Fails with INVALID_STATEMENT or STATEMENT_CONFLICT; the rows may then be half changed. */
@@ -49,25 +49,25 @@
             case "row.scan" -> scan(rows, statement);
             case "row.count" -> count(rows, statement);
             case "sleep" -> sleep(statement);
-            default -> throw invalid(statement, "unknown name");
+            default -> throw invalidStatement(statement, "unknown name");
         };
     }
 
     private static StatementResult get(Rows rows, Statement statement) {
-        expect(statement, 2);
+        checkArgumentCount(statement, 2);
         StatementResult.Builder result = StatementResult.newBuilder();
         rows.get(argument(statement, 0), argument(statement, 1)).ifPresent(value -> result.addRows(row(value)));
         return result.build();
     }
 
     private static StatementResult put(Rows rows, Statement statement) {
-        expect(statement, 3);
+        checkArgumentCount(statement, 3);
         rows.put(argument(statement, 0), argument(statement, 1), argument(statement, 2));
         return StatementResult.newBuilder().setAffectedRows(1).build();
     }
 
     private static StatementResult insert(Rows rows, Statement statement) {
-        expect(statement, 3);
+        checkArgumentCount(statement, 3);
         String table = argument(statement, 0);
         String key = argument(statement, 1);
         if (rows.get(table, key).isPresent()) {
@@ -78,7 +78,7 @@
     }
 
     private static StatementResult add(Rows rows, Statement statement) {
-        expect(statement, 3);
+        checkArgumentCount(statement, 3);
         String table = argument(statement, 0);
         String key = argument(statement, 1);
         String before = rows.get(table, key).orElse("0");
@@ -92,24 +92,24 @@
 
     private static String sum(Statement statement, String before) {
         try {
-            return Long.toString(Math.addExact(Long.parseLong(before), number(statement, 2)));
+            return Long.toString(Math.addExact(Long.parseLong(before), integerArgument(statement, 2)));
         } catch (NumberFormatException | ArithmeticException e) {
-            throw invalid(statement, "the row is not an integer that can be added to");
+            throw invalidStatement(statement, "the row is not an integer that can be added to");
         }
     }
 
     private static StatementResult scan(Rows rows, Statement statement) {
-        expect(statement, 3);
+        checkArgumentCount(statement, 3);
         SortedMap<String, String> found = rows.withPrefix(argument(statement, 0), argument(statement, 1));
         StatementResult.Builder result = StatementResult.newBuilder();
         found.entrySet().stream()
-                .limit(Math.max(0, number(statement, 2)))
+                .limit(Math.max(0, integerArgument(statement, 2)))
                 .forEach(entry -> result.addRows(row(entry.getKey(), entry.getValue())));
         return result.build();
     }
 
     private static StatementResult count(Rows rows, Statement statement) {
-        expect(statement, 2);
+        checkArgumentCount(statement, 2);
         int found =
                 rows.withPrefix(argument(statement, 0), argument(statement, 1)).size();
         return StatementResult.newBuilder()
@@ -118,8 +118,8 @@
     }
 
     private static StatementResult sleep(Statement statement) {
-        expect(statement, 1);
-        number(statement, 0);
+        checkArgumentCount(statement, 1);
+        integerArgument(statement, 0);
         return StatementResult.getDefaultInstance();
     }
 
@@ -127,9 +127,9 @@
         return Row.newBuilder().addAllColumns(List.of(columns)).build();
     }
 
-    private static void expect(Statement statement, int arguments) {
+    private static void checkArgumentCount(Statement statement, int arguments) {
         if (statement.getArgumentsCount() != arguments) {
-            throw invalid(statement, arguments + " arguments expected");
+            throw invalidStatement(statement, arguments + " arguments expected");
         }
     }
 
@@ -137,15 +137,15 @@
         return statement.getArguments(index);
     }
 
-    private static long number(Statement statement, int index) {
+    private static long integerArgument(Statement statement, int index) {
         try {
             return Long.parseLong(statement.getArguments(index));
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
-            throw invalid(statement, "argument " + index + " is not an integer");
+            throw invalidStatement(statement, "argument " + index + " is not an integer");
         }
     }
 
-    private static FailureException invalid(Statement statement, String reason) {
+    private static FailureException invalidStatement(Statement statement, String reason) {
         return new FailureException(FailureType.INVALID_STATEMENT, statement.getName() + ": " + reason);
     }
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/StatementService.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/StatementService.java
@@ -33,17 +33,17 @@
 final class StatementService {
     private final DatabaseSettings settings;
     private final DatabaseState state;
-    private final DecisionLoop loop;
+    private final EventLoop eventLoop;
     private final Runnable onCommit;
     private final SlotQueue slots;
     private final Multiset<String> keysInFlight = HashMultiset.create();
-    private final ListMultimap<String, Runnable> waitingLookUps = ArrayListMultimap.create();
+    private final ListMultimap<String, Runnable> pendingLookUps = ArrayListMultimap.create();
     private int connections;
 
-    StatementService(DatabaseSettings settings, DatabaseState state, DecisionLoop loop, Runnable onCommit) {
+    StatementService(DatabaseSettings settings, DatabaseState state, EventLoop loop, Runnable onCommit) {
         this.settings = settings;
         this.state = state;
-        this.loop = loop;
+        this.eventLoop = loop;
         this.onCommit = onCommit;
         this.slots = new SlotQueue(settings.slots());
     }
@@ -67,10 +67,10 @@
         if (connections >= settings.connectionLimit()) {
             throw new FailureException(FailureType.CONNECTION_LIMIT, connections + " open");
         }
-        session.count();
+        session.markCounted();
         connections++;
-        loop.after(Duration.ofMillis(settings.connectTimeMs()), () -> {
-            session.connect();
+        eventLoop.schedule(Duration.ofMillis(settings.connectTimeMs()), () -> {
+            session.markConnected();
             answer.accept(Envelope.newBuilder()
                     .setConnected(Connected.newBuilder()
                             .setDatabaseId(settings.databaseId())
@@ -95,22 +95,22 @@
         if (!request.getReadOnly()) {
             state.checkWritable(request.getTerm());
         }
-        session.begin(new DatabaseTransaction(request.getTerm(), request.getReadOnly(), state.rows()));
+        session.beginTransaction(new DatabaseTransaction(request.getTerm(), request.getReadOnly(), state.rows()));
         return Envelope.newBuilder()
                 .setTransactionBegun(TransactionBegun.getDefaultInstance())
                 .build();
     }
 
-    /** A request with this idempotency key has arrived; look-ups of the key wait until {@link #left}. */
-    void arrived(String idempotencyKey) {
+    /** A request with this idempotency key has arrived; look-ups of the key wait until {@link #requestCompleted}. */
+    void requestArrived(String idempotencyKey) {
         keysInFlight.add(idempotencyKey);
     }
 
     /** A request that had arrived is answered or dropped. */
-    void left(String idempotencyKey) {
+    void requestCompleted(String idempotencyKey) {
         keysInFlight.remove(idempotencyKey);
         if (!keysInFlight.contains(idempotencyKey)) {
-            waitingLookUps.removeAll(idempotencyKey).forEach(Runnable::run);
+            pendingLookUps.removeAll(idempotencyKey).forEach(Runnable::run);
         }
     }
 
@@ -121,23 +121,23 @@
         Duration hold;
         try {
             session.checkConnected();
-            replayed = beforeSlot(open, request);
-            hold = hold(request.getStatementsList());
+            replayed = findReplay(open, request);
+            hold = slotHoldTime(request.getStatementsList());
         } catch (FailureException e) {
             answer.accept(Envelopes.failureEnvelope(e));
             done.run();
             return;
         }
         if (replayed.isPresent()) {
-            answer.accept(executed(replayed.get()));
+            answer.accept(executedEnvelope(replayed.get()));
             done.run();
             return;
         }
         slots.submit(() -> {
             boolean dropped = session.isClosed();
-            loop.after(dropped ? Duration.ZERO : hold, () -> {
+            eventLoop.schedule(dropped ? Duration.ZERO : hold, () -> {
                 if (!dropped) {
-                    answer.accept(attempt(() -> executed(take(open, request))));
+                    answer.accept(resultOrFailure(() -> executedEnvelope(executeStatements(open, request))));
                 }
                 slots.release();
                 done.run();
@@ -148,9 +148,9 @@
     /** Commits the open transaction. */
     Envelope commit(ClientSession session, CommitTransaction request) {
         session.checkConnected();
-        DatabaseTransaction transaction = session.end();
+        DatabaseTransaction transaction = session.takeTransaction();
         if (!request.getIdempotencyKey().isEmpty()) {
-            transaction.useKey(request.getIdempotencyKey());
+            transaction.setIdempotencyKey(request.getIdempotencyKey());
         }
         CommitOutcome outcome = state.commit(transaction, transaction.idempotencyKey());
         onCommit.run();
@@ -167,10 +167,10 @@
     /** Drops the open transaction. */
     Envelope rollback(ClientSession session) {
         session.checkConnected();
-        session.end();
+        session.takeTransaction();
         return Envelope.newBuilder()
                 .setTransactionEnded(TransactionEnded.newBuilder()
-                        .setPosition(Envelopes.position(state.end()))
+                        .setPosition(Envelopes.position(state.lastPosition()))
                         .setTerm(state.metadata().term()))
                 .build();
     }
@@ -178,14 +178,15 @@
     /** Looks a key up, after every request in flight with this key. */
     void lookUp(LookUpKey request, Consumer<Envelope> answer) {
         if (keysInFlight.contains(request.getIdempotencyKey())) {
-            waitingLookUps.put(request.getIdempotencyKey(), () -> answer.accept(attempt(() -> lookedUp(request))));
+            pendingLookUps.put(
+                    request.getIdempotencyKey(), () -> answer.accept(resultOrFailure(() -> lookUpEnvelope(request))));
         } else {
-            answer.accept(lookedUp(request));
+            answer.accept(lookUpEnvelope(request));
         }
     }
 
     /** A request's answer, or its typed failure. */
-    static Envelope attempt(Supplier<Envelope> work) {
+    static Envelope resultOrFailure(Supplier<Envelope> work) {
         try {
             return work.get();
         } catch (FailureException e) {
@@ -193,43 +194,43 @@
         }
     }
 
-    private Optional<CommitOutcome> beforeSlot(Optional<DatabaseTransaction> open, ExecuteStatements request) {
+    private Optional<CommitOutcome> findReplay(Optional<DatabaseTransaction> open, ExecuteStatements request) {
         if (request.getReadOnly() || open.isPresent()) {
             return Optional.empty();
         }
         state.checkWritable(request.getTerm());
-        return state.committed(request.getIdempotencyKey());
+        return state.findCommit(request.getIdempotencyKey());
     }
 
     /** Runs a request at the end of its time in the slot, in the transaction that was open when it came. */
-    private CommitOutcome take(Optional<DatabaseTransaction> open, ExecuteStatements request) {
+    private CommitOutcome executeStatements(Optional<DatabaseTransaction> open, ExecuteStatements request) {
         DatabaseTransaction transaction =
                 open.orElseGet(() -> new DatabaseTransaction(request.getTerm(), request.getReadOnly(), state.rows()));
         if (!transaction.readOnly()) {
             state.checkWritable(transaction.term());
-            Optional<CommitOutcome> earlier = state.committed(request.getIdempotencyKey());
+            Optional<CommitOutcome> earlier = state.findCommit(request.getIdempotencyKey());
             if (earlier.isPresent()) {
                 return earlier.get();
             }
         }
         if (!request.getIdempotencyKey().isEmpty()) {
-            transaction.useKey(request.getIdempotencyKey());
+            transaction.setIdempotencyKey(request.getIdempotencyKey());
         }
         List<StatementResult> results = transaction.run(request.getStatementsList());
         if (open.isPresent()) {
-            return new CommitOutcome(results, state.end(), false);
+            return new CommitOutcome(results, state.lastPosition(), false);
         }
         CommitOutcome outcome = state.commit(transaction, request.getIdempotencyKey());
         onCommit.run();
         return outcome;
     }
 
-    private Duration hold(List<Statement> statements) {
+    private Duration slotHoldTime(List<Statement> statements) {
         long sleepMs = statements.stream().mapToLong(StatementRunner::sleepMs).sum();
         return Duration.ofMillis(settings.statementMs() * Math.max(1, statements.size()) + sleepMs);
     }
 
-    private Envelope executed(CommitOutcome outcome) {
+    private Envelope executedEnvelope(CommitOutcome outcome) {
         return Envelope.newBuilder()
                 .setStatementsExecuted(StatementsExecuted.newBuilder()
                         .addAllResults(outcome.results())
@@ -239,11 +240,11 @@
                 .build();
     }
 
-    private Envelope lookedUp(LookUpKey request) {
+    private Envelope lookUpEnvelope(LookUpKey request) {
         state.checkWritable(request.getTerm());
         KeyLookedUp.Builder found =
                 KeyLookedUp.newBuilder().setTerm(state.metadata().term());
-        state.committed(request.getIdempotencyKey())
+        state.findCommit(request.getIdempotencyKey())
                 .ifPresent(outcome -> found.setFound(true)
                         .setPosition(Envelopes.position(outcome.position()))
                         .addAllResults(outcome.results()));
--- a/emulator/src/test/java/org/hornbeamspread/emulator/DatabaseServerTest.java
+++ b/emulator/src/test/java/org/hornbeamspread/emulator/DatabaseServerTest.java
@@ -1,10 +1,10 @@
 package org.hornbeamspread.emulator;
 
 import static com.google.common.truth.Truth.assertThat;
-import static org.hornbeamspread.emulator.TestDatabase.fence;
-import static org.hornbeamspread.emulator.TestDatabase.read;
+import static org.hornbeamspread.emulator.TestDatabase.fenceRequest;
+import static org.hornbeamspread.emulator.TestDatabase.readRequest;
 import static org.hornbeamspread.emulator.TestDatabase.statement;
-import static org.hornbeamspread.emulator.TestDatabase.write;
+import static org.hornbeamspread.emulator.TestDatabase.writeRequest;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.time.Duration;
@@ -38,103 +38,107 @@
     }
 
     @Test
-    void aWriteReachesTheFollower() {
-        first.primaryAt(1);
-        second.ask(first.followAt(1));
-        StatementsExecuted written =
-                first.ask(write(1, "", statement("row.put", "t", "k", "v"))).getStatementsExecuted();
+    void aWriteIsReplicatedToTheFollower() {
+        first.promoteAt(1);
+        second.request(first.followRequest(1));
+        StatementsExecuted written = first.request(writeRequest(1, "", statement("row.put", "t", "k", "v")))
+                .getStatementsExecuted();
         second.awaitReport(
                 report -> report.getApplied().equals(written.getPosition()) && report.getFollowedTerm() == 1);
-        assertThat(second.value("t", "k")).isEqualTo("v");
+        assertThat(second.readValue("t", "k")).isEqualTo("v");
     }
 
     @Test
-    void theReplicationLagPassesBeforeAnEntryCounts() {
+    void anEntryIsReportedOnlyAfterTheReplicationLag() {
         Duration lag = Duration.ofMillis(60);
         try (TestDatabase slow = new TestDatabase("slow", lag.toMillis(), List.of())) {
-            first.primaryAt(1);
-            slow.ask(first.followAt(1));
+            first.promoteAt(1);
+            slow.request(first.followRequest(1));
             long startNs = System.nanoTime();
-            StatementsExecuted written =
-                    first.ask(write(1, "", statement("row.put", "t", "k", "v"))).getStatementsExecuted();
+            StatementsExecuted written = first.request(writeRequest(1, "", statement("row.put", "t", "k", "v")))
+                    .getStatementsExecuted();
             slow.awaitReport(report -> report.getSynced().equals(written.getPosition()));
             assertThat(Duration.ofNanos(System.nanoTime() - startNs)).isAtLeast(lag);
         }
     }
 
     @Test
-    void aFenceStopsWritesOfTheLowerTerm() {
-        first.primaryAt(1);
-        first.ask(fence(2));
-        assertThat(first.refusal(write(1, "", statement("row.put", "t", "k", "v")))
+    void aFenceRejectsWritesOfALowerTerm() {
+        first.promoteAt(1);
+        first.request(fenceRequest(2));
+        assertThat(first.failureOf(writeRequest(1, "", statement("row.put", "t", "k", "v")))
                         .type())
                 .isEqualTo(FailureType.WRONG_TERM);
-        assertThat(first.refusal(write(2, "", statement("row.put", "t", "k", "v")))
+        assertThat(first.failureOf(writeRequest(2, "", statement("row.put", "t", "k", "v")))
                         .type())
                 .isEqualTo(FailureType.NOT_PRIMARY);
-        assertThat(first.value("t", "k")).isEmpty();
-        assertThat(first.refusal(fence(2)).type()).isEqualTo(FailureType.WRONG_TERM);
+        assertThat(first.readValue("t", "k")).isEmpty();
+        assertThat(first.failureOf(fenceRequest(2)).type()).isEqualTo(FailureType.WRONG_TERM);
     }
 
     @Test
-    void promotionNeedsTheFenceOfExactlyThatTerm() {
-        first.ask(fence(3));
-        assertThat(first.refusal(TestDatabase.promote(2)).type()).isEqualTo(FailureType.WRONG_TERM);
-        assertThat(first.refusal(TestDatabase.promote(4)).type()).isEqualTo(FailureType.WRONG_TERM);
-        assertThat(first.ask(TestDatabase.promote(3)).getPromoted().getMarker().getTerm())
+    void promotionRequiresAFenceAtTheSameTerm() {
+        first.request(fenceRequest(3));
+        assertThat(first.failureOf(TestDatabase.promoteRequest(2)).type()).isEqualTo(FailureType.WRONG_TERM);
+        assertThat(first.failureOf(TestDatabase.promoteRequest(4)).type()).isEqualTo(FailureType.WRONG_TERM);
+        assertThat(first.request(TestDatabase.promoteRequest(3))
+                        .getPromoted()
+                        .getMarker()
+                        .getTerm())
                 .isEqualTo(3);
     }
 
     @Test
-    void aStaleTailIsCutBackToThePrimarysLog() {
-        first.primaryAt(1);
-        second.ask(first.followAt(1));
-        StatementsExecuted shared = first.ask(write(1, "", statement("row.put", "t", "k", "shared")))
+    void aDivergentTailIsTruncatedToThePrimarysLog() {
+        first.promoteAt(1);
+        second.request(first.followRequest(1));
+        StatementsExecuted shared = first.request(writeRequest(1, "", statement("row.put", "t", "k", "shared")))
                 .getStatementsExecuted();
         second.awaitReport(report -> report.getApplied().equals(shared.getPosition()));
-        second.primaryAt(2);
-        first.ask(write(1, "stale", statement("row.put", "t", "k", "stale")));
-        first.ask(write(1, "", statement("row.put", "t", "other", "stale")));
-        StatementsExecuted newer = second.ask(write(2, "", statement("row.put", "t", "new", "kept")))
+        second.promoteAt(2);
+        first.request(writeRequest(1, "stale", statement("row.put", "t", "k", "stale")));
+        first.request(writeRequest(1, "", statement("row.put", "t", "other", "stale")));
+        StatementsExecuted newer = second.request(writeRequest(2, "", statement("row.put", "t", "new", "kept")))
                 .getStatementsExecuted();
-        assertThat(first.ask(second.followAt(2)).getFollowing().getEntriesSetAside())
+        assertThat(first.request(second.followRequest(2)).getFollowing().getEntriesSetAside())
                 .isEqualTo(2);
         first.awaitReport(report -> report.getApplied().equals(newer.getPosition()));
-        assertThat(first.value("t", "k")).isEqualTo("shared");
-        assertThat(first.value("t", "other")).isEmpty();
-        assertThat(first.value("t", "new")).isEqualTo("kept");
+        assertThat(first.readValue("t", "k")).isEqualTo("shared");
+        assertThat(first.readValue("t", "other")).isEmpty();
+        assertThat(first.readValue("t", "new")).isEqualTo("kept");
     }
 
     @Test
-    void aRepeatedKeyReturnsTheFirstAnswerAlsoFromTheNextPrimary() {
-        first.primaryAt(1);
-        second.ask(first.followAt(1));
-        Envelope.Builder booking = write(1, "key", statement("row.add", "t", "k", "1"));
-        StatementsExecuted once = first.ask(booking).getStatementsExecuted();
-        StatementsExecuted again = first.ask(booking).getStatementsExecuted();
+    void aRepeatedIdempotencyKeyReturnsTheFirstResultAlsoAfterAFailover() {
+        first.promoteAt(1);
+        second.request(first.followRequest(1));
+        Envelope.Builder booking = writeRequest(1, "key", statement("row.add", "t", "k", "1"));
+        StatementsExecuted once = first.request(booking).getStatementsExecuted();
+        StatementsExecuted again = first.request(booking).getStatementsExecuted();
         assertThat(again).isEqualTo(once.toBuilder().setReplayed(true).build());
         second.awaitReport(report -> report.getApplied().equals(once.getPosition()));
-        second.primaryAt(2);
-        StatementsExecuted moved =
-                second.ask(write(2, "key", statement("row.add", "t", "k", "1"))).getStatementsExecuted();
+        second.promoteAt(2);
+        StatementsExecuted moved = second.request(writeRequest(2, "key", statement("row.add", "t", "k", "1")))
+                .getStatementsExecuted();
         assertThat(moved.getReplayed()).isTrue();
         assertThat(moved.getResultsList()).isEqualTo(once.getResultsList());
         assertThat(moved.getPosition()).isEqualTo(once.getPosition());
-        assertThat(second.value("t", "k")).isEqualTo("1");
+        assertThat(second.readValue("t", "k")).isEqualTo("1");
     }
 
     @Test
-    void aKeyInFlightRunsOnceAndItsLookUpWaits() {
-        first.primaryAt(1);
-        PeerConnection other = first.open();
-        other.request(TestDatabase.connect().build(), TestDatabase.TIMEOUT).join();
-        CompletableFuture<Envelope> holder = first.send(read(statement("sleep", "20")));
-        Envelope booking = write(
+    void concurrentRequestsWithOneKeyRunOnceAndALookUpWaitsForThem() {
+        first.promoteAt(1);
+        PeerConnection other = first.openConnection();
+        other.request(TestDatabase.connectRequest().build(), TestDatabase.TIMEOUT)
+                .join();
+        CompletableFuture<Envelope> holder = first.requestAsync(readRequest(statement("sleep", "20")));
+        Envelope booking = writeRequest(
                         1, "key", statement("row.insert", "t", "row", "v"), statement("row.add", "t", "k", "1"))
                 .build();
-        CompletableFuture<Envelope> one = first.send(booking.toBuilder());
+        CompletableFuture<Envelope> one = first.requestAsync(booking.toBuilder());
         CompletableFuture<Envelope> two = other.request(booking, TestDatabase.TIMEOUT);
-        CompletableFuture<Envelope> lookUp = first.send(Envelope.newBuilder()
+        CompletableFuture<Envelope> lookUp = first.requestAsync(Envelope.newBuilder()
                 .setLookUpKey(LookUpKey.newBuilder().setTerm(1).setIdempotencyKey("key")));
         holder.join();
         assertThat(List.of(
@@ -142,48 +146,52 @@
                         two.join().getStatementsExecuted().getReplayed()))
                 .containsExactly(true, false);
         assertThat(lookUp.join().getKeyLookedUp().getFound()).isTrue();
-        assertThat(first.value("t", "k")).isEqualTo("1");
+        assertThat(first.readValue("t", "k")).isEqualTo("1");
     }
 
     @Test
-    void aTransactionSeesItsOwnWritesAndOthersSeeThemAfterTheCommit() {
-        first.primaryAt(1);
-        PeerConnection other = first.open();
-        other.request(TestDatabase.connect().build(), TestDatabase.TIMEOUT).join();
-        first.ask(Envelope.newBuilder()
+    void uncommittedWritesAreVisibleOnlyToTheirTransaction() {
+        first.promoteAt(1);
+        PeerConnection other = first.openConnection();
+        other.request(TestDatabase.connectRequest().build(), TestDatabase.TIMEOUT)
+                .join();
+        first.request(Envelope.newBuilder()
                 .setBeginTransaction(BeginTransaction.newBuilder().setTerm(1)));
-        first.ask(write(1, "", statement("row.insert", "t", "k", "v")));
-        assertThat(first.value("t", "k")).isEqualTo("v");
-        Envelope outside = other.request(read(statement("row.count", "t", "")).build(), TestDatabase.TIMEOUT)
+        first.request(writeRequest(1, "", statement("row.insert", "t", "k", "v")));
+        assertThat(first.readValue("t", "k")).isEqualTo("v");
+        Envelope outside = other.request(
+                        readRequest(statement("row.count", "t", "")).build(), TestDatabase.TIMEOUT)
                 .join();
         assertThat(outside.getStatementsExecuted().getResults(0).getRows(0).getColumns(0))
                 .isEqualTo("0");
-        first.ask(Envelope.newBuilder().setCommitTransaction(CommitTransaction.getDefaultInstance()));
-        Envelope after = other.request(read(statement("row.count", "t", "")).build(), TestDatabase.TIMEOUT)
+        first.request(Envelope.newBuilder().setCommitTransaction(CommitTransaction.getDefaultInstance()));
+        Envelope after = other.request(
+                        readRequest(statement("row.count", "t", "")).build(), TestDatabase.TIMEOUT)
                 .join();
         assertThat(after.getStatementsExecuted().getResults(0).getRows(0).getColumns(0))
                 .isEqualTo("1");
     }
 
     @Test
-    void aStatementOfALostTransactionCommitsNothing() {
-        first.primaryAt(1);
-        PeerConnection lost = first.open();
-        lost.request(TestDatabase.connect().build(), TestDatabase.TIMEOUT).join();
+    void aRunningStatementCommitsNothingAfterItsConnectionCloses() {
+        first.promoteAt(1);
+        PeerConnection lost = first.openConnection();
+        lost.request(TestDatabase.connectRequest().build(), TestDatabase.TIMEOUT)
+                .join();
         Envelope begin = Envelope.newBuilder()
                 .setBeginTransaction(BeginTransaction.newBuilder().setTerm(1))
                 .build();
         lost.request(begin, TestDatabase.TIMEOUT).join();
         CompletableFuture<Envelope> running = lost.request(
-                write(1, "", statement("row.put", "t", "k", "v"), statement("sleep", "20"))
+                writeRequest(1, "", statement("row.put", "t", "k", "v"), statement("sleep", "20"))
                         .build(),
                 TestDatabase.TIMEOUT);
-        CompletableFuture<Envelope> behind = first.send(read(statement("row.get", "t", "k")));
+        CompletableFuture<Envelope> behind = first.requestAsync(readRequest(statement("row.get", "t", "k")));
         lost.close();
         assertThat(behind.join().getStatementsExecuted().getResults(0).getRowsCount())
                 .isEqualTo(0);
         assertThrows(CompletionException.class, running::join);
-        assertThat(first.ask(write(1, "", statement("row.put", "t", "next", "v")))
+        assertThat(first.request(writeRequest(1, "", statement("row.put", "t", "next", "v")))
                         .getStatementsExecuted()
                         .getPosition()
                         .getIndex())
@@ -191,47 +199,47 @@
     }
 
     @Test
-    void aKeyThatCameWithAStatementCommitsWithItsTransaction() {
-        first.primaryAt(1);
-        first.ask(Envelope.newBuilder()
+    void anIdempotencyKeySentWithAStatementIsCommittedWithItsTransaction() {
+        first.promoteAt(1);
+        first.request(Envelope.newBuilder()
                 .setBeginTransaction(BeginTransaction.newBuilder().setTerm(1)));
-        first.ask(write(1, "key", statement("row.add", "t", "k", "1")));
-        first.ask(Envelope.newBuilder().setCommitTransaction(CommitTransaction.getDefaultInstance()));
-        assertThat(first.ask(write(1, "key", statement("row.add", "t", "k", "1")))
+        first.request(writeRequest(1, "key", statement("row.add", "t", "k", "1")));
+        first.request(Envelope.newBuilder().setCommitTransaction(CommitTransaction.getDefaultInstance()));
+        assertThat(first.request(writeRequest(1, "key", statement("row.add", "t", "k", "1")))
                         .getStatementsExecuted()
                         .getReplayed())
                 .isTrue();
-        assertThat(first.value("t", "k")).isEqualTo("1");
+        assertThat(first.readValue("t", "k")).isEqualTo("1");
     }
 
     @Test
-    void aBadStatementChangesNothing() {
-        first.primaryAt(1);
-        assertThat(first.refusal(write(1, "", statement("row.put", "t", "k", "v"), statement("row.drop", "t")))
+    void anInvalidStatementChangesNoRows() {
+        first.promoteAt(1);
+        assertThat(first.failureOf(writeRequest(1, "", statement("row.put", "t", "k", "v"), statement("row.drop", "t")))
                         .type())
                 .isEqualTo(FailureType.INVALID_STATEMENT);
-        assertThat(first.value("t", "k")).isEmpty();
+        assertThat(first.readValue("t", "k")).isEmpty();
     }
 
     @Test
     void aConnectionBeyondTheLimitIsRefused() {
-        first.open()
-                .request(TestDatabase.connect().build(), TestDatabase.TIMEOUT)
+        first.openConnection()
+                .request(TestDatabase.connectRequest().build(), TestDatabase.TIMEOUT)
                 .join();
         CompletableFuture<Envelope> third =
-                first.open().request(TestDatabase.connect().build(), TestDatabase.TIMEOUT);
+                first.openConnection().request(TestDatabase.connectRequest().build(), TestDatabase.TIMEOUT);
         FailureException refused = FailureException.of(assertThrows(CompletionException.class, third::join));
         assertThat(refused.type()).isEqualTo(FailureType.CONNECTION_LIMIT);
     }
 
     @Test
-    void itAnnouncesItselfAndItsDeparture() {
+    void theServerAnnouncesItselfAndItsDeparture() {
         CompletableFuture<Announce> announced = new CompletableFuture<>();
         CompletableFuture<Announce> departed = new CompletableFuture<>();
         try (PeerTransport transport = new PeerTransport(1)) {
             Endpoint loopback = Endpoint.newBuilder().setHost("127.0.0.1").build();
             PeerServer control = transport
-                    .listen(loopback, announcements(announced, departed))
+                    .listen(loopback, announcementHandler(announced, departed))
                     .join();
             TestDatabase database = new TestDatabase(
                     "d3",
@@ -248,7 +256,7 @@
         }
     }
 
-    private static PeerHandler announcements(
+    private static PeerHandler announcementHandler(
             CompletableFuture<Announce> announced, CompletableFuture<Announce> departed) {
         return new PeerHandler() {
             @Override
--- a/emulator/src/test/java/org/hornbeamspread/emulator/DatabaseStateTest.java
+++ b/emulator/src/test/java/org/hornbeamspread/emulator/DatabaseStateTest.java
@@ -24,46 +24,46 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 final class DatabaseStateTest {
-    private static final int ALL_ENTRIES = 1000;
+    private static final int MAX_ENTRIES = 1000;
 
     @TempDir
-    private Path folder;
+    private Path directory;
 
     @Test
-    void aRestartKeepsLogTermAndFenceAndRaisesTheIncarnation() {
+    void aRestartPreservesLogTermAndFenceAndIncrementsTheIncarnation() {
         DatabaseState before = open();
         before.fence(4);
         before.promote(4);
         put(before, 4, "k", "v");
         before.fence(6);
         DatabaseState after = open();
-        assertThat(after.end()).isEqualTo(new LogPosition(4, 2));
+        assertThat(after.lastPosition()).isEqualTo(new LogPosition(4, 2));
         assertThat(after.rows().get("t", "k")).hasValue("v");
         assertThat(after.metadata()).isEqualTo(new DatabaseMetadata(2, 6, 4, 6, true));
         assertThat(after.promote(6)).isEqualTo(new LogPosition(6, 3));
     }
 
     @Test
-    void aRestartedPrimaryIsNoPrimary() {
+    void aRestartedPrimaryIsNoLongerPrimary() {
         DatabaseState before = primary();
         assertThat(before.isPrimary()).isTrue();
         DatabaseState after = open();
-        assertThat(failure(() -> after.checkWritable(1))).isEqualTo(FailureType.NOT_PRIMARY);
-        assertThat(failure(() -> after.promote(1))).isEqualTo(FailureType.WRONG_TERM);
+        assertThat(failureOf(() -> after.checkWritable(1))).isEqualTo(FailureType.NOT_PRIMARY);
+        assertThat(failureOf(() -> after.promote(1))).isEqualTo(FailureType.WRONG_TERM);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 7, 12})
-    void aTornTailIsCutOff(int missingBytes) throws IOException {
+    void aTornLogTailIsTruncated(int missingBytes) throws IOException {
         DatabaseState before = primary();
         put(before, 1, "kept", "v");
         put(before, 1, "torn", "v");
-        Path log = folder.resolve("log");
+        Path log = directory.resolve("log");
         try (FileChannel file = FileChannel.open(log, StandardOpenOption.WRITE)) {
             file.truncate(Files.size(log) - missingBytes);
         }
         DatabaseState after = open();
-        assertThat(after.end()).isEqualTo(new LogPosition(1, 2));
+        assertThat(after.lastPosition()).isEqualTo(new LogPosition(1, 2));
         after.fence(2);
         after.promote(2);
         put(after, 2, "next", "v");
@@ -71,34 +71,34 @@
     }
 
     @Test
-    void aDamagedEntryAndWhatFollowsItAreCutOff() throws IOException {
+    void theLogIsTruncatedAtACorruptedEntry() throws IOException {
         DatabaseState before = primary();
         put(before, 1, "kept", "v");
-        long keptBytes = Files.size(folder.resolve("log"));
+        long keptBytes = Files.size(directory.resolve("log"));
         put(before, 1, "damaged", "v");
         put(before, 1, "behind", "v");
-        try (FileChannel file = FileChannel.open(folder.resolve("log"), StandardOpenOption.WRITE)) {
+        try (FileChannel file = FileChannel.open(directory.resolve("log"), StandardOpenOption.WRITE)) {
             file.write(ByteBuffer.wrap(new byte[] {-1}), keptBytes + 12);
         }
         assertThat(open().rows().withPrefix("t", "").keySet()).containsExactly("kept");
     }
 
     @Test
-    void aLostDiskIsNotPromotedUntilItIsReadmitted() {
+    void aDatabaseThatLostItsDiskIsNotPromotedUntilReadmitted() {
         DatabaseState primary = primary();
         put(primary, 1, "k", "v");
-        DatabaseState lost = inMemory(DatabaseMetadata.fresh(7, false));
+        DatabaseState lost = inMemory(DatabaseMetadata.initial(7, false));
         lost.follow(1);
-        assertThat(failure(() -> lost.readmit(1, 7))).isEqualTo(FailureType.WRONG_TERM);
-        copy(primary, lost, 1);
-        assertThat(failure(() -> lost.readmit(1, 6))).isEqualTo(FailureType.WRONG_TERM);
+        assertThat(failureOf(() -> lost.readmit(1, 7))).isEqualTo(FailureType.WRONG_TERM);
+        replicate(primary, lost, 1);
+        assertThat(failureOf(() -> lost.readmit(1, 6))).isEqualTo(FailureType.WRONG_TERM);
         lost.fence(2);
-        assertThat(failure(() -> lost.promote(2))).isEqualTo(FailureType.WRONG_TERM);
-        assertThat(failure(() -> lost.readmit(2, 7))).isEqualTo(FailureType.WRONG_TERM);
+        assertThat(failureOf(() -> lost.promote(2))).isEqualTo(FailureType.WRONG_TERM);
+        assertThat(failureOf(() -> lost.readmit(2, 7))).isEqualTo(FailureType.WRONG_TERM);
         primary.fence(2);
         primary.promote(2);
         lost.follow(2);
-        copy(primary, lost, 2);
+        replicate(primary, lost, 2);
         lost.readmit(2, 7);
         lost.fence(3);
         assertThat(lost.promote(3).term()).isEqualTo(3);
@@ -107,17 +107,17 @@
     @Test
     void entriesOfAnEarlierTermAreRefusedAfterAFence() {
         DatabaseState primary = primary();
-        DatabaseState replica = inMemory(DatabaseMetadata.fresh(1, true));
+        DatabaseState replica = inMemory(DatabaseMetadata.initial(1, true));
         replica.follow(1);
-        replica.accept(1, LogPosition.NONE);
-        LogRead read = read(primary, 1, LogPosition.NONE);
+        replica.acceptLog(1, LogPosition.NONE);
+        LogRead read = readLog(primary, 1, LogPosition.NONE);
         replica.fence(2);
-        assertThat(failure(() -> replica.append(1, read.getEntriesList()))).isEqualTo(FailureType.WRONG_TERM);
-        assertThat(replica.end()).isEqualTo(LogPosition.NONE);
+        assertThat(failureOf(() -> replica.append(1, read.getEntriesList()))).isEqualTo(FailureType.WRONG_TERM);
+        assertThat(replica.lastPosition()).isEqualTo(LogPosition.NONE);
     }
 
     @Test
-    void twoTransactionsAddToTheLatestValueAndOnlyOneInsertWins() {
+    void concurrentAddsAccumulateAndConcurrentInsertsConflict() {
         DatabaseState state = primary();
         DatabaseTransaction one = transaction(state, statement("row.add", "t", "n", "1"));
         DatabaseTransaction two = transaction(state, statement("row.add", "t", "n", "1"));
@@ -127,30 +127,30 @@
         DatabaseTransaction three = transaction(state, statement("row.insert", "t", "k", "3"));
         DatabaseTransaction four = transaction(state, statement("row.insert", "t", "k", "4"));
         state.commit(three, "");
-        LogPosition before = state.end();
-        assertThat(failure(() -> state.commit(four, ""))).isEqualTo(FailureType.STATEMENT_CONFLICT);
-        assertThat(state.end()).isEqualTo(before);
+        LogPosition before = state.lastPosition();
+        assertThat(failureOf(() -> state.commit(four, ""))).isEqualTo(FailureType.STATEMENT_CONFLICT);
+        assertThat(state.lastPosition()).isEqualTo(before);
         assertThat(state.rows().get("t", "k")).hasValue("3");
     }
 
     @Test
-    void theFaultDropsARowThatTheLogKeeps() {
+    void theFaultRemovesARowButKeepsItsLogEntry() {
         DatabaseState state = new DatabaseState(
-                DatabaseDisk.none(), DatabaseMetadata.fresh(1, true), List.of(), RowFault.dropAcknowledgedRow(2));
+                DatabaseDisk.none(), DatabaseMetadata.initial(1, true), List.of(), RowFault.dropAcknowledgedRow(2));
         state.fence(1);
         state.promote(1);
         put(state, 1, "a", "v");
         put(state, 1, "b", "v");
         put(state, 1, "c", "v");
         assertThat(state.rows().withPrefix("t", "").keySet()).containsExactly("a", "c");
-        assertThat(state.end()).isEqualTo(new LogPosition(1, 4));
+        assertThat(state.lastPosition()).isEqualTo(new LogPosition(1, 4));
     }
 
     private DatabaseState open() {
-        FileDatabaseDisk disk = new FileDatabaseDisk(folder);
+        FileDatabaseDisk disk = new FileDatabaseDisk(directory);
         DatabaseMetadata metadata = disk.readMetadata()
                 .map(saved -> saved.withIncarnation(saved.incarnation() + 1))
-                .orElseGet(() -> DatabaseMetadata.fresh(1, true));
+                .orElseGet(() -> DatabaseMetadata.initial(1, true));
         return new DatabaseState(disk, metadata, disk.recoveredEntries(), RowFault.none());
     }
 
@@ -177,21 +177,21 @@
         return transaction;
     }
 
-    private static void copy(DatabaseState from, DatabaseState to, long term) {
-        LogPosition after = to.end();
-        to.accept(term, after);
-        to.append(term, read(from, term, after).getEntriesList());
+    private static void replicate(DatabaseState from, DatabaseState to, long term) {
+        LogPosition after = to.lastPosition();
+        to.acceptLog(term, after);
+        to.append(term, readLog(from, term, after).getEntriesList());
     }
 
-    private static LogRead read(DatabaseState from, long term, LogPosition after) {
-        return from.read(ReadLog.newBuilder()
+    private static LogRead readLog(DatabaseState from, long term, LogPosition after) {
+        return from.readLog(ReadLog.newBuilder()
                 .setTerm(term)
-                .setMaxEntries(ALL_ENTRIES)
+                .setMaxEntries(MAX_ENTRIES)
                 .setAfter(Position.newBuilder().setTerm(after.term()).setIndex(after.indexEntries()))
                 .build());
     }
 
-    private static FailureType failure(Runnable work) {
+    private static FailureType failureOf(Runnable work) {
         return assertThrows(FailureException.class, work::run).type();
     }
 }
--- a/emulator/src/test/java/org/hornbeamspread/emulator/LinkTest.java
+++ b/emulator/src/test/java/org/hornbeamspread/emulator/LinkTest.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
-import org.hornbeamspread.emulator.LinkPlan.Pair;
+import org.hornbeamspread.emulator.LinkConfiguration.OrderedPair;
 import org.hornbeamspread.protocol.schema.Endpoint;
 import org.hornbeamspread.protocol.schema.Envelope;
 import org.hornbeamspread.protocol.schema.LinkBytes;
@@ -24,8 +24,8 @@
 
 final class LinkTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
-    private static final long MS = 1_000_000;
-    private static final List<String> ENTOTO = List.of(
+    private static final long NS_PER_MS = 1_000_000;
+    private static final List<String> CONFIGURATION_LINES = List.of(
             "domain bole addis",
             "domain piassa addis # the other one",
             "domain sabian dire-dawa",
@@ -36,34 +36,36 @@
 
     @Test
     void latencyAndSharedBandwidthDelayEachChunk() {
-        Map<Pair, LinkLane> lanes = LinkFile.parse(ENTOTO).lanes();
-        LinkLane near = lanes.get(new Pair("piassa", "bole"));
-        LinkLane far = lanes.get(new Pair("bole", "sabian"));
-        LinkLane farToo = lanes.get(new Pair("piassa", "sabian"));
-        LinkLane farBack = lanes.get(new Pair("sabian", "bole"));
-        assertThat(near.send(1_000_000, 0)).isEqualTo(3 * MS / 2);
-        assertThat(far.send(2_500, 0)).isEqualTo(9 * MS);
-        assertThat(farToo.send(2_500, 0)).isEqualTo(2 * MS);
-        assertThat(far.send(2_500, 0)).isEqualTo(11 * MS);
-        assertThat(farBack.send(2_500, 0)).isEqualTo(9 * MS);
-        assertThat(far.send(2_500, 20 * MS)).isEqualTo(29 * MS);
+        Map<OrderedPair, DirectedLink> lanes =
+                LinkFileParser.parse(CONFIGURATION_LINES).directedLinks();
+        DirectedLink near = lanes.get(new OrderedPair("piassa", "bole"));
+        DirectedLink far = lanes.get(new OrderedPair("bole", "sabian"));
+        DirectedLink farToo = lanes.get(new OrderedPair("piassa", "sabian"));
+        DirectedLink farBack = lanes.get(new OrderedPair("sabian", "bole"));
+        assertThat(near.scheduleArrival(1_000_000, 0)).isEqualTo(3 * NS_PER_MS / 2);
+        assertThat(far.scheduleArrival(2_500, 0)).isEqualTo(9 * NS_PER_MS);
+        assertThat(farToo.scheduleArrival(2_500, 0)).isEqualTo(2 * NS_PER_MS);
+        assertThat(far.scheduleArrival(2_500, 0)).isEqualTo(11 * NS_PER_MS);
+        assertThat(farBack.scheduleArrival(2_500, 0)).isEqualTo(9 * NS_PER_MS);
+        assertThat(far.scheduleArrival(2_500, 20 * NS_PER_MS)).isEqualTo(29 * NS_PER_MS);
     }
 
     @Test
-    void aCutHoldsEverythingInOrderUntilItIsHealed() {
-        LinkLane lane = LinkFile.parse(ENTOTO).lanes().get(new Pair("bole", "piassa"));
-        LinkDirection<String> direction = new LinkDirection<>(lane);
+    void aCutLinkDelaysAllChunksInOrderUntilItIsHealed() {
+        DirectedLink lane =
+                LinkFileParser.parse(CONFIGURATION_LINES).directedLinks().get(new OrderedPair("bole", "piassa"));
+        LinkQueue<String> direction = new LinkQueue<>(lane);
         direction.add("a", 1, 0);
         lane.setCut(true);
-        direction.add("b", 1, MS);
-        assertThat(direction.poll(1000 * MS)).isEmpty();
-        assertThat(direction.waitNs(1000 * MS).isPresent()).isFalse();
+        direction.add("b", 1, NS_PER_MS);
+        assertThat(direction.poll(1000 * NS_PER_MS)).isEmpty();
+        assertThat(direction.nsUntilNextArrival(1000 * NS_PER_MS).isPresent()).isFalse();
         lane.setCut(false);
-        assertThat(direction.poll(MS)).isEmpty();
-        assertThat(direction.waitNs(MS).getAsLong()).isEqualTo(MS / 2);
-        assertThat(direction.poll(2 * MS)).hasValue("a");
-        assertThat(direction.poll(2 * MS)).isEmpty();
-        assertThat(direction.poll(5 * MS / 2)).hasValue("b");
+        assertThat(direction.poll(NS_PER_MS)).isEmpty();
+        assertThat(direction.nsUntilNextArrival(NS_PER_MS).getAsLong()).isEqualTo(NS_PER_MS / 2);
+        assertThat(direction.poll(2 * NS_PER_MS)).hasValue("a");
+        assertThat(direction.poll(2 * NS_PER_MS)).isEmpty();
+        assertThat(direction.poll(5 * NS_PER_MS / 2)).hasValue("b");
     }
 
     @ParameterizedTest
@@ -75,20 +77,20 @@
                 "listen=127.0.0.1:1 target=127.0.0.1:2 from=bole",
                 "listen=127.0.0.1:1 target=127.0.0.1:2 from=bole to=nowhere"
             })
-    void aWrongLineIsRefused(String line) {
+    void anInvalidLineIsRejected(String line) {
         FailureException refused =
-                assertThrows(FailureException.class, () -> LinkFile.parse(List.of("domain bole addis", line)));
+                assertThrows(FailureException.class, () -> LinkFileParser.parse(List.of("domain bole addis", line)));
         assertThat(refused.type()).isEqualTo(FailureType.INVALID_SETTING);
     }
 
     @Test
-    void aCutConnectionStaysOpenAndAnswersAfterItIsHealed() {
+    void aConnectionOverACutLinkStaysOpenAndResumesAfterHealing() {
         try (PeerTransport transport = new PeerTransport(1)) {
             PeerServer echo = transport
                     .listen(endpoint(0), (connection, request, answer) -> answer.accept(request))
                     .join();
             String target = " target=127.0.0.1:" + echo.port();
-            LinkPlan plan = LinkFile.parse(List.of(
+            LinkConfiguration plan = LinkFileParser.parse(List.of(
                     "domain bole addis",
                     "domain sabian dire-dawa",
                     "listen=127.0.0.1:0" + target + " from=bole to=sabian",
@@ -96,19 +98,19 @@
             try (LinkServer links = new LinkServer(plan)) {
                 PeerConnection far = connect(transport, links.port(0));
                 PeerConnection near = connect(transport, links.port(1));
-                assertThat(ask(far, 1).join().getVote().getTerm()).isEqualTo(1);
+                assertThat(sendRequest(far, 1).join().getVote().getTerm()).isEqualTo(1);
                 SetCutRequest cut = SetCutRequest.newBuilder()
                         .setFrom("*")
                         .setTo("sabian")
                         .setCut(true)
                         .build();
                 assertThat(links.setCut(cut).join().getCutsList()).hasSize(1);
-                CompletableFuture<Envelope> held = ask(far, 2);
-                assertThat(ask(near, 3).join().getVote().getTerm()).isEqualTo(3);
+                CompletableFuture<Envelope> held = sendRequest(far, 2);
+                assertThat(sendRequest(near, 3).join().getVote().getTerm()).isEqualTo(3);
                 assertThat(held.isDone()).isFalse();
                 links.setCut(cut.toBuilder().setCut(false).build()).join();
                 assertThat(held.join().getVote().getTerm()).isEqualTo(2);
-                LinkBytes bytes = links.bytes().join();
+                LinkBytes bytes = links.getLinkBytes().join();
                 assertThat(bytes.getInterRegionBytes()).isGreaterThan(0);
                 assertThat(bytes.getPairsCount()).isEqualTo(4);
             }
@@ -121,7 +123,7 @@
                 .join();
     }
 
-    private static CompletableFuture<Envelope> ask(PeerConnection connection, long term) {
+    private static CompletableFuture<Envelope> sendRequest(PeerConnection connection, long term) {
         return connection.request(
                 Envelope.newBuilder().setVote(Vote.newBuilder().setTerm(term)).build(), TIMEOUT);
     }
--- a/emulator/src/test/java/org/hornbeamspread/emulator/TestDatabase.java
+++ b/emulator/src/test/java/org/hornbeamspread/emulator/TestDatabase.java
@@ -52,14 +52,14 @@
                 replicationLagMs,
                 "hornbeamspread");
         DatabaseState state =
-                new DatabaseState(DatabaseDisk.none(), DatabaseMetadata.fresh(1, true), List.of(), RowFault.none());
+                new DatabaseState(DatabaseDisk.none(), DatabaseMetadata.initial(1, true), List.of(), RowFault.none());
         this.server = new DatabaseServer(settings, state, new PeerTransport(1));
-        this.client = open();
-        ask(Envelope.newBuilder().setSubscribe(Subscribe.newBuilder().setHeartbeatMs(10_000)));
-        ask(connect());
+        this.client = openConnection();
+        request(Envelope.newBuilder().setSubscribe(Subscribe.newBuilder().setHeartbeatMs(10_000)));
+        request(connectRequest());
     }
 
-    static Envelope.Builder connect() {
+    static Envelope.Builder connectRequest() {
         return Envelope.newBuilder().setConnect(Connect.getDefaultInstance());
     }
 
@@ -70,7 +70,7 @@
                 .build();
     }
 
-    static Envelope.Builder write(long term, String key, Statement... statements) {
+    static Envelope.Builder writeRequest(long term, String key, Statement... statements) {
         return Envelope.newBuilder()
                 .setExecuteStatements(ExecuteStatements.newBuilder()
                         .setTerm(term)
@@ -78,21 +78,21 @@
                         .addAllStatements(List.of(statements)));
     }
 
-    static Envelope.Builder read(Statement... statements) {
+    static Envelope.Builder readRequest(Statement... statements) {
         return Envelope.newBuilder()
                 .setExecuteStatements(
                         ExecuteStatements.newBuilder().setReadOnly(true).addAllStatements(List.of(statements)));
     }
 
-    static Envelope.Builder fence(long term) {
+    static Envelope.Builder fenceRequest(long term) {
         return Envelope.newBuilder().setFence(Fence.newBuilder().setTerm(term));
     }
 
-    static Envelope.Builder promote(long term) {
+    static Envelope.Builder promoteRequest(long term) {
         return Envelope.newBuilder().setPromote(Promote.newBuilder().setTerm(term));
     }
 
-    Envelope.Builder followAt(long term) {
+    Envelope.Builder followRequest(long term) {
         return Envelope.newBuilder()
                 .setFollow(Follow.newBuilder()
                         .setTerm(term)
@@ -101,32 +101,32 @@
     }
 
     /** Fences and promotes. */
-    TestDatabase primaryAt(long term) {
-        ask(fence(term));
-        ask(promote(term));
+    TestDatabase promoteAt(long term) {
+        request(fenceRequest(term));
+        request(promoteRequest(term));
         return this;
     }
 
-    PeerConnection open() {
+    PeerConnection openConnection() {
         return transport.connect(server.endpoint(), TIMEOUT, this).join();
     }
 
-    CompletableFuture<Envelope> send(Envelope.Builder request) {
+    CompletableFuture<Envelope> requestAsync(Envelope.Builder request) {
         return client.request(request.build(), TIMEOUT);
     }
 
-    Envelope ask(Envelope.Builder request) {
-        return send(request).join();
+    Envelope request(Envelope.Builder request) {
+        return requestAsync(request).join();
     }
 
-    FailureException refusal(Envelope.Builder request) {
-        CompletableFuture<Envelope> answer = send(request);
+    FailureException failureOf(Envelope.Builder request) {
+        CompletableFuture<Envelope> answer = requestAsync(request);
         return FailureException.of(assertThrows(CompletionException.class, answer::join));
     }
 
     /** The first value of the first row. */
-    String value(String table, String key) {
-        Envelope answer = ask(read(statement("row.get", table, key)));
+    String readValue(String table, String key) {
+        Envelope answer = request(readRequest(statement("row.get", table, key)));
         return answer.getStatementsExecuted().getResults(0).getRowsList().stream()
                 .map(row -> row.getColumns(0))
                 .findFirst()
