--- a/emulator/src/main/java/org/hornbeamspread/emulator/Announcer.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/Announcer.java
@@ -10,7 +10,10 @@
 import org.hornbeamspread.transport.PeerConnection;
 import org.hornbeamspread.transport.PeerTransport;
 
-/** Pushes the database's announcement to every control endpoint, and reconnects to it when needed. Decision thread only. */
+/**
+ * Periodically pushes the database's announcement to every control endpoint and reconnects closed connections. Confined
+ * to the decision thread.
+ */
 final class Announcer {
     private static final Duration INTERVAL = Duration.ofMillis(300);
 
@@ -25,12 +28,12 @@
         this.announcement = announcement;
     }
 
-    /** Announces to an endpoint from now on. */
+    /** Starts periodic announcements to an endpoint. */
     void addEndpoint(Endpoint endpoint) {
         announce(endpoint);
     }
 
-    /** Announces at once to every open connection. */
+    /** Pushes an announcement immediately to every open connection. */
     void announceNow() {
         connections.values().forEach(this::push);
     }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/ClientSession.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/ClientSession.java
@@ -6,7 +6,10 @@
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** One accepted connection. Its database requests run one after another, in order of arrival. Decision thread only. */
+/**
+ * The session of one accepted connection. Database requests of a session are executed sequentially, in order of
+ * arrival. Confined to the decision thread.
+ */
 final class ClientSession {
     private final Deque<Runnable> pendingRequests = new ArrayDeque<>();
     private boolean requestInProgress;
@@ -17,7 +20,9 @@
     /** Null while no transaction is open. */
     private DatabaseTransaction transaction;
 
-    /** Runs a request when the earlier ones are done; it must call {@link #completeRequest} once. */
+    /**
+     * Runs a request after all earlier requests complete. The request must call {@link #completeRequest} exactly once.
+     */
     void submit(Runnable request) {
         if (requestInProgress) {
             pendingRequests.add(request);
@@ -27,7 +32,7 @@
         }
     }
 
-    /** The request at work is answered; the next one starts. */
+    /** Ends the running request and starts the next pending one. */
     void completeRequest() {
         Runnable next = pendingRequests.poll();
         if (next == null) {
@@ -37,7 +42,7 @@
         }
     }
 
-    /** Counts the session as a database connection. */
+    /** Marks the session as counted in the number of database connections. */
     void markCounted() {
         countedAsConnection = true;
     }
@@ -46,19 +51,20 @@
         return countedAsConnection;
     }
 
-    /** The connect time has passed. */
+    /** Marks the session as connected, once the connect time has elapsed. */
     void markConnected() {
         connected = true;
     }
 
-    /** Fails with INVALID_REQUEST before Connect was answered. */
+    /** Fails with INVALID_REQUEST until Connect has been answered. */
     void checkConnected() {
         if (!connected) {
-            throw new FailureException(FailureType.INVALID_REQUEST, "Connect comes first");
+            throw new FailureException(
+                    FailureType.INVALID_REQUEST, "Connect must precede other requests on a connection");
         }
     }
 
-    /** Drops the transaction. What waits is started in turn and finds the session closed. */
+    /** Discards the transaction. Pending requests are still started in order, and must check {@link #isClosed}. */
     void close() {
         closed = true;
         transaction = null;
@@ -68,23 +74,23 @@
         return closed;
     }
 
-    /** Opens a transaction. Fails with INVALID_REQUEST when one is open. */
+    /** Opens a transaction. Fails with INVALID_REQUEST if a transaction is already open. */
     void beginTransaction(DatabaseTransaction opened) {
         if (transaction != null) {
-            throw new FailureException(FailureType.INVALID_REQUEST, "a transaction is open on this connection");
+            throw new FailureException(FailureType.INVALID_REQUEST, "a transaction is already open on this connection");
         }
         transaction = opened;
     }
 
-    /** The open transaction. */
+    /** The open transaction, if any. */
     Optional<DatabaseTransaction> transaction() {
         return Optional.ofNullable(transaction);
     }
 
-    /** Takes the open transaction out. Fails with UNKNOWN_TRANSACTION. */
+    /** Removes and returns the open transaction. Fails with UNKNOWN_TRANSACTION if none is open. */
     DatabaseTransaction takeTransaction() {
         if (transaction == null) {
-            throw new FailureException(FailureType.UNKNOWN_TRANSACTION, "none on this connection");
+            throw new FailureException(FailureType.UNKNOWN_TRANSACTION, "no transaction is open on this connection");
         }
         DatabaseTransaction ended = transaction;
         transaction = null;
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseDisk.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseDisk.java
@@ -3,7 +3,9 @@
 import java.util.List;
 import org.hornbeamspread.protocol.schema.LogEntry;
 
-/** Where a database keeps its log and metadata. Every method returns once the change is synced. */
+/**
+ * Persistent storage for the log and metadata of a database. Every method returns after the change is synced to disk.
+ */
 interface DatabaseDisk {
     /** Replaces the metadata. Fails with DISK_FAILED. */
     void save(DatabaseMetadata metadata);
@@ -11,10 +13,10 @@
     /** Appends entries to the log. Fails with DISK_FAILED. */
     void append(List<LogEntry> entries);
 
-    /** Cuts the log back to a number of entries and keeps those that were cut apart. Fails with DISK_FAILED. */
+    /** Truncates the log to a number of entries and stores the removed entries separately. Fails with DISK_FAILED. */
     void truncateLog(int remainingEntries, List<LogEntry> setAside);
 
-    /** Keeps nothing: a database without a disk. */
+    /** A disk that stores nothing, for databases without persistence. */
     static DatabaseDisk none() {
         return new DatabaseDisk() {
             @Override
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseLauncher.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseLauncher.java
@@ -10,14 +10,17 @@
 import org.hornbeamspread.transport.AddressTranslator;
 import org.hornbeamspread.transport.PeerTransport;
 
-/** Starts a stand-in database from its flags. */
+/** Starts an emulated database from the command-line flags. */
 final class DatabaseLauncher {
     private static final int NETWORK_THREADS = 2;
     private static final String DROP_ACKNOWLEDGED_ROW = "drop-acknowledged-row";
 
     private DatabaseLauncher() {}
 
-    /** Checks the flags, opens the disk and listens. Fails with INVALID_SETTING, CONNECTION_REFUSED or DISK_FAILED. */
+    /**
+     * Validates the flags, opens the disk and starts listening. Fails with INVALID_SETTING, CONNECTION_REFUSED or
+     * DISK_FAILED.
+     */
     static DatabaseServer start(EmulatorOptions options, Clock clock) {
         DatabaseSettings settings = settings(options);
         AddressTranslator translator = EndpointSettings.addressMap(options.addressMap);
@@ -43,17 +46,17 @@
 
     private static DatabaseState state(EmulatorOptions options, Clock clock) {
         if (options.dataDir.isEmpty()) {
-            DatabaseMetadata fresh = DatabaseMetadata.initial(clock.millis(), !options.diskLost);
-            return new DatabaseState(DatabaseDisk.none(), fresh, List.of(), fault(options));
+            DatabaseMetadata initialMetadata = DatabaseMetadata.initial(clock.millis(), !options.diskLost);
+            return new DatabaseState(DatabaseDisk.none(), initialMetadata, List.of(), fault(options));
         }
         FileDatabaseDisk disk = new FileDatabaseDisk(Path.of(options.dataDir));
-        boolean lost =
+        boolean diskLost =
                 options.diskLost || (options.expectData && disk.readMetadata().isEmpty());
         DatabaseMetadata metadata = disk.readMetadata()
                 .map(saved -> saved.withIncarnation(saved.incarnation() + 1))
-                .orElseGet(() -> DatabaseMetadata.initial(clock.millis(), !lost));
+                .orElseGet(() -> DatabaseMetadata.initial(clock.millis(), !diskLost));
         List<LogEntry> recovered = disk.recoveredEntries();
-        return new DatabaseState(disk, lost ? metadata.diskLost() : metadata, recovered, fault(options));
+        return new DatabaseState(disk, diskLost ? metadata.diskLost() : metadata, recovered, fault(options));
     }
 
     private static RowFault fault(EmulatorOptions options) {
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseLog.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseLog.java
@@ -11,7 +11,7 @@
 import org.hornbeamspread.protocol.schema.LogEntry;
 import org.hornbeamspread.transport.Envelopes;
 
-/** The entries of a database's log in memory, with an index by idempotency key. Entry indexes start at 1. */
+/** The in-memory log of a database, with an index by idempotency key. Entry indexes start at 1. */
 final class DatabaseLog {
     private final List<LogEntry> entries = new ArrayList<>();
     private final Map<String, Integer> indexByKey = new HashMap<>();
@@ -21,7 +21,7 @@
         return entries.size();
     }
 
-    /** The position of the last entry. */
+    /** The position of the last entry; NONE when the log is empty. */
     LogPosition lastPosition() {
         return positionAt(entries.size());
     }
@@ -33,13 +33,13 @@
                 : Envelopes.position(entries.get(index - 1).getPosition());
     }
 
-    /** Whether the log holds an entry at this position. The start of the log is held by every log. */
+    /** Whether the log contains an entry at this position. Every log contains the start position. */
     boolean contains(LogPosition position) {
         return position.indexEntries() <= entries.size()
                 && positionAt((int) position.indexEntries()).equals(position);
     }
 
-    /** Adds the next entry. Fails with INVALID_POSITION when it does not follow the last one. */
+    /** Appends an entry. Fails with INVALID_POSITION if the entry does not directly follow the last one. */
     void append(LogEntry entry) {
         LogPosition position = Envelopes.position(entry.getPosition());
         if (position.indexEntries() != entries.size() + 1L
@@ -52,13 +52,13 @@
         }
     }
 
-    /** Removes every entry behind an index and returns them. */
+    /** Removes and returns all entries after an index. */
     List<LogEntry> truncate(int lastIndex) {
         List<LogEntry> tail = entries.subList(lastIndex, entries.size());
-        List<LogEntry> cut = List.copyOf(tail);
-        cut.forEach(entry -> indexByKey.remove(entry.getIdempotencyKey()));
+        List<LogEntry> removed = List.copyOf(tail);
+        removed.forEach(entry -> indexByKey.remove(entry.getIdempotencyKey()));
         tail.clear();
-        return cut;
+        return removed;
     }
 
     /** The entry with an idempotency key. */
@@ -66,7 +66,7 @@
         return Optional.ofNullable(indexByKey.get(key)).map(index -> entries.get(index - 1));
     }
 
-    /** Up to {@code maxEntries} entries behind an index. */
+    /** Up to {@code maxEntries} entries after an index. */
     List<LogEntry> entriesAfter(int index, int maxEntries) {
         return List.copyOf(entries.subList(index, Math.min(entries.size(), index + maxEntries)));
     }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseMetadata.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseMetadata.java
@@ -1,23 +1,26 @@
 package org.hornbeamspread.emulator;
 
 /**
- * What a database must not forget besides its log.
+ * State that a database persists in addition to its log.
  *
- * @param incarnation raised at each start
- * @param term the highest term it was fenced, promoted or told to follow at
- * @param followedTerm the last term whose log it accepted
- * @param fencedTerm the term it was fenced at and may be promoted at; 0 when none
- * @param trusted false from a lost disk until it is readmitted
+ * @param incarnation incremented at each start
+ * @param term the highest term at which the database was fenced, promoted or ordered to follow
+ * @param followedTerm the last term whose log the database accepted
+ * @param fencedTerm the term at which the database was fenced and may be promoted; 0 if none
+ * @param trusted false from the loss of the disk until the database is readmitted
  */
 record DatabaseMetadata(long incarnation, long term, long followedTerm, long fencedTerm, boolean trusted) {
-    /** Checks that terms are in order. */
+    /**
+     * Checks that the incarnation is not negative and that neither the followed nor the fenced term exceeds the term.
+     */
     DatabaseMetadata {
         if (incarnation < 0 || followedTerm > term || fencedTerm > term) {
-            throw new IllegalArgumentException("terms out of order");
+            throw new IllegalArgumentException(
+                    "negative incarnation, or a followed or fenced term above the current term");
         }
     }
 
-    /** The first start of a database. */
+    /** The metadata of a database at its first start. */
     static DatabaseMetadata initial(long incarnation, boolean trusted) {
         return new DatabaseMetadata(incarnation, 0, 0, 0, trusted);
     }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseServer.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseServer.java
@@ -33,8 +33,8 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * A stand-in database behind a listening endpoint. Network threads only hand requests to the decision thread, which
- * owns the state, the slots and the subscriptions.
+ * An emulated database that serves requests on an endpoint. Network threads only enqueue requests for the decision
+ * thread, which owns the state, the slots and the subscriptions.
  */
 final class DatabaseServer implements PeerHandler, AutoCloseable {
     private static final Logger LOG = System.getLogger(DatabaseServer.class.getName());
@@ -56,7 +56,7 @@
     private final Endpoint endpoint;
     private boolean departing;
 
-    /** Listens and announces. Fails with CONNECTION_REFUSED when the endpoint can't be bound. */
+    /** Starts listening and announcing. Fails with CONNECTION_REFUSED if the endpoint can't be bound. */
     DatabaseServer(DatabaseSettings settings, DatabaseState state, PeerTransport transport) {
         this.settings = settings;
         this.state = state;
@@ -74,22 +74,22 @@
         eventLoop.submit(() -> settings.announceTo().forEach(announcer::addEndpoint));
     }
 
-    /** Where it listens. */
+    /** The endpoint on which the server listens, with the bound port. */
     Endpoint endpoint() {
         return endpoint;
     }
 
-    /** Announces the departure. Completes when no connection is left, after five seconds at most. */
+    /** Announces the departure. Completes when no connection is left, or after five seconds. */
     CompletableFuture<Void> depart() {
-        CompletableFuture<Void> empty = new CompletableFuture<>();
+        CompletableFuture<Void> drained = new CompletableFuture<>();
         eventLoop.submit(() -> {
             departing = true;
             LOG.log(Level.INFO, "database {0} is departing", settings.databaseId());
             announcer.announceNow();
             subscribers.schedulePush();
-            eventLoop.schedule(DEPARTURE_CHECK_INTERVAL, () -> completeWhenDrained(empty));
+            eventLoop.schedule(DEPARTURE_CHECK_INTERVAL, () -> completeWhenDrained(drained));
         });
-        return empty.completeOnTimeout(null, DEPARTURE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+        return drained.completeOnTimeout(null, DEPARTURE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     @Override
@@ -122,8 +122,8 @@
             }
         };
         if (!eventLoop.offer(task)) {
-            answer.accept(Envelopes.failureEnvelope(
-                    new FailureException(FailureType.RING_FULL, "requests of " + settings.databaseId())));
+            answer.accept(Envelopes.failureEnvelope(new FailureException(
+                    FailureType.RING_FULL, "request queue is full, database " + settings.databaseId())));
         }
     }
 
@@ -154,13 +154,14 @@
         }));
     }
 
-    private void handleInOrder(ClientSession session, Envelope request, Consumer<Envelope> answer, Runnable done) {
+    private void handleInOrder(
+            ClientSession session, Envelope request, Consumer<Envelope> answer, Runnable onComplete) {
         if (session.isClosed()) {
-            done.run();
+            onComplete.run();
             return;
         }
         if (request.hasExecuteStatements()) {
-            statements.execute(session, request.getExecuteStatements(), answer, done);
+            statements.execute(session, request.getExecuteStatements(), answer, onComplete);
             return;
         }
         answer.accept(StatementService.resultOrFailure(() -> switch (request.getBodyCase()) {
@@ -168,7 +169,7 @@
             case COMMIT_TRANSACTION -> statements.commit(session, request.getCommitTransaction());
             default -> statements.rollback(session);
         }));
-        done.run();
+        onComplete.run();
     }
 
     private static String idempotencyKey(Envelope request) {
@@ -208,11 +209,11 @@
             state.follow(request.getTerm());
             handleRoleChange("replica of " + request.getPrimaryId());
         }
-        Consumer<Integer> once = new OneShotCallback(setAside -> answer.accept(Envelope.newBuilder()
+        Consumer<Integer> respondOnce = new OneShotCallback(setAside -> answer.accept(Envelope.newBuilder()
                 .setFollowing(Following.newBuilder().setReport(report()).setEntriesSetAside(setAside))
                 .build()));
-        follower.follow(request, once);
-        eventLoop.schedule(FOLLOW_ANSWER_TIMEOUT, () -> once.accept(0));
+        follower.follow(request, respondOnce);
+        eventLoop.schedule(FOLLOW_ANSWER_TIMEOUT, () -> respondOnce.accept(0));
     }
 
     private Envelope readmit(Readmit request) {
@@ -229,12 +230,12 @@
             answer.accept(Envelope.newBuilder().setLogRead(read).build());
             return;
         }
-        Consumer<Integer> again = new OneShotCallback(ignored -> answer.accept(StatementService.resultOrFailure(
+        Consumer<Integer> pendingRead = new OneShotCallback(ignored -> answer.accept(StatementService.resultOrFailure(
                 () -> Envelope.newBuilder().setLogRead(state.readLog(request)).build())));
-        pendingReads.add(again);
+        pendingReads.add(pendingRead);
         eventLoop.schedule(Duration.ofMillis(request.getWaitMs()), () -> {
-            pendingReads.remove(again);
-            again.accept(0);
+            pendingReads.remove(pendingRead);
+            pendingRead.accept(0);
         });
     }
 
@@ -255,11 +256,11 @@
         handleStateChange();
     }
 
-    private void completeWhenDrained(CompletableFuture<Void> empty) {
+    private void completeWhenDrained(CompletableFuture<Void> drained) {
         if (statements.connections() == 0) {
-            empty.complete(null);
+            drained.complete(null);
         } else {
-            eventLoop.schedule(DEPARTURE_CHECK_INTERVAL, () -> completeWhenDrained(empty));
+            eventLoop.schedule(DEPARTURE_CHECK_INTERVAL, () -> completeWhenDrained(drained));
         }
     }
 
@@ -292,7 +293,7 @@
         return (ClientSession) connection.attachment();
     }
 
-    /** Passes the first call on and ignores the others. */
+    /** Forwards the first call and ignores all later calls. */
     private static final class OneShotCallback implements Consumer<Integer> {
         private final Consumer<Integer> target;
         private boolean called;
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseSettings.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseSettings.java
@@ -7,20 +7,20 @@
 import org.hornbeamspread.protocol.schema.Endpoint;
 
 /**
- * The settings of one stand-in database.
+ * The settings of one emulated database.
  *
- * @param databaseId its name
- * @param group the database group it belongs to
- * @param endpoint where it listens
- * @param failureDomain the failure domain it runs in
- * @param region the region it runs in
- * @param announceTo the endpoints it announces itself to
- * @param slots how many statements run at once
- * @param connectionLimit how many connections may be open
- * @param connectTimeMs how long a new connection takes
- * @param statementMs how long a statement holds its slot
- * @param replicationLagMs how long a replica holds entries before it applies them
- * @param clusterId the system that it announces itself to
+ * @param databaseId name of the database
+ * @param group the database group to which the database belongs
+ * @param endpoint the endpoint on which the database listens
+ * @param failureDomain the failure domain of the database
+ * @param region the region of the database
+ * @param announceTo the control endpoints to which the database announces itself
+ * @param slots maximum number of concurrently running statements
+ * @param connectionLimit maximum number of open connections
+ * @param connectTimeMs time to establish a connection
+ * @param statementMs time for which a statement holds its slot
+ * @param replicationLagMs delay after which a replica appends received entries
+ * @param clusterId the cluster to which the database announces itself
  */
 record DatabaseSettings(
         String databaseId,
@@ -35,14 +35,16 @@
         long statementMs,
         long replicationLagMs,
         String clusterId) {
-    /** Checks every setting. Fails with INVALID_SETTING. */
+    /** Validates every setting. Fails with INVALID_SETTING. */
     DatabaseSettings {
         announceTo = List.copyOf(announceTo);
         firstInvalidSetting(databaseId, group, slots, connectionLimit).ifPresent(detail -> {
             throw new FailureException(FailureType.INVALID_SETTING, detail);
         });
         if (connectTimeMs < 0 || statementMs < 0 || replicationLagMs < 0) {
-            throw new FailureException(FailureType.INVALID_SETTING, "a time must not be negative");
+            throw new FailureException(
+                    FailureType.INVALID_SETTING,
+                    "--connect-time-ms, --statement-ms and --replication-lag-ms must not be negative");
         }
     }
 
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseState.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseState.java
@@ -14,16 +14,16 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * The log, rows, terms and role of one database; no threads and no sockets.
+ * The log, rows, terms and role of one database, without threads or sockets.
  *
- * <p>Terms order the primaries of a group. A fence raises the database's term: from then on it takes neither writes nor
- * entries of a lower term, so a replaced primary can't gather another holder here. Only a database that is fenced at
- * exactly a term can be promoted at it, and it starts its reign with a marker entry of the term. A replica accepts a
- * primary's log in two steps: it finds the last place where both logs agree, sets its own entries behind that place
- * aside, and only then counts as having followed the term. Entries of different terms never share a position, so two
- * logs that agree at one position agree on everything before it.
+ * <p>Terms order the primaries of a group. A fence raises the database's term: after the fence the database accepts
+ * neither writes nor entries of a lower term, so a replaced primary can't store further entries in it. A database can
+ * be promoted only at exactly the term of its fence, and its first entry as primary is a marker entry of the term. A
+ * replica accepts a primary's log in two steps: the last position at which both logs agree is determined, and the
+ * replica's own entries after that position are set aside. Only after that does the term count as followed. Entries of
+ * different terms never share a position, so two logs that agree at one position agree on everything before it.
  *
- * <p>Terms, fences and trust are on disk before the method that changes them returns.
+ * <p>Terms, fences and the trusted flag are on disk before the method that changes them returns.
  */
 final class DatabaseState {
     private final DatabaseDisk disk;
@@ -33,10 +33,10 @@
     private DatabaseMetadata metadata;
     private boolean primary;
 
-    /** The marker entry of this database's own reign; NONE unless it is a primary. */
+    /** The position of the marker entry with which this database became primary; NONE unless it is the primary. */
     private LogPosition marker = LogPosition.NONE;
 
-    /** Entries with writes that were applied to the rows. */
+    /** Number of entries with writes that were applied to the rows. */
     private long appliedWrites;
 
     /** Rebuilds the rows from the recovered log. */
@@ -61,17 +61,19 @@
         return log.lastPosition();
     }
 
-    /** The position of an entry by index. */
+    /** The position of the entry at an index, or of the last entry if the log is shorter. */
     LogPosition positionAt(long index) {
         return log.positionAt((int) Math.min(index, log.size()));
     }
 
-    /** The committed rows, for reads. */
+    /** The committed rows. */
     Rows rows() {
         return rows;
     }
 
-    /** Raises the term and stops writes and entries of lower terms. Fails with WRONG_TERM unless the term is higher. */
+    /**
+     * Raises the term and rejects writes and entries of lower terms. Fails with WRONG_TERM unless the term is higher.
+     */
     void fence(long term) {
         if (term <= metadata.term()) {
             throw wrongTerm(term);
@@ -80,7 +82,10 @@
         demote();
     }
 
-    /** Becomes primary and writes the marker; again at the same term returns it. Fails with WRONG_TERM. */
+    /**
+     * Becomes primary and writes the marker entry. A repeated call at the same term returns the existing marker. Fails
+     * with WRONG_TERM unless the database is trusted and fenced at exactly this term.
+     */
     LogPosition promote(long term) {
         if (primary && term == metadata.term()) {
             return marker;
@@ -100,7 +105,9 @@
         return marker;
     }
 
-    /** Becomes a replica at a term. Fails with WRONG_TERM at a lower term, or as the primary of this one. */
+    /**
+     * Becomes a replica at a term. Fails with WRONG_TERM if the term is lower, or if this is the primary of the term.
+     */
     void follow(long term) {
         if (term < metadata.term() || term == 0 || (primary && term == metadata.term())) {
             throw wrongTerm(term);
@@ -110,26 +117,27 @@
     }
 
     /**
-     * Accepts the log of the term's primary, which agrees with this one up to {@code match}. Returns the entries behind
-     * it, which are set aside. Fails with WRONG_TERM when the term is not this database's.
+     * Accepts the log of the term's primary, which agrees with this log up to {@code agreedPosition}. Removes the
+     * entries after that position from the log, sets them aside and returns them. Fails with WRONG_TERM unless the
+     * database is a replica at the term.
      */
-    List<LogEntry> acceptLog(long term, LogPosition match) {
+    List<LogEntry> acceptLog(long term, LogPosition agreedPosition) {
         if (term != metadata.term() || primary) {
             throw wrongTerm(term);
         }
-        List<LogEntry> cut = List.of();
-        if (match.indexEntries() < log.size()) {
-            cut = log.truncate((int) match.indexEntries());
-            disk.truncateLog(log.size(), cut);
+        List<LogEntry> removed = List.of();
+        if (agreedPosition.indexEntries() < log.size()) {
+            removed = log.truncate((int) agreedPosition.indexEntries());
+            disk.truncateLog(log.size(), removed);
             rebuildRows();
         }
         if (metadata.followedTerm() != term) {
             save(metadata.accepted());
         }
-        return cut;
+        return removed;
     }
 
-    /** Appends entries of the primary's log, once it is accepted. Fails with WRONG_TERM or INVALID_POSITION. */
+    /** Appends entries of the primary's log after the log was accepted. Fails with WRONG_TERM or INVALID_POSITION. */
     void append(long term, List<LogEntry> entries) {
         if (term != metadata.term() || term != metadata.followedTerm() || primary) {
             throw wrongTerm(term);
@@ -138,7 +146,10 @@
         entries.forEach(this::apply);
     }
 
-    /** Trusts a database whose disk was lost, once it follows the term. Fails with WRONG_TERM. */
+    /**
+     * Marks a database that lost its disk as trusted again. Fails with WRONG_TERM if the term's log is not accepted yet
+     * or the incarnation differs.
+     */
     void readmit(long term, long incarnation) {
         boolean caughtUp = term == metadata.term() && term == metadata.followedTerm();
         if (!caughtUp || incarnation != metadata.incarnation()) {
@@ -147,7 +158,7 @@
         save(metadata.readmitted());
     }
 
-    /** Fails with WRONG_TERM or NOT_PRIMARY when a write of this term can't run here. */
+    /** Fails with WRONG_TERM or NOT_PRIMARY if this database can't execute a write of the term. */
     void checkWritable(long term) {
         if (term != metadata.term() || term == 0) {
             throw wrongTerm(term);
@@ -157,7 +168,7 @@
         }
     }
 
-    /** The outcome of an earlier commit with this key. */
+    /** The outcome of an earlier commit with this idempotency key. */
     Optional<CommitOutcome> findCommit(String idempotencyKey) {
         if (idempotencyKey.isEmpty()) {
             return Optional.empty();
@@ -167,17 +178,17 @@
     }
 
     /**
-     * Commits a transaction, or returns the first outcome when the key is in the log. Fails with WRONG_TERM,
-     * NOT_PRIMARY, INVALID_STATEMENT or STATEMENT_CONFLICT; nothing has changed then.
+     * Commits a transaction, or returns the first outcome if the key is already in the log. Fails with WRONG_TERM,
+     * NOT_PRIMARY, INVALID_STATEMENT or STATEMENT_CONFLICT, and changes nothing in that case.
      */
     CommitOutcome commit(DatabaseTransaction transaction, String idempotencyKey) {
         if (transaction.readOnly()) {
             return new CommitOutcome(transaction.results(), log.lastPosition(), false);
         }
         checkWritable(transaction.term());
-        Optional<CommitOutcome> earlier = findCommit(idempotencyKey);
-        if (earlier.isPresent()) {
-            return earlier.get();
+        Optional<CommitOutcome> previousOutcome = findCommit(idempotencyKey);
+        if (previousOutcome.isPresent()) {
+            return previousOutcome.get();
         }
         List<Statement> writes = transaction.writes();
         if (writes.isEmpty() && idempotencyKey.isEmpty()) {
@@ -195,23 +206,23 @@
         return new CommitOutcome(transaction.results(), log.lastPosition(), false);
     }
 
-    /** Answers a replica of this term. Fails with WRONG_TERM or NOT_PRIMARY. */
+    /** Serves a log read of a replica at this term. Fails with WRONG_TERM or NOT_PRIMARY. */
     LogRead readLog(ReadLog request) {
         checkWritable(request.getTerm());
         LogPosition after = Envelopes.position(request.getAfter());
-        LogRead.Builder answer = LogRead.newBuilder()
+        LogRead.Builder response = LogRead.newBuilder()
                 .setTerm(metadata.term())
                 .setPrimaryPosition(Envelopes.position(log.lastPosition()))
                 .setMatches(log.contains(after));
-        if (answer.getMatches()) {
-            answer.addAllEntries(log.entriesAfter((int) after.indexEntries(), request.getMaxEntries()));
+        if (response.getMatches()) {
+            response.addAllEntries(log.entriesAfter((int) after.indexEntries(), request.getMaxEntries()));
         } else {
-            answer.setMatchingIndex(log.lastIndexWithTermAtMost(after.term(), after.indexEntries()));
+            response.setMatchingIndex(log.lastIndexWithTermAtMost(after.term(), after.indexEntries()));
         }
-        return answer.build();
+        return response.build();
     }
 
-    /** The part of the report that this state knows. */
+    /** A position report with the fields that this state provides. */
     PositionReport.Builder report() {
         PositionReport.Builder report = PositionReport.newBuilder()
                 .setIncarnation(metadata.incarnation())
@@ -255,14 +266,15 @@
         marker = LogPosition.NONE;
     }
 
-    private void save(DatabaseMetadata changed) {
-        disk.save(changed);
-        metadata = changed;
+    private void save(DatabaseMetadata newMetadata) {
+        disk.save(newMetadata);
+        metadata = newMetadata;
     }
 
     private FailureException wrongTerm(long term) {
         return new FailureException(
-                FailureType.WRONG_TERM, "asked at " + term + ", here " + metadata.term() + " " + role());
+                FailureType.WRONG_TERM,
+                "request at term " + term + ", database at term " + metadata.term() + " " + role());
     }
 
     private String role() {
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseTransaction.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseTransaction.java
@@ -8,9 +8,9 @@
 import org.hornbeamspread.protocol.schema.StatementResult;
 
 /**
- * The writes of one transaction, buffered until it commits. Its own reads see them. At commit the write statements run
- * once more on the rows of that moment, so that a {@code row.add} adds to the latest value and a {@code row.insert}
- * finds a row that was committed meanwhile.
+ * A transaction whose writes are buffered until commit and visible to its own reads. At commit the write statements are
+ * executed again on the rows committed by then, so that a {@code row.add} adds to the latest value and a
+ * {@code row.insert} detects a row that was committed in the meantime.
  */
 final class DatabaseTransaction {
     private final long term;
@@ -19,7 +19,7 @@
     private final List<Statement> writes = new ArrayList<>();
     private final List<StatementResult> results = new ArrayList<>();
 
-    /** The key that came with a statement; empty when none did. */
+    /** The idempotency key for the commit; empty if no request has set one. */
     private String idempotencyKey = "";
 
     DatabaseTransaction(long term, boolean readOnly, Rows committed) {
@@ -28,35 +28,36 @@
         this.rows = new RowOverlay(committed);
     }
 
-    /** Runs statements, all or none. Fails with INVALID_STATEMENT or STATEMENT_CONFLICT. */
+    /** Executes all statements or none. Fails with INVALID_STATEMENT or STATEMENT_CONFLICT. */
     List<StatementResult> run(List<Statement> statements) {
-        RowOverlay attempt = new RowOverlay(rows);
+        RowOverlay overlay = new RowOverlay(rows);
         List<Statement> newWrites =
                 statements.stream().filter(StatementRunner::isWrite).toList();
         if (readOnly && !newWrites.isEmpty()) {
-            throw new FailureException(FailureType.INVALID_STATEMENT, "a write in a read-only transaction");
+            throw new FailureException(FailureType.INVALID_STATEMENT, "write statement in a read-only transaction");
         }
-        List<StatementResult> newResults = StatementRunner.runAll(attempt, statements);
-        attempt.flush();
+        List<StatementResult> newResults = StatementRunner.runAll(overlay, statements);
+        overlay.flush();
         writes.addAll(newWrites);
         results.addAll(newResults);
         return newResults;
     }
 
-    /** Keeps the key that came with a statement, for the commit. Fails with INVALID_REQUEST when there is another. */
+    /** Sets the idempotency key for the commit. Fails with INVALID_REQUEST if a different key is already set. */
     void setIdempotencyKey(String key) {
         if (!idempotencyKey.isEmpty() && !idempotencyKey.equals(key)) {
-            throw new FailureException(FailureType.INVALID_REQUEST, "a second idempotency key in one transaction");
+            throw new FailureException(
+                    FailureType.INVALID_REQUEST, "the transaction already has a different idempotency key");
         }
         idempotencyKey = key;
     }
 
-    /** The key that came with a statement; empty when none did. */
+    /** The idempotency key for the commit; empty if no request has set one. */
     String idempotencyKey() {
         return idempotencyKey;
     }
 
-    /** The term that the sender began it at. */
+    /** The term of the request that began the transaction. */
     long term() {
         return term;
     }
@@ -65,12 +66,12 @@
         return readOnly;
     }
 
-    /** The write statements so far. */
+    /** All write statements executed so far. */
     List<Statement> writes() {
         return List.copyOf(writes);
     }
 
-    /** The results of every statement so far. */
+    /** The results of all statements executed so far. */
     List<StatementResult> results() {
         return List.copyOf(results);
     }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/DirectedLink.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DirectedLink.java
@@ -2,7 +2,9 @@
 
 import java.time.Duration;
 
-/** One direction between two failure domains: latency, bandwidth, a cut, and a count of bytes. One thread only. */
+/**
+ * The emulated link from one failure domain to another: latency, bandwidth, cut state and byte count. Not thread-safe.
+ */
 final class DirectedLink {
     private static final long NS_PER_MS = Duration.ofMillis(1).toNanos();
 
@@ -28,13 +30,13 @@
         return interRegion;
     }
 
-    /** Counts a chunk and returns when it arrives, unless the lane is cut by then. */
+    /** Counts the bytes of a chunk and returns its arrival time; the arrival is delayed while the link is cut. */
     long scheduleArrival(int chunkBytes, long nowNs) {
         bytes += chunkBytes;
         return bandwidth.reserve(chunkBytes, nowNs) + latencyNs;
     }
 
-    /** Payload bytes that entered the lane. */
+    /** Payload bytes sent over the link. */
     long bytes() {
         return bytes;
     }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/EmulatorMain.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/EmulatorMain.java
@@ -8,14 +8,14 @@
 import org.hornbeamspread.runtime.CommandLine;
 import org.hornbeamspread.runtime.MonotonicClock;
 
-/** The emulator: stand-in databases, and links between failure domains. */
+/** Entry point of the emulator, which runs an emulated database or emulated links between failure domains. */
 public final class EmulatorMain {
     private static final Logger LOG = System.getLogger(EmulatorMain.class.getName());
     private static final String BINARY = "hornbeamspread-emulator";
 
     private EmulatorMain() {}
 
-    /** Runs until SIGTERM. Exits with 2 when a setting is refused. */
+    /** Runs until SIGTERM. Exits with status 2 if a setting is invalid, and with 1 on any other failure at startup. */
     public static void main(String[] arguments) throws InterruptedException {
         EmulatorOptions options = new EmulatorOptions();
         if (CommandLine.answered(BINARY, options, System.out, arguments)) {
@@ -36,17 +36,17 @@
             case "database" -> startDatabase(options);
             case "link" -> {
                 LinkLauncher.start(options);
-                LOG.log(Level.INFO, "links of {0} listen", options.linkFile);
+                LOG.log(Level.INFO, "links of {0} are listening", options.linkFile);
             }
             default -> throw new FailureException(FailureType.INVALID_SETTING, "--mode must be database or link");
         }
     }
 
-    // A stand-in database has no web server whose shutdown could carry its departure.
+    // An emulated database has no web server whose shutdown callback could announce the departure.
     @SuppressWarnings("ShutdownHook")
     private static void startDatabase(EmulatorOptions options) {
         DatabaseServer server = DatabaseLauncher.start(options, new MonotonicClock());
-        LOG.log(Level.INFO, "database {0} listens", options.databaseId);
+        LOG.log(Level.INFO, "database {0} is listening", options.databaseId);
         Runtime.getRuntime()
                 .addShutdownHook(new Thread(
                         () -> {
--- a/emulator/src/main/java/org/hornbeamspread/emulator/EventLoop.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/EventLoop.java
@@ -6,7 +6,9 @@
 import java.util.concurrent.TimeUnit;
 import org.hornbeamspread.runtime.DutyThread;
 
-/** The decision thread of a database, and the timer thread that feeds it. Its tasks run one at a time. */
+/**
+ * The decision thread of a database, which executes tasks sequentially, and a timer thread that submits delayed tasks.
+ */
 final class EventLoop implements AutoCloseable {
     private static final int QUEUE_CAPACITY = 16_384;
     private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
@@ -26,22 +28,24 @@
         decisionThread.start();
     }
 
-    /** Hands a task over; false when the ring is full. Any thread. */
+    /** Enqueues a task; returns false if the queue is full. Safe for any thread. */
     boolean offer(Runnable task) {
         return decisionThread.offer(task);
     }
 
-    /** Hands over a task that must not be lost; it is offered again while the ring is full. Any thread. */
+    /**
+     * Enqueues a task that must not be lost; retries every millisecond while the queue is full. Safe for any thread.
+     */
     void submit(Runnable task) {
         if (!decisionThread.offer(task)) {
             schedule(Duration.ofMillis(1), task);
         }
     }
 
-    /** Hands a task over after a pause. Any thread. */
-    void schedule(Duration pause, Runnable task) {
+    /** Enqueues a task after a delay. Safe for any thread. */
+    void schedule(Duration delay, Runnable task) {
         if (!timers.isShutdown()) {
-            timers.schedule(() -> submit(task), pause.toNanos(), TimeUnit.NANOSECONDS);
+            timers.schedule(() -> submit(task), delay.toNanos(), TimeUnit.NANOSECONDS);
         }
     }
 
--- a/emulator/src/main/java/org/hornbeamspread/emulator/FileDatabaseDisk.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/FileDatabaseDisk.java
@@ -16,8 +16,9 @@
 import org.hornbeamspread.protocol.schema.LogEntry;
 
 /**
- * A database's files under one folder: {@code log}, {@code metadata} and {@code set-aside}. A log record is the length
- * of its entry, a CRC32C of the entry, and the entry. A torn or damaged tail is cut off when the log is read.
+ * Stores a database in one directory, in the files {@code log}, {@code metadata} and {@code set-aside}. A log record
+ * consists of the length of the entry, a CRC32C of the entry, and the entry. Recovery truncates the log at the first
+ * torn or corrupted record.
  */
 final class FileDatabaseDisk implements DatabaseDisk {
     private static final int HEADER_BYTES = 2 * Integer.BYTES;
@@ -26,18 +27,18 @@
     private final Path directory;
     private final FileChannel log;
 
-    /** The end offset of each entry in the log file. */
+    /** The end offset of each log record in the log file. */
     private final List<Long> endOffsets = new ArrayList<>();
 
     private final List<LogEntry> recovered = new ArrayList<>();
 
-    /** Opens the folder, which is made when it is missing, and reads the log. Fails with DISK_FAILED. */
-    FileDatabaseDisk(Path folder) {
-        this.directory = folder;
+    /** Opens the directory, creating it if missing, and recovers the log. Fails with DISK_FAILED. */
+    FileDatabaseDisk(Path directory) {
+        this.directory = directory;
         try {
-            Files.createDirectories(folder);
+            Files.createDirectories(directory);
             this.log = FileChannel.open(
-                    folder.resolve("log"),
+                    directory.resolve("log"),
                     StandardOpenOption.CREATE,
                     StandardOpenOption.READ,
                     StandardOpenOption.WRITE);
@@ -47,12 +48,12 @@
         }
     }
 
-    /** The entries that were in the log when it was opened. */
+    /** The valid entries that the log contained when it was opened. */
     List<LogEntry> recoveredEntries() {
         return List.copyOf(recovered);
     }
 
-    /** The saved metadata; empty when there is none. Fails with DISK_FAILED, or LOG_CORRUPTED. */
+    /** The saved metadata; empty if none was saved. Fails with DISK_FAILED or LOG_CORRUPTED. */
     Optional<DatabaseMetadata> readMetadata() {
         Path file = directory.resolve("metadata");
         if (!Files.exists(file)) {
@@ -62,7 +63,8 @@
             ByteBuffer bytes = ByteBuffer.wrap(Files.readAllBytes(file));
             if (bytes.remaining() != METADATA_BYTES + Integer.BYTES
                     || bytes.getInt(METADATA_BYTES) != checksum(bytes.slice(0, METADATA_BYTES))) {
-                throw new FailureException(FailureType.LOG_CORRUPTED, file.getFileName() + " has a wrong checksum");
+                throw new FailureException(
+                        FailureType.LOG_CORRUPTED, file.getFileName() + " has a wrong length or checksum");
             }
             return Optional.of(new DatabaseMetadata(
                     bytes.getLong(), bytes.getLong(), bytes.getLong(), bytes.getLong(), bytes.get() != 0));
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LinkConfiguration.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LinkConfiguration.java
@@ -5,19 +5,19 @@
 import java.util.Map;
 
 /**
- * What a link file says.
+ * The parsed content of a link file.
  *
  * @param routes the forwarded endpoints
  * @param regions the region of each failure domain
  * @param latencyMs one-way latency by ordered pair of failure domains, in milliseconds
- * @param bandwidthBytesPerSecond bandwidth by ordered pair of regions, shared by all its links
+ * @param bandwidthBytesPerSecond bandwidth by ordered pair of regions, shared by all links of the pair
  */
 record LinkConfiguration(
         List<LinkRoute> routes,
         Map<String, String> regions,
         Map<OrderedPair, Double> latencyMs,
         Map<OrderedPair, Double> bandwidthBytesPerSecond) {
-    /** Copies its parts. */
+    /** Copies the collections. */
     LinkConfiguration {
         routes = List.copyOf(routes);
         regions = Map.copyOf(regions);
@@ -25,16 +25,18 @@
         bandwidthBytesPerSecond = Map.copyOf(bandwidthBytesPerSecond);
     }
 
-    /** The lanes between every two failure domains; lanes of the same ordered pair of regions share their bandwidth. */
+    /**
+     * Links for all ordered pairs of failure domains; links of the same ordered pair of regions share their bandwidth.
+     */
     Map<OrderedPair, DirectedLink> directedLinks() {
         Map<OrderedPair, SharedBandwidth> shared = new HashMap<>();
         bandwidthBytesPerSecond.forEach((pair, rate) -> shared.put(pair, SharedBandwidth.withRate(rate)));
-        Map<OrderedPair, DirectedLink> lanes = new HashMap<>();
+        Map<OrderedPair, DirectedLink> links = new HashMap<>();
         for (String from : regions.keySet()) {
             for (String to : regions.keySet()) {
                 OrderedPair pair = new OrderedPair(from, to);
                 OrderedPair regionPair = new OrderedPair(regions.get(from), regions.get(to));
-                lanes.put(
+                links.put(
                         pair,
                         new DirectedLink(
                                 pair,
@@ -43,14 +45,14 @@
                                 shared.getOrDefault(regionPair, SharedBandwidth.unlimited())));
             }
         }
-        return lanes;
+        return links;
     }
 
     /**
      * An ordered pair of failure domains, or of regions.
      *
-     * @param from where bytes leave
-     * @param to where they arrive
+     * @param from the sending side
+     * @param to the receiving side
      */
     record OrderedPair(String from, String to) {}
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LinkConnection.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LinkConnection.java
@@ -18,9 +18,9 @@
 import org.hornbeamspread.protocol.schema.Endpoint;
 
 /**
- * One forwarded connection. Opening it, its bytes and its close travel through the same queue, so all of them wait
- * while the lane is cut. The caller's first bytes leave when the opening has travelled there and back, as after TCP's
- * handshake. Runs on the accepted channel's event loop.
+ * One forwarded connection. The open, data and close segments pass through the same queue, so all of them are delayed
+ * while the link is cut. The caller's first bytes are forwarded after the open segment has made one round trip, as
+ * after the TCP handshake. Runs on the accepted channel's event loop.
  */
 final class LinkConnection {
     private static final long MAX_QUEUED_BYTES = 256 << 10;
@@ -30,14 +30,14 @@
     private final Direction forward;
     private final Direction backward;
 
-    LinkConnection(Channel caller, Endpoint target, DirectedLink forwardLane, DirectedLink backLane) {
+    LinkConnection(Channel caller, Endpoint target, DirectedLink forwardLink, DirectedLink backwardLink) {
         this.caller = caller;
         this.target = target;
-        this.forward = new Direction(forwardLane);
-        this.backward = new Direction(backLane);
+        this.forward = new Direction(forwardLink);
+        this.backward = new Direction(backwardLink);
     }
 
-    /** Starts to forward; the caller's channel must not read by itself yet. */
+    /** Starts forwarding. Auto-read of the caller's channel must still be off. */
     void start() {
         backward.sink = caller;
         backward.established = true;
@@ -46,13 +46,13 @@
         forward.send(Segment.open());
     }
 
-    /** Delivers what may arrive now, as after a lane is healed. */
+    /** Delivers all segments that are due, for example after a link is healed. */
     void deliver() {
         forward.deliver();
         backward.deliver();
     }
 
-    /** Whether both ends are gone and nothing is under way. */
+    /** Whether both directions are closed and no segment is in flight. */
     boolean isFinished() {
         return forward.closed && backward.closed;
     }
@@ -68,10 +68,10 @@
                 .addListener((ChannelFutureListener) this::handleConnectResult);
     }
 
-    private void handleConnectResult(ChannelFuture opened) {
-        if (opened.isSuccess()) {
-            forward.sink = opened.channel();
-            backward.source = opened.channel();
+    private void handleConnectResult(ChannelFuture connectFuture) {
+        if (connectFuture.isSuccess()) {
+            forward.sink = connectFuture.channel();
+            backward.source = connectFuture.channel();
             backward.send(Segment.open());
         } else {
             backward.send(Segment.close());
@@ -79,7 +79,7 @@
         }
     }
 
-    /** What travels. */
+    /** The type of a segment. */
     private enum Kind {
         OPEN,
         DATA,
@@ -87,10 +87,10 @@
     }
 
     /**
-     * One thing under way.
+     * A segment sent in one direction.
      *
-     * @param kind what it is
-     * @param data its bytes; empty unless it is data
+     * @param kind the type of the segment
+     * @param data the payload; empty unless the kind is DATA
      */
     private record Segment(Kind kind, ByteBuf data) {
         static Segment open() {
@@ -102,28 +102,28 @@
         }
     }
 
-    /** One direction with its two sockets. */
+    /** One direction of the connection, with the source and sink sockets. */
     private final class Direction {
         private final LinkQueue<Segment> queue;
 
-        /** Where bytes come from; null until it is connected. */
+        /** The socket from which bytes are read; null until connected. */
         private Channel source;
 
-        /** Where bytes go; null until it is connected. */
+        /** The socket to which bytes are written; null until connected. */
         private Channel sink;
 
-        /** Whether the sink is connected and the source knows it. */
+        /** Whether the sink is connected and its open segment has reached the source. */
         private boolean established;
 
         private boolean deliveryScheduled;
         private boolean closed;
 
-        Direction(DirectedLink lane) {
-            this.queue = new LinkQueue<>(lane);
+        Direction(DirectedLink link) {
+            this.queue = new LinkQueue<>(link);
         }
 
-        void send(Segment parcel) {
-            queue.add(parcel, parcel.data().readableBytes(), System.nanoTime());
+        void send(Segment segment) {
+            queue.add(segment, segment.data().readableBytes(), System.nanoTime());
             updateAutoRead();
             deliver();
         }
@@ -165,10 +165,10 @@
             }
         }
 
-        private void handleArrival(Segment parcel) {
-            switch (parcel.kind()) {
+        private void handleArrival(Segment segment) {
+            switch (segment.kind()) {
                 case OPEN -> handleOpen();
-                case DATA -> sink.writeAndFlush(parcel.data());
+                case DATA -> sink.writeAndFlush(segment.data());
                 case CLOSE -> {
                     closed = true;
                     if (sink != null) {
@@ -179,12 +179,14 @@
         }
     }
 
-    /** Reads one socket into its way, and resumes the other way when the socket can take more. */
+    /**
+     * Forwards data read from one socket, and updates auto-read of the opposite direction when the writability changes.
+     */
     private final class SocketReader extends ChannelInboundHandlerAdapter {
         private final Direction direction;
 
-        SocketReader(Direction way) {
-            this.direction = way;
+        SocketReader(Direction direction) {
+            this.direction = direction;
         }
 
         @Override
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LinkFileParser.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LinkFileParser.java
@@ -12,7 +12,7 @@
 import org.hornbeamspread.transport.AddressTranslator;
 
 /**
- * Reads a link file. Its lines are, with # for comments:
+ * Parses a link file. Comments start with #. The lines are:
  *
  * <pre>
  * domain DOMAIN REGION
@@ -21,7 +21,8 @@
  * listen=HOST:PORT target=HOST:PORT from=DOMAIN to=DOMAIN
  * </pre>
  *
- * Latency and bandwidth hold for both directions; a direction's own latency line wins over the other's.
+ * Latency and bandwidth apply to both directions; a latency line for one direction takes precedence over a line for the
+ * opposite direction.
  */
 final class LinkFileParser {
     private static final double BYTES_PER_MEGABIT = 1_000_000 / 8.0;
@@ -34,46 +35,46 @@
 
     private LinkFileParser() {}
 
-    /** Fails with INVALID_SETTING, whose detail names the line. */
+    /** Parses the lines of a link file. Fails with INVALID_SETTING, with the invalid line in the detail. */
     static LinkConfiguration parse(List<String> lines) {
-        LinkFileParser file = new LinkFileParser();
+        LinkFileParser parser = new LinkFileParser();
         for (String line : lines) {
             String text = line.replaceFirst("#.*", "").trim();
             if (!text.isEmpty()) {
-                file.parseLine(text);
+                parser.parseLine(text);
             }
         }
-        for (LinkRoute route : file.routes) {
-            file.checkDomain(route.from());
-            file.checkDomain(route.to());
+        for (LinkRoute route : parser.routes) {
+            parser.checkDomain(route.from());
+            parser.checkDomain(route.to());
         }
-        file.reverseLatencyMs.forEach(file.latencyMs::putIfAbsent);
-        return new LinkConfiguration(file.routes, file.regions, file.latencyMs, file.bandwidthBytesPerSecond);
+        parser.reverseLatencyMs.forEach(parser.latencyMs::putIfAbsent);
+        return new LinkConfiguration(parser.routes, parser.regions, parser.latencyMs, parser.bandwidthBytesPerSecond);
     }
 
     private void parseLine(String line) {
-        String[] words = line.split("\\s+", -1);
-        if (words[0].equals("domain") && words.length == 3) {
-            regions.put(words[1], words[2]);
-        } else if (words[0].equals("latency") && words.length == 4) {
-            latencyMs.put(new OrderedPair(words[1], words[2]), parseNumber(words[3], line, 0));
-            reverseLatencyMs.put(new OrderedPair(words[2], words[1]), parseNumber(words[3], line, 0));
-        } else if (words[0].equals("bandwidth") && words.length == 4) {
-            double bytesPerSecond = parseNumber(words[3], line, Double.MIN_VALUE) * BYTES_PER_MEGABIT;
-            bandwidthBytesPerSecond.put(new OrderedPair(words[1], words[2]), bytesPerSecond);
-            bandwidthBytesPerSecond.put(new OrderedPair(words[2], words[1]), bytesPerSecond);
-        } else if (words[0].startsWith("listen=")) {
-            parseRoute(words, line);
+        String[] fields = line.split("\\s+", -1);
+        if (fields[0].equals("domain") && fields.length == 3) {
+            regions.put(fields[1], fields[2]);
+        } else if (fields[0].equals("latency") && fields.length == 4) {
+            latencyMs.put(new OrderedPair(fields[1], fields[2]), parseNumber(fields[3], line, 0));
+            reverseLatencyMs.put(new OrderedPair(fields[2], fields[1]), parseNumber(fields[3], line, 0));
+        } else if (fields[0].equals("bandwidth") && fields.length == 4) {
+            double bytesPerSecond = parseNumber(fields[3], line, Double.MIN_VALUE) * BYTES_PER_MEGABIT;
+            bandwidthBytesPerSecond.put(new OrderedPair(fields[1], fields[2]), bytesPerSecond);
+            bandwidthBytesPerSecond.put(new OrderedPair(fields[2], fields[1]), bytesPerSecond);
+        } else if (fields[0].startsWith("listen=")) {
+            parseRoute(fields, line);
         } else {
             throw invalidLine(line);
         }
     }
 
-    private void parseRoute(String[] words, String line) {
+    private void parseRoute(String[] fields, String line) {
         Map<String, String> values = new HashMap<>();
-        for (String word : words) {
-            String[] sides = word.split("=", 2);
-            values.put(sides[0], sides[sides.length - 1]);
+        for (String field : fields) {
+            String[] parts = field.split("=", 2);
+            values.put(parts[0], parts[parts.length - 1]);
         }
         if (!values.keySet().equals(Set.of("listen", "target", "from", "to"))) {
             throw invalidLine(line);
@@ -85,14 +86,14 @@
 
     private void checkDomain(String domain) {
         if (!regions.containsKey(domain)) {
-            throw invalidLine("no domain line for " + domain);
+            throw invalidLine("no domain line for failure domain " + domain);
         }
     }
 
-    private static double parseNumber(String word, String line, double least) {
+    private static double parseNumber(String text, String line, double minimum) {
         try {
-            double value = Double.parseDouble(word);
-            if (value >= least) {
+            double value = Double.parseDouble(text);
+            if (value >= minimum) {
                 return value;
             }
         } catch (NumberFormatException e) {
@@ -102,6 +103,6 @@
     }
 
     private static FailureException invalidLine(String line) {
-        return new FailureException(FailureType.INVALID_SETTING, "--link-file: " + line);
+        return new FailureException(FailureType.INVALID_SETTING, "--link-file, invalid line: " + line);
     }
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LinkLauncher.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LinkLauncher.java
@@ -13,21 +13,21 @@
 import org.hornbeamspread.protocol.schema.SetCutRequest;
 import org.hornbeamspread.transport.AddressTranslator;
 
-/** Starts the links from the emulator's flags. */
+/** Starts the emulated links from the command-line flags. */
 final class LinkLauncher {
     private LinkLauncher() {}
 
-    /** Reads the link file, listens on every route, and serves the links' control. */
+    /** Reads the link file, listens on every route, and serves the RPC methods that control the links. */
     static RpcServer start(EmulatorOptions options) {
-        LinkServer links = new LinkServer(LinkFileParser.parse(readLines(Path.of(options.linkFile))));
+        LinkServer server = new LinkServer(LinkFileParser.parse(readLines(Path.of(options.linkFile))));
         return new RpcServer(
                 AddressTranslator.parse(options.httpEndpoint),
                 List.of(
-                        RpcMethod.of("hornbeamspread.Links/SetCut", SetCutRequest.getDefaultInstance(), links::setCut),
+                        RpcMethod.of("hornbeamspread.Links/SetCut", SetCutRequest.getDefaultInstance(), server::setCut),
                         RpcMethod.of(
                                 "hornbeamspread.Links/GetLinkBytes",
                                 GetLinkBytesRequest.getDefaultInstance(),
-                                ignored -> links.getLinkBytes())),
+                                ignored -> server.getLinkBytes())),
                 () -> true,
                 new PrometheusRegistry());
     }
@@ -36,7 +36,7 @@
         try {
             return Files.readAllLines(file);
         } catch (IOException e) {
-            throw new FailureException(FailureType.INVALID_SETTING, "--link-file can't be read: " + e.getMessage());
+            throw new FailureException(FailureType.INVALID_SETTING, "cannot read --link-file: " + e.getMessage());
         }
     }
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LinkQueue.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LinkQueue.java
@@ -6,27 +6,27 @@
 import java.util.OptionalLong;
 
 /**
- * The chunks under way in one direction of one connection, in order. While the lane is cut nothing comes out; after it
- * is healed everything that was held comes out at once. One thread only.
+ * The chunks in flight in one direction of one connection, in order. No chunk is delivered while the link is cut; after
+ * the link is healed, all chunks that became due meanwhile are delivered at once. Not thread-safe.
  *
- * @param <T> a chunk
+ * @param <T> the type of a chunk
  */
 final class LinkQueue<T> {
     private final DirectedLink link;
     private final Deque<ChunkInFlight<T>> chunks = new ArrayDeque<>();
     private long queuedBytes;
 
-    LinkQueue(DirectedLink lane) {
-        this.link = lane;
+    LinkQueue(DirectedLink link) {
+        this.link = link;
     }
 
-    /** Sends a chunk. */
+    /** Adds a chunk and computes its arrival time. */
     void add(T chunk, int bytes, long nowNs) {
         chunks.add(new ChunkInFlight<>(chunk, bytes, link.scheduleArrival(bytes, nowNs)));
         queuedBytes += bytes;
     }
 
-    /** The next chunk that has arrived. */
+    /** Removes and returns the next chunk that has arrived; empty if there is none or the link is cut. */
     Optional<T> poll(long nowNs) {
         ChunkInFlight<T> head = chunks.peek();
         if (head == null || link.isCut() || head.arrivalNs() - nowNs > 0) {
@@ -37,7 +37,7 @@
         return Optional.of(head.chunk());
     }
 
-    /** How long until the next chunk arrives; empty when nothing is under way or the lane is cut. */
+    /** Time until the next chunk arrives; empty if no chunk is in flight or the link is cut. */
     OptionalLong nsUntilNextArrival(long nowNs) {
         ChunkInFlight<T> head = chunks.peek();
         return head == null || link.isCut()
@@ -45,17 +45,17 @@
                 : OptionalLong.of(Math.max(0, head.arrivalNs() - nowNs));
     }
 
-    /** Bytes under way. */
+    /** Bytes in flight. */
     long queuedBytes() {
         return queuedBytes;
     }
 
     /**
-     * A chunk and its arrival.
+     * A chunk and its arrival time.
      *
-     * @param chunk what was sent
-     * @param bytes its size
-     * @param dueNs when it arrives
+     * @param chunk the chunk sent
+     * @param bytes size of the chunk
+     * @param arrivalNs arrival time
      */
     private record ChunkInFlight<T>(T chunk, int bytes, long arrivalNs) {}
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LinkServer.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LinkServer.java
@@ -28,7 +28,10 @@
 import org.hornbeamspread.protocol.schema.SetCutResponse;
 import org.hornbeamspread.transport.AddressTranslator;
 
-/** Forwards every route of a plan with its lanes' latency, bandwidth and cuts. One event loop owns all lanes. */
+/**
+ * Forwards connections for every configured route, with the latency, bandwidth and cuts of the emulated links. A single
+ * event loop owns all links.
+ */
 final class LinkServer implements AutoCloseable {
     private static final String ANY_DOMAIN = "*";
 
@@ -38,26 +41,26 @@
     private final List<LinkConnection> connections = new ArrayList<>();
     private final List<Channel> listeners = new ArrayList<>();
 
-    /** Listens on every route. Fails with CONNECTION_REFUSED when one can't be bound. */
-    LinkServer(LinkConfiguration plan) {
-        this.configuration = plan;
-        this.links = plan.directedLinks();
-        plan.routes().forEach(route -> listeners.add(listen(route)));
+    /** Listens on every route. Fails with CONNECTION_REFUSED if an endpoint can't be bound. */
+    LinkServer(LinkConfiguration configuration) {
+        this.configuration = configuration;
+        this.links = configuration.directedLinks();
+        configuration.routes().forEach(route -> listeners.add(listen(route)));
     }
 
-    /** The port that a route of the plan listens on, by the route's place in the plan. */
+    /** The listening port of a route, by the index of the route in the configuration. */
     int port(int route) {
         return ((InetSocketAddress) listeners.get(route).localAddress()).getPort();
     }
 
-    /** Cuts or heals lanes. Fails with INVALID_REQUEST for an unknown failure domain. Any thread. */
+    /** Cuts or heals links. Fails with INVALID_REQUEST for an unknown failure domain. Safe for any thread. */
     CompletableFuture<SetCutResponse> setCut(SetCutRequest request) {
         checkDomain(request.getFrom());
         checkDomain(request.getTo());
         return CompletableFuture.supplyAsync(() -> applyCut(request), eventLoopGroup.next());
     }
 
-    /** The payload bytes that entered each lane. Any thread. */
+    /** The number of payload bytes sent over each link. Safe for any thread. */
     CompletableFuture<LinkBytes> getLinkBytes() {
         return CompletableFuture.supplyAsync(this::countBytes, eventLoopGroup.next());
     }
@@ -90,39 +93,40 @@
 
     private void accept(LinkRoute route, Channel caller) {
         DirectedLink forward = links.get(new OrderedPair(route.from(), route.to()));
-        DirectedLink back = links.get(new OrderedPair(route.to(), route.from()));
-        LinkConnection connection = new LinkConnection(caller, route.target(), forward, back);
+        DirectedLink backward = links.get(new OrderedPair(route.to(), route.from()));
+        LinkConnection connection = new LinkConnection(caller, route.target(), forward, backward);
         connections.removeIf(LinkConnection::isFinished);
         connections.add(connection);
         connection.start();
     }
 
     private SetCutResponse applyCut(SetCutRequest request) {
-        for (DirectedLink lane : links.values()) {
-            boolean named = matches(lane.pair(), request.getFrom(), request.getTo());
-            boolean reverse = request.getBothDirections() && matches(lane.pair(), request.getTo(), request.getFrom());
-            if (named || reverse) {
-                lane.setCut(request.getCut());
+        for (DirectedLink link : links.values()) {
+            boolean matchesRequest = matches(link.pair(), request.getFrom(), request.getTo());
+            boolean matchesReverse =
+                    request.getBothDirections() && matches(link.pair(), request.getTo(), request.getFrom());
+            if (matchesRequest || matchesReverse) {
+                link.setCut(request.getCut());
             }
         }
         connections.forEach(LinkConnection::deliver);
         SetCutResponse.Builder response = SetCutResponse.newBuilder();
         sortedLinks()
                 .filter(DirectedLink::isCut)
-                .forEach(lane -> response.addCuts(DomainPair.newBuilder()
-                        .setFrom(lane.pair().from())
-                        .setTo(lane.pair().to())));
+                .forEach(link -> response.addCuts(DomainPair.newBuilder()
+                        .setFrom(link.pair().from())
+                        .setTo(link.pair().to())));
         return response.build();
     }
 
     private LinkBytes countBytes() {
         LinkBytes.Builder counts = LinkBytes.newBuilder();
         sortedLinks()
-                .forEach(lane -> counts.addPairs(DomainPairBytes.newBuilder()
-                        .setFrom(lane.pair().from())
-                        .setTo(lane.pair().to())
-                        .setInterRegion(lane.interRegion())
-                        .setBytes(lane.bytes())));
+                .forEach(link -> counts.addPairs(DomainPairBytes.newBuilder()
+                        .setFrom(link.pair().from())
+                        .setTo(link.pair().to())
+                        .setInterRegion(link.interRegion())
+                        .setBytes(link.bytes())));
         return counts.setInterRegionBytes(links.values().stream()
                         .filter(DirectedLink::interRegion)
                         .mapToLong(DirectedLink::bytes)
@@ -132,21 +136,23 @@
 
     private Stream<DirectedLink> sortedLinks() {
         return links.values().stream()
-                .sorted(Comparator.comparing((DirectedLink lane) -> lane.pair().from())
-                        .thenComparing(lane -> lane.pair().to()));
+                .sorted(Comparator.comparing((DirectedLink link) -> link.pair().from())
+                        .thenComparing(link -> link.pair().to()));
     }
 
     private void checkDomain(String domain) {
         if (!ANY_DOMAIN.equals(domain) && !configuration.regions().containsKey(domain)) {
-            throw new FailureException(FailureType.INVALID_REQUEST, "no such failure domain: " + domain);
+            throw new FailureException(FailureType.INVALID_REQUEST, "unknown failure domain: " + domain);
         }
     }
 
-    /** A domain's links to itself are cut only by name: a cut from * leaves each domain whole. */
+    /**
+     * Whether a pair is selected. A failure domain's link to itself is selected only by name, never by the wildcard *.
+     */
     private static boolean matches(OrderedPair pair, String from, String to) {
-        boolean wide = ANY_DOMAIN.equals(from) || ANY_DOMAIN.equals(to);
+        boolean hasWildcard = ANY_DOMAIN.equals(from) || ANY_DOMAIN.equals(to);
         return (ANY_DOMAIN.equals(from) || pair.from().equals(from))
                 && (ANY_DOMAIN.equals(to) || pair.to().equals(to))
-                && !(wide && pair.from().equals(pair.to()));
+                && !(hasWildcard && pair.from().equals(pair.to()));
     }
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LogFollower.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LogFollower.java
@@ -15,9 +15,10 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * Pulls the primary's log into a replica. First it finds the last place where both logs agree; entries that come after
- * it are held for the replication lag and then appended. Each Follow starts a new epoch; whatever belongs to an earlier
- * one is dropped. Decision thread only.
+ * Replicates the primary's log to a replica by long polling. The follower first determines the last position at which
+ * both logs agree; entries after that position are delayed by the replication lag and then appended. Each Follow to
+ * another target, and each stop, starts a new epoch; responses and delayed entries of earlier epochs are discarded.
+ * Confined to the decision thread.
  */
 final class LogFollower {
     private static final int MAX_ENTRIES_PER_READ = 256;
@@ -35,10 +36,10 @@
     private boolean logAccepted;
     private int setAsideEntries;
 
-    /** Where the next request starts: the last entry that was received, perhaps not appended yet. */
+    /** Start position of the next request: the last entry received, which may not be appended yet. */
     private LogPosition lastReceived = LogPosition.NONE;
 
-    /** Called once, when the primary's log is accepted. */
+    /** Called once, after the primary's log is accepted, with the number of entries set aside. */
     private Consumer<Integer> onAccepted = ignored -> {};
 
     LogFollower(
@@ -54,12 +55,14 @@
         this.onChange = onChange;
     }
 
-    /** Whether it follows this primary at this term already. */
+    /** Whether the follower already follows this primary at this term. */
     boolean isFollowing(Follow request) {
         return request.equals(target);
     }
 
-    /** Follows a primary. The callback gets the number of entries that were set aside, once the log is accepted. */
+    /**
+     * Follows a primary. The callback receives the number of entries set aside, after the primary's log is accepted.
+     */
     void follow(Follow request, Consumer<Integer> whenAccepted) {
         if (isFollowing(request)) {
             if (logAccepted) {
@@ -76,7 +79,7 @@
         connectToPrimary(epoch);
     }
 
-    /** Stops, as after a fence. */
+    /** Stops following, for example after a fence. */
     void stop() {
         epoch++;
         target = Follow.getDefaultInstance();
@@ -85,8 +88,8 @@
         onAccepted = ignored -> {};
     }
 
-    private void connectToPrimary(long at) {
-        if (at != epoch) {
+    private void connectToPrimary(long requestEpoch) {
+        if (requestEpoch != epoch) {
             return;
         }
         Endpoint primary = target.getPrimary();
@@ -94,15 +97,15 @@
                 .connect(primary, REQUEST_TIMEOUT, (connection, request, answer) -> {})
                 .whenComplete((connection, error) -> eventLoop.submit(() -> {
                     if (error != null) {
-                        eventLoop.schedule(RETRY_DELAY, () -> connectToPrimary(at));
+                        eventLoop.schedule(RETRY_DELAY, () -> connectToPrimary(requestEpoch));
                     } else {
-                        fetchEntries(at, connection);
+                        fetchEntries(requestEpoch, connection);
                     }
                 }));
     }
 
-    private void fetchEntries(long at, PeerConnection connection) {
-        if (at != epoch) {
+    private void fetchEntries(long requestEpoch, PeerConnection connection) {
+        if (requestEpoch != epoch) {
             connection.close();
             return;
         }
@@ -117,13 +120,13 @@
         connection
                 .request(request, REQUEST_TIMEOUT)
                 .whenComplete((answer, error) -> eventLoop.submit(() -> {
-                    boolean usable = error == null && answer.getLogRead().getTerm() == target.getTerm();
-                    if (at == epoch && usable) {
+                    boolean isValid = error == null && answer.getLogRead().getTerm() == target.getTerm();
+                    if (requestEpoch == epoch && isValid) {
                         processLogRead(answer.getLogRead());
-                        fetchEntries(at, connection);
+                        fetchEntries(requestEpoch, connection);
                     } else {
                         connection.close();
-                        eventLoop.schedule(RETRY_DELAY, () -> connectToPrimary(at));
+                        eventLoop.schedule(RETRY_DELAY, () -> connectToPrimary(requestEpoch));
                     }
                 }));
     }
@@ -147,13 +150,13 @@
         if (settings.replicationLagMs() == 0) {
             append(epoch, entries);
         } else {
-            long at = epoch;
-            eventLoop.schedule(Duration.ofMillis(settings.replicationLagMs()), () -> append(at, entries));
+            long requestEpoch = epoch;
+            eventLoop.schedule(Duration.ofMillis(settings.replicationLagMs()), () -> append(requestEpoch, entries));
         }
     }
 
-    private void append(long at, List<LogEntry> entries) {
-        if (at == epoch) {
+    private void append(long requestEpoch, List<LogEntry> entries) {
+        if (requestEpoch == epoch) {
             state.append(target.getTerm(), entries);
             onChange.run();
         }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/PositionSubscribers.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/PositionSubscribers.java
@@ -7,7 +7,10 @@
 import org.hornbeamspread.protocol.schema.PositionReport;
 import org.hornbeamspread.transport.PeerConnection;
 
-/** Pushes the position report to subscribers: soon after a change, and as a heartbeat. Decision thread only. */
+/**
+ * Pushes the position report to subscribers, shortly after each change and as a periodic heartbeat. Confined to the
+ * decision thread.
+ */
 final class PositionSubscribers {
     private static final Duration COALESCE_DELAY = Duration.ofMillis(1);
     private static final int MIN_HEARTBEAT_MS = 20;
@@ -22,20 +25,20 @@
         this.report = report;
     }
 
-    /** Adds a subscriber, or changes its heartbeat. */
-    void add(PeerConnection connection, int everyMs) {
-        boolean isNew = heartbeatIntervalsMs.put(connection, Math.max(MIN_HEARTBEAT_MS, everyMs)) == null;
+    /** Adds a subscriber, or changes its heartbeat interval. */
+    void add(PeerConnection connection, int intervalMs) {
+        boolean isNew = heartbeatIntervalsMs.put(connection, Math.max(MIN_HEARTBEAT_MS, intervalMs)) == null;
         if (isNew) {
             scheduleHeartbeat(connection);
         }
     }
 
-    /** Forgets a subscriber. */
+    /** Removes a subscriber. */
     void remove(PeerConnection connection) {
         heartbeatIntervalsMs.remove(connection);
     }
 
-    /** Plans a push to everybody. */
+    /** Schedules a push to all subscribers, unless one is already scheduled. */
     void schedulePush() {
         if (!pushScheduled && !heartbeatIntervalsMs.isEmpty()) {
             pushScheduled = true;
@@ -48,9 +51,9 @@
     }
 
     private void scheduleHeartbeat(PeerConnection connection) {
-        Integer everyMs = heartbeatIntervalsMs.get(connection);
-        if (everyMs != null) {
-            eventLoop.schedule(Duration.ofMillis(everyMs), () -> {
+        Integer intervalMs = heartbeatIntervalsMs.get(connection);
+        if (intervalMs != null) {
+            eventLoop.schedule(Duration.ofMillis(intervalMs), () -> {
                 if (heartbeatIntervalsMs.containsKey(connection)) {
                     connection.push(reportEnvelope());
                     scheduleHeartbeat(connection);
--- a/emulator/src/main/java/org/hornbeamspread/emulator/RowFault.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/RowFault.java
@@ -3,9 +3,11 @@
 import java.util.List;
 import org.hornbeamspread.protocol.schema.Statement;
 
-/** A deliberate fault in how committed writes reach the rows, so that a checker of the rows can be shown to find it. */
+/**
+ * A fault injected into the application of committed writes to the rows, to verify that row checks detect lost writes.
+ */
 interface RowFault {
-    /** Called after an entry's writes were applied; {@code appliedWrites} counts the entries with writes so far. */
+    /** Called after the writes of an entry are applied; {@code appliedWrites} counts the entries with writes so far. */
     void afterApply(RowStore rows, List<Statement> writes, long appliedWrites);
 
     /** No fault. */
@@ -13,7 +15,7 @@
         return (rows, writes, appliedWrites) -> {};
     }
 
-    /** Removes the first row that the entry number {@code atWrites} wrote, from the rows and not from the log. */
+    /** Removes the first row written by entry number {@code atWrites} from the rows, but not from the log. */
     static RowFault dropAcknowledgedRow(long atWrites) {
         return (rows, writes, appliedWrites) -> {
             if (appliedWrites == atWrites) {
--- a/emulator/src/main/java/org/hornbeamspread/emulator/RowOverlay.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/RowOverlay.java
@@ -4,30 +4,30 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Writes that are not committed yet, seen on top of the rows below. */
+/** A view of base rows with uncommitted writes applied on top. */
 final class RowOverlay implements Rows {
     private final Rows base;
     private final RowStore ownRows = new RowStore();
     private final TreeMap<TableKey, String> orderedWrites = new TreeMap<>();
 
-    RowOverlay(Rows below) {
-        this.base = below;
+    RowOverlay(Rows base) {
+        this.base = base;
     }
 
     @Override
     public Optional<String> get(String table, String key) {
-        Optional<String> own = ownRows.get(table, key);
-        return own.isPresent() ? own : base.get(table, key);
+        Optional<String> ownValue = ownRows.get(table, key);
+        return ownValue.isPresent() ? ownValue : base.get(table, key);
     }
 
     @Override
     public SortedMap<String, String> withPrefix(String table, String prefix) {
-        SortedMap<String, String> own = ownRows.withPrefix(table, prefix);
-        if (own.isEmpty()) {
+        SortedMap<String, String> ownMatches = ownRows.withPrefix(table, prefix);
+        if (ownMatches.isEmpty()) {
             return base.withPrefix(table, prefix);
         }
         SortedMap<String, String> merged = new TreeMap<>(base.withPrefix(table, prefix));
-        merged.putAll(own);
+        merged.putAll(ownMatches);
         return merged;
     }
 
@@ -37,16 +37,16 @@
         orderedWrites.put(new TableKey(table, key), value);
     }
 
-    /** Writes everything to the rows below. */
+    /** Applies all writes to the base rows. */
     void flush() {
-        orderedWrites.forEach((at, value) -> base.put(at.table(), at.key(), value));
+        orderedWrites.forEach((tableKey, value) -> base.put(tableKey.table(), tableKey.key(), value));
     }
 
     /**
-     * Where a row is.
+     * Identifies a row.
      *
-     * @param table the table's name
-     * @param key the row's key
+     * @param table name of the table
+     * @param key key of the row
      */
     private record TableKey(String table, String key) implements Comparable<TableKey> {
         @Override
--- a/emulator/src/main/java/org/hornbeamspread/emulator/RowStore.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/RowStore.java
@@ -31,7 +31,7 @@
         table(table).remove(key);
     }
 
-    /** Forgets every row. */
+    /** Removes all rows. */
     void clear() {
         tables.clear();
     }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/SharedBandwidth.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/SharedBandwidth.java
@@ -2,14 +2,14 @@
 
 import java.time.Duration;
 
-/** A wire that sends one chunk after another at a fixed rate. One thread only. */
+/** A transmission line that sends chunks sequentially at a fixed rate. Not thread-safe. */
 final class SharedBandwidth {
     private static final double NS_PER_SECOND = Duration.ofSeconds(1).toNanos();
 
-    /** Time on the wire of a byte; 0 when unlimited. */
+    /** Transmission time of a byte; 0 if unlimited. */
     private final double nsPerByte;
 
-    /** When the wire has sent everything that was given to it; meaningless while it was never used. */
+    /** Time at which all reserved transmissions end; undefined before the first use. */
     private long busyUntilNs;
 
     private boolean used;
@@ -18,17 +18,17 @@
         this.nsPerByte = nsPerByte;
     }
 
-    /** A wire of a rate. */
+    /** A line with a fixed rate. */
     static SharedBandwidth withRate(double bytesPerSecond) {
         return new SharedBandwidth(NS_PER_SECOND / bytesPerSecond);
     }
 
-    /** A wire that takes no time. */
+    /** A line without transmission time. */
     static SharedBandwidth unlimited() {
         return new SharedBandwidth(0);
     }
 
-    /** Gives a chunk to the wire and returns when its last byte has left. */
+    /** Reserves transmission time for a chunk and returns the time at which its last byte is sent. */
     long reserve(int bytes, long nowNs) {
         long startNs = used ? Math.max(nowNs, busyUntilNs) : nowNs;
         used = true;
--- a/emulator/src/main/java/org/hornbeamspread/emulator/SlotQueue.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/SlotQueue.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** A database's slots: a task takes a free one, or waits for one in order of arrival. One thread only. */
+/** Limits concurrent tasks to a number of slots; tasks wait for a free slot in order of arrival. Not thread-safe. */
 final class SlotQueue {
     private final int slots;
     private final Deque<Runnable> pendingTasks = new ArrayDeque<>();
@@ -13,7 +13,7 @@
         this.slots = slots;
     }
 
-    /** Starts a task now or when a slot is free; whoever started releases its slot once. */
+    /** Starts a task immediately or when a slot becomes free. Each started task must release its slot exactly once. */
     void submit(Runnable task) {
         if (inUse < slots) {
             inUse++;
@@ -23,7 +23,7 @@
         }
     }
 
-    /** Gives a slot back; the oldest waiting task takes it. */
+    /** Releases a slot, and assigns it to the oldest waiting task if there is one. */
     void release() {
         Runnable next = pendingTasks.poll();
         if (next == null) {
--- a/emulator/src/main/java/org/hornbeamspread/emulator/StatementRunner.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/StatementRunner.java
@@ -9,7 +9,10 @@
 import org.hornbeamspread.protocol.schema.Statement;
 import org.hornbeamspread.protocol.schema.StatementResult;
 
-/** Runs the statements that the schema documents. The same statements on the same rows give the same results. */
+/**
+ * Executes the statements documented in the schema. Execution is deterministic: equal rows and statements give equal
+ * results.
+ */
 final class StatementRunner {
     private static final long MAX_SLEEP_MS = 60_000;
 
@@ -23,7 +26,7 @@
         };
     }
 
-    /** How long a statement holds its slot beyond the usual time. Fails with INVALID_STATEMENT. */
+    /** Time for which a statement holds its slot in addition to the configured time. Fails with INVALID_STATEMENT. */
     static long sleepMs(Statement statement) {
         if (!"sleep".equals(statement.getName())) {
             return 0;
@@ -31,7 +34,10 @@
         return Math.max(0, Math.min(MAX_SLEEP_MS, integerArgument(statement, 0)));
     }
 
-    /** Runs statements in order. Fails with INVALID_STATEMENT or STATEMENT_CONFLICT; the rows may then be half changed. */
+    /**
+     * Executes statements in order. A failure with INVALID_STATEMENT or STATEMENT_CONFLICT may leave rows partly
+     * changed.
+     */
     static List<StatementResult> runAll(Rows rows, List<Statement> statements) {
         List<StatementResult> results = new ArrayList<>(statements.size());
         for (Statement statement : statements) {
@@ -49,7 +55,7 @@
             case "row.scan" -> scan(rows, statement);
             case "row.count" -> count(rows, statement);
             case "sleep" -> sleep(statement);
-            default -> throw invalidStatement(statement, "unknown name");
+            default -> throw invalidStatement(statement, "unknown statement name");
         };
     }
 
@@ -71,7 +77,7 @@
         String table = argument(statement, 0);
         String key = argument(statement, 1);
         if (rows.get(table, key).isPresent()) {
-            throw new FailureException(FailureType.STATEMENT_CONFLICT, table + " " + key + " is present");
+            throw new FailureException(FailureType.STATEMENT_CONFLICT, table + " " + key + " already exists");
         }
         rows.put(table, key, argument(statement, 2));
         return StatementResult.newBuilder().setAffectedRows(1).build();
@@ -94,7 +100,7 @@
         try {
             return Long.toString(Math.addExact(Long.parseLong(before), integerArgument(statement, 2)));
         } catch (NumberFormatException | ArithmeticException e) {
-            throw invalidStatement(statement, "the row is not an integer that can be added to");
+            throw invalidStatement(statement, "the value of the row is not an integer, or the sum overflows");
         }
     }
 
--- a/emulator/src/main/java/org/hornbeamspread/emulator/StatementService.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/StatementService.java
@@ -26,9 +26,10 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * Connections, slots, statements and transactions of one database. A statement takes effect at the end of its time in
- * the slot, and the term is checked then. So of two requests with one idempotency key the second one finds the key of
- * the first, also when both waited together; and a key look-up waits for requests with that key. Decision thread only.
+ * Connections, slots, statements and transactions of one database. A statement takes effect at the end of the time for
+ * which it holds the slot, and its term is checked at that point. Therefore, of two requests with the same idempotency
+ * key, the second detects the key of the first even if both were waiting at the same time. A key look-up waits for
+ * in-flight requests with that key. Confined to the decision thread.
  */
 final class StatementService {
     private final DatabaseSettings settings;
@@ -56,16 +57,18 @@
         return slots.inUse();
     }
 
-    /** Opens a database connection after the connect time. Refused with CONNECTION_LIMIT. */
+    /**
+     * Opens a database connection after the connect time. Fails with DEPARTING, INVALID_REQUEST or CONNECTION_LIMIT.
+     */
     void connect(ClientSession session, boolean departing, Consumer<Envelope> answer) {
         if (departing) {
             throw new FailureException(FailureType.DEPARTING, settings.databaseId());
         }
         if (session.isCounted()) {
-            throw new FailureException(FailureType.INVALID_REQUEST, "connected already");
+            throw new FailureException(FailureType.INVALID_REQUEST, "Connect was already received on this connection");
         }
         if (connections >= settings.connectionLimit()) {
-            throw new FailureException(FailureType.CONNECTION_LIMIT, connections + " open");
+            throw new FailureException(FailureType.CONNECTION_LIMIT, connections + " connections are open");
         }
         session.markCounted();
         connections++;
@@ -81,7 +84,7 @@
         });
     }
 
-    /** The connection is gone. What runs in a slot runs to its end. */
+    /** Handles the close of a connection. A statement that already holds a slot runs to completion. */
     void close(ClientSession session) {
         if (session.isCounted() && !session.isClosed()) {
             connections--;
@@ -101,12 +104,14 @@
                 .build();
     }
 
-    /** A request with this idempotency key has arrived; look-ups of the key wait until {@link #requestCompleted}. */
+    /**
+     * Registers an arrived request with this idempotency key; look-ups of the key wait until {@link #requestCompleted}.
+     */
     void requestArrived(String idempotencyKey) {
         keysInFlight.add(idempotencyKey);
     }
 
-    /** A request that had arrived is answered or dropped. */
+    /** Unregisters an arrived request that was answered or dropped, and runs the look-ups that waited for the key. */
     void requestCompleted(String idempotencyKey) {
         keysInFlight.remove(idempotencyKey);
         if (!keysInFlight.contains(idempotencyKey)) {
@@ -114,33 +119,33 @@
         }
     }
 
-    /** Runs statements in a slot, and calls {@code done} after the answer. */
-    void execute(ClientSession session, ExecuteStatements request, Consumer<Envelope> answer, Runnable done) {
-        Optional<DatabaseTransaction> open = session.transaction();
+    /** Executes statements in a slot, and calls {@code onComplete} after the answer. */
+    void execute(ClientSession session, ExecuteStatements request, Consumer<Envelope> answer, Runnable onComplete) {
+        Optional<DatabaseTransaction> openTransaction = session.transaction();
         Optional<CommitOutcome> replayed;
-        Duration hold;
+        Duration holdTime;
         try {
             session.checkConnected();
-            replayed = findReplay(open, request);
-            hold = slotHoldTime(request.getStatementsList());
+            replayed = findReplay(openTransaction, request);
+            holdTime = slotHoldTime(request.getStatementsList());
         } catch (FailureException e) {
             answer.accept(Envelopes.failureEnvelope(e));
-            done.run();
+            onComplete.run();
             return;
         }
         if (replayed.isPresent()) {
             answer.accept(executedEnvelope(replayed.get()));
-            done.run();
+            onComplete.run();
             return;
         }
         slots.submit(() -> {
-            boolean dropped = session.isClosed();
-            eventLoop.schedule(dropped ? Duration.ZERO : hold, () -> {
-                if (!dropped) {
-                    answer.accept(resultOrFailure(() -> executedEnvelope(executeStatements(open, request))));
+            boolean sessionClosed = session.isClosed();
+            eventLoop.schedule(sessionClosed ? Duration.ZERO : holdTime, () -> {
+                if (!sessionClosed) {
+                    answer.accept(resultOrFailure(() -> executedEnvelope(executeStatements(openTransaction, request))));
                 }
                 slots.release();
-                done.run();
+                onComplete.run();
             });
         });
     }
@@ -164,7 +169,7 @@
         return Envelope.newBuilder().setTransactionEnded(ended).build();
     }
 
-    /** Drops the open transaction. */
+    /** Rolls back the open transaction. */
     Envelope rollback(ClientSession session) {
         session.checkConnected();
         session.takeTransaction();
@@ -175,7 +180,7 @@
                 .build();
     }
 
-    /** Looks a key up, after every request in flight with this key. */
+    /** Looks up an idempotency key after all in-flight requests with this key complete. */
     void lookUp(LookUpKey request, Consumer<Envelope> answer) {
         if (keysInFlight.contains(request.getIdempotencyKey())) {
             pendingLookUps.put(
@@ -185,39 +190,42 @@
         }
     }
 
-    /** A request's answer, or its typed failure. */
-    static Envelope resultOrFailure(Supplier<Envelope> work) {
+    /** The result of an operation, or a failure envelope if the operation fails. */
+    static Envelope resultOrFailure(Supplier<Envelope> operation) {
         try {
-            return work.get();
+            return operation.get();
         } catch (FailureException e) {
             return Envelopes.failureEnvelope(e);
         }
     }
 
-    private Optional<CommitOutcome> findReplay(Optional<DatabaseTransaction> open, ExecuteStatements request) {
-        if (request.getReadOnly() || open.isPresent()) {
+    private Optional<CommitOutcome> findReplay(
+            Optional<DatabaseTransaction> openTransaction, ExecuteStatements request) {
+        if (request.getReadOnly() || openTransaction.isPresent()) {
             return Optional.empty();
         }
         state.checkWritable(request.getTerm());
         return state.findCommit(request.getIdempotencyKey());
     }
 
-    /** Runs a request at the end of its time in the slot, in the transaction that was open when it came. */
-    private CommitOutcome executeStatements(Optional<DatabaseTransaction> open, ExecuteStatements request) {
-        DatabaseTransaction transaction =
-                open.orElseGet(() -> new DatabaseTransaction(request.getTerm(), request.getReadOnly(), state.rows()));
+    /**
+     * Executes a request at the end of its slot time, in the transaction that was open when the request was started.
+     */
+    private CommitOutcome executeStatements(Optional<DatabaseTransaction> openTransaction, ExecuteStatements request) {
+        DatabaseTransaction transaction = openTransaction.orElseGet(
+                () -> new DatabaseTransaction(request.getTerm(), request.getReadOnly(), state.rows()));
         if (!transaction.readOnly()) {
             state.checkWritable(transaction.term());
-            Optional<CommitOutcome> earlier = state.findCommit(request.getIdempotencyKey());
-            if (earlier.isPresent()) {
-                return earlier.get();
+            Optional<CommitOutcome> previousOutcome = state.findCommit(request.getIdempotencyKey());
+            if (previousOutcome.isPresent()) {
+                return previousOutcome.get();
             }
         }
         if (!request.getIdempotencyKey().isEmpty()) {
             transaction.setIdempotencyKey(request.getIdempotencyKey());
         }
         List<StatementResult> results = transaction.run(request.getStatementsList());
-        if (open.isPresent()) {
+        if (openTransaction.isPresent()) {
             return new CommitOutcome(results, state.lastPosition(), false);
         }
         CommitOutcome outcome = state.commit(transaction, request.getIdempotencyKey());
@@ -242,12 +250,12 @@
 
     private Envelope lookUpEnvelope(LookUpKey request) {
         state.checkWritable(request.getTerm());
-        KeyLookedUp.Builder found =
+        KeyLookedUp.Builder response =
                 KeyLookedUp.newBuilder().setTerm(state.metadata().term());
         state.findCommit(request.getIdempotencyKey())
-                .ifPresent(outcome -> found.setFound(true)
+                .ifPresent(outcome -> response.setFound(true)
                         .setPosition(Envelopes.position(outcome.position()))
                         .addAllResults(outcome.results()));
-        return Envelope.newBuilder().setKeyLookedUp(found).build();
+        return Envelope.newBuilder().setKeyLookedUp(response).build();
     }
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/package-info.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/package-info.java
@@ -1,2 +1,2 @@
-/** Stand-in databases and links for tests and trials. */
+/** Emulated databases and network links for tests and experiments. */
 package org.hornbeamspread.emulator;
--- a/emulator/src/test/java/org/hornbeamspread/emulator/DatabaseServerTest.java
+++ b/emulator/src/test/java/org/hornbeamspread/emulator/DatabaseServerTest.java
@@ -27,6 +27,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against lost, duplicated or prematurely visible writes when requests, replication and failovers of emulated
+ * databases overlap.
+ */
 final class DatabaseServerTest {
     private final TestDatabase first = new TestDatabase("d1", 0, List.of());
     private final TestDatabase second = new TestDatabase("d2", 0, List.of());
@@ -92,17 +96,18 @@
     void aDivergentTailIsTruncatedToThePrimarysLog() {
         first.promoteAt(1);
         second.request(first.followRequest(1));
-        StatementsExecuted shared = first.request(writeRequest(1, "", statement("row.put", "t", "k", "shared")))
+        StatementsExecuted replicatedWrite = first.request(
+                        writeRequest(1, "", statement("row.put", "t", "k", "shared")))
                 .getStatementsExecuted();
-        second.awaitReport(report -> report.getApplied().equals(shared.getPosition()));
+        second.awaitReport(report -> report.getApplied().equals(replicatedWrite.getPosition()));
         second.promoteAt(2);
         first.request(writeRequest(1, "stale", statement("row.put", "t", "k", "stale")));
         first.request(writeRequest(1, "", statement("row.put", "t", "other", "stale")));
-        StatementsExecuted newer = second.request(writeRequest(2, "", statement("row.put", "t", "new", "kept")))
+        StatementsExecuted latestWrite = second.request(writeRequest(2, "", statement("row.put", "t", "new", "kept")))
                 .getStatementsExecuted();
         assertThat(first.request(second.followRequest(2)).getFollowing().getEntriesSetAside())
                 .isEqualTo(2);
-        first.awaitReport(report -> report.getApplied().equals(newer.getPosition()));
+        first.awaitReport(report -> report.getApplied().equals(latestWrite.getPosition()));
         assertThat(first.readValue("t", "k")).isEqualTo("shared");
         assertThat(first.readValue("t", "other")).isEmpty();
         assertThat(first.readValue("t", "new")).isEqualTo("kept");
@@ -112,17 +117,18 @@
     void aRepeatedIdempotencyKeyReturnsTheFirstResultAlsoAfterAFailover() {
         first.promoteAt(1);
         second.request(first.followRequest(1));
-        Envelope.Builder booking = writeRequest(1, "key", statement("row.add", "t", "k", "1"));
-        StatementsExecuted once = first.request(booking).getStatementsExecuted();
-        StatementsExecuted again = first.request(booking).getStatementsExecuted();
-        assertThat(again).isEqualTo(once.toBuilder().setReplayed(true).build());
-        second.awaitReport(report -> report.getApplied().equals(once.getPosition()));
+        Envelope.Builder keyedWrite = writeRequest(1, "key", statement("row.add", "t", "k", "1"));
+        StatementsExecuted firstResult = first.request(keyedWrite).getStatementsExecuted();
+        StatementsExecuted repeatedResult = first.request(keyedWrite).getStatementsExecuted();
+        assertThat(repeatedResult)
+                .isEqualTo(firstResult.toBuilder().setReplayed(true).build());
+        second.awaitReport(report -> report.getApplied().equals(firstResult.getPosition()));
         second.promoteAt(2);
-        StatementsExecuted moved = second.request(writeRequest(2, "key", statement("row.add", "t", "k", "1")))
+        StatementsExecuted afterFailover = second.request(writeRequest(2, "key", statement("row.add", "t", "k", "1")))
                 .getStatementsExecuted();
-        assertThat(moved.getReplayed()).isTrue();
-        assertThat(moved.getResultsList()).isEqualTo(once.getResultsList());
-        assertThat(moved.getPosition()).isEqualTo(once.getPosition());
+        assertThat(afterFailover.getReplayed()).isTrue();
+        assertThat(afterFailover.getResultsList()).isEqualTo(firstResult.getResultsList());
+        assertThat(afterFailover.getPosition()).isEqualTo(firstResult.getPosition());
         assertThat(second.readValue("t", "k")).isEqualTo("1");
     }
 
@@ -132,18 +138,18 @@
         PeerConnection other = first.openConnection();
         other.request(TestDatabase.connectRequest().build(), TestDatabase.TIMEOUT)
                 .join();
-        CompletableFuture<Envelope> holder = first.requestAsync(readRequest(statement("sleep", "20")));
-        Envelope booking = writeRequest(
+        CompletableFuture<Envelope> slotHolder = first.requestAsync(readRequest(statement("sleep", "20")));
+        Envelope keyedWrite = writeRequest(
                         1, "key", statement("row.insert", "t", "row", "v"), statement("row.add", "t", "k", "1"))
                 .build();
-        CompletableFuture<Envelope> one = first.requestAsync(booking.toBuilder());
-        CompletableFuture<Envelope> two = other.request(booking, TestDatabase.TIMEOUT);
+        CompletableFuture<Envelope> firstWrite = first.requestAsync(keyedWrite.toBuilder());
+        CompletableFuture<Envelope> secondWrite = other.request(keyedWrite, TestDatabase.TIMEOUT);
         CompletableFuture<Envelope> lookUp = first.requestAsync(Envelope.newBuilder()
                 .setLookUpKey(LookUpKey.newBuilder().setTerm(1).setIdempotencyKey("key")));
-        holder.join();
+        slotHolder.join();
         assertThat(List.of(
-                        one.join().getStatementsExecuted().getReplayed(),
-                        two.join().getStatementsExecuted().getReplayed()))
+                        firstWrite.join().getStatementsExecuted().getReplayed(),
+                        secondWrite.join().getStatementsExecuted().getReplayed()))
                 .containsExactly(true, false);
         assertThat(lookUp.join().getKeyLookedUp().getFound()).isTrue();
         assertThat(first.readValue("t", "k")).isEqualTo("1");
@@ -159,10 +165,10 @@
                 .setBeginTransaction(BeginTransaction.newBuilder().setTerm(1)));
         first.request(writeRequest(1, "", statement("row.insert", "t", "k", "v")));
         assertThat(first.readValue("t", "k")).isEqualTo("v");
-        Envelope outside = other.request(
+        Envelope outsideRead = other.request(
                         readRequest(statement("row.count", "t", "")).build(), TestDatabase.TIMEOUT)
                 .join();
-        assertThat(outside.getStatementsExecuted().getResults(0).getRows(0).getColumns(0))
+        assertThat(outsideRead.getStatementsExecuted().getResults(0).getRows(0).getColumns(0))
                 .isEqualTo("0");
         first.request(Envelope.newBuilder().setCommitTransaction(CommitTransaction.getDefaultInstance()));
         Envelope after = other.request(
@@ -175,20 +181,21 @@
     @Test
     void aRunningStatementCommitsNothingAfterItsConnectionCloses() {
         first.promoteAt(1);
-        PeerConnection lost = first.openConnection();
-        lost.request(TestDatabase.connectRequest().build(), TestDatabase.TIMEOUT)
+        PeerConnection closedConnection = first.openConnection();
+        closedConnection
+                .request(TestDatabase.connectRequest().build(), TestDatabase.TIMEOUT)
                 .join();
         Envelope begin = Envelope.newBuilder()
                 .setBeginTransaction(BeginTransaction.newBuilder().setTerm(1))
                 .build();
-        lost.request(begin, TestDatabase.TIMEOUT).join();
-        CompletableFuture<Envelope> running = lost.request(
+        closedConnection.request(begin, TestDatabase.TIMEOUT).join();
+        CompletableFuture<Envelope> running = closedConnection.request(
                 writeRequest(1, "", statement("row.put", "t", "k", "v"), statement("sleep", "20"))
                         .build(),
                 TestDatabase.TIMEOUT);
-        CompletableFuture<Envelope> behind = first.requestAsync(readRequest(statement("row.get", "t", "k")));
-        lost.close();
-        assertThat(behind.join().getStatementsExecuted().getResults(0).getRowsCount())
+        CompletableFuture<Envelope> queuedRead = first.requestAsync(readRequest(statement("row.get", "t", "k")));
+        closedConnection.close();
+        assertThat(queuedRead.join().getStatementsExecuted().getResults(0).getRowsCount())
                 .isEqualTo(0);
         assertThrows(CompletionException.class, running::join);
         assertThat(first.request(writeRequest(1, "", statement("row.put", "t", "next", "v")))
@@ -226,10 +233,10 @@
         first.openConnection()
                 .request(TestDatabase.connectRequest().build(), TestDatabase.TIMEOUT)
                 .join();
-        CompletableFuture<Envelope> third =
+        CompletableFuture<Envelope> refusedConnect =
                 first.openConnection().request(TestDatabase.connectRequest().build(), TestDatabase.TIMEOUT);
-        FailureException refused = FailureException.of(assertThrows(CompletionException.class, third::join));
-        assertThat(refused.type()).isEqualTo(FailureType.CONNECTION_LIMIT);
+        FailureException failure = FailureException.of(assertThrows(CompletionException.class, refusedConnect::join));
+        assertThat(failure.type()).isEqualTo(FailureType.CONNECTION_LIMIT);
     }
 
     @Test
@@ -248,10 +255,10 @@
             assertThat(announced.join().getReport().getTrusted()).isTrue();
             assertThat(announced.join().getEndpoint())
                     .isEqualTo(database.server().endpoint());
-            CompletableFuture<Void> leaving = database.server().depart();
+            CompletableFuture<Void> departure = database.server().depart();
             assertThat(departed.join().getDatabaseId()).isEqualTo("d3");
             database.disconnect();
-            leaving.join();
+            departure.join();
             database.close();
         }
     }
--- a/emulator/src/test/java/org/hornbeamspread/emulator/DatabaseStateTest.java
+++ b/emulator/src/test/java/org/hornbeamspread/emulator/DatabaseStateTest.java
@@ -23,6 +23,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * Guards against lost or resurrected entries and unsafe promotions after restarts, torn or corrupted log files, lost
+ * disks and fences.
+ */
 final class DatabaseStateTest {
     private static final int MAX_ENTRIES = 1000;
 
@@ -87,21 +91,21 @@
     void aDatabaseThatLostItsDiskIsNotPromotedUntilReadmitted() {
         DatabaseState primary = primary();
         put(primary, 1, "k", "v");
-        DatabaseState lost = inMemory(DatabaseMetadata.initial(7, false));
-        lost.follow(1);
-        assertThat(failureOf(() -> lost.readmit(1, 7))).isEqualTo(FailureType.WRONG_TERM);
-        replicate(primary, lost, 1);
-        assertThat(failureOf(() -> lost.readmit(1, 6))).isEqualTo(FailureType.WRONG_TERM);
-        lost.fence(2);
-        assertThat(failureOf(() -> lost.promote(2))).isEqualTo(FailureType.WRONG_TERM);
-        assertThat(failureOf(() -> lost.readmit(2, 7))).isEqualTo(FailureType.WRONG_TERM);
+        DatabaseState untrusted = inMemory(DatabaseMetadata.initial(7, false));
+        untrusted.follow(1);
+        assertThat(failureOf(() -> untrusted.readmit(1, 7))).isEqualTo(FailureType.WRONG_TERM);
+        replicate(primary, untrusted, 1);
+        assertThat(failureOf(() -> untrusted.readmit(1, 6))).isEqualTo(FailureType.WRONG_TERM);
+        untrusted.fence(2);
+        assertThat(failureOf(() -> untrusted.promote(2))).isEqualTo(FailureType.WRONG_TERM);
+        assertThat(failureOf(() -> untrusted.readmit(2, 7))).isEqualTo(FailureType.WRONG_TERM);
         primary.fence(2);
         primary.promote(2);
-        lost.follow(2);
-        replicate(primary, lost, 2);
-        lost.readmit(2, 7);
-        lost.fence(3);
-        assertThat(lost.promote(3).term()).isEqualTo(3);
+        untrusted.follow(2);
+        replicate(primary, untrusted, 2);
+        untrusted.readmit(2, 7);
+        untrusted.fence(3);
+        assertThat(untrusted.promote(3).term()).isEqualTo(3);
     }
 
     @Test
--- a/emulator/src/test/java/org/hornbeamspread/emulator/LinkTest.java
+++ b/emulator/src/test/java/org/hornbeamspread/emulator/LinkTest.java
@@ -22,6 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Guards against wrong delays, and against reordered or lost data on links that are cut and healed. */
 final class LinkTest {
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
     private static final long NS_PER_MS = 1_000_000;
@@ -36,36 +37,36 @@
 
     @Test
     void latencyAndSharedBandwidthDelayEachChunk() {
-        Map<OrderedPair, DirectedLink> lanes =
+        Map<OrderedPair, DirectedLink> links =
                 LinkFileParser.parse(CONFIGURATION_LINES).directedLinks();
-        DirectedLink near = lanes.get(new OrderedPair("piassa", "bole"));
-        DirectedLink far = lanes.get(new OrderedPair("bole", "sabian"));
-        DirectedLink farToo = lanes.get(new OrderedPair("piassa", "sabian"));
-        DirectedLink farBack = lanes.get(new OrderedPair("sabian", "bole"));
-        assertThat(near.scheduleArrival(1_000_000, 0)).isEqualTo(3 * NS_PER_MS / 2);
-        assertThat(far.scheduleArrival(2_500, 0)).isEqualTo(9 * NS_PER_MS);
-        assertThat(farToo.scheduleArrival(2_500, 0)).isEqualTo(2 * NS_PER_MS);
-        assertThat(far.scheduleArrival(2_500, 0)).isEqualTo(11 * NS_PER_MS);
-        assertThat(farBack.scheduleArrival(2_500, 0)).isEqualTo(9 * NS_PER_MS);
-        assertThat(far.scheduleArrival(2_500, 20 * NS_PER_MS)).isEqualTo(29 * NS_PER_MS);
+        DirectedLink sameRegionLink = links.get(new OrderedPair("piassa", "bole"));
+        DirectedLink interRegionLink = links.get(new OrderedPair("bole", "sabian"));
+        DirectedLink sharedBandwidthLink = links.get(new OrderedPair("piassa", "sabian"));
+        DirectedLink reverseLink = links.get(new OrderedPair("sabian", "bole"));
+        assertThat(sameRegionLink.scheduleArrival(1_000_000, 0)).isEqualTo(3 * NS_PER_MS / 2);
+        assertThat(interRegionLink.scheduleArrival(2_500, 0)).isEqualTo(9 * NS_PER_MS);
+        assertThat(sharedBandwidthLink.scheduleArrival(2_500, 0)).isEqualTo(2 * NS_PER_MS);
+        assertThat(interRegionLink.scheduleArrival(2_500, 0)).isEqualTo(11 * NS_PER_MS);
+        assertThat(reverseLink.scheduleArrival(2_500, 0)).isEqualTo(9 * NS_PER_MS);
+        assertThat(interRegionLink.scheduleArrival(2_500, 20 * NS_PER_MS)).isEqualTo(29 * NS_PER_MS);
     }
 
     @Test
     void aCutLinkDelaysAllChunksInOrderUntilItIsHealed() {
-        DirectedLink lane =
+        DirectedLink link =
                 LinkFileParser.parse(CONFIGURATION_LINES).directedLinks().get(new OrderedPair("bole", "piassa"));
-        LinkQueue<String> direction = new LinkQueue<>(lane);
-        direction.add("a", 1, 0);
-        lane.setCut(true);
-        direction.add("b", 1, NS_PER_MS);
-        assertThat(direction.poll(1000 * NS_PER_MS)).isEmpty();
-        assertThat(direction.nsUntilNextArrival(1000 * NS_PER_MS).isPresent()).isFalse();
-        lane.setCut(false);
-        assertThat(direction.poll(NS_PER_MS)).isEmpty();
-        assertThat(direction.nsUntilNextArrival(NS_PER_MS).getAsLong()).isEqualTo(NS_PER_MS / 2);
-        assertThat(direction.poll(2 * NS_PER_MS)).hasValue("a");
-        assertThat(direction.poll(2 * NS_PER_MS)).isEmpty();
-        assertThat(direction.poll(5 * NS_PER_MS / 2)).hasValue("b");
+        LinkQueue<String> queue = new LinkQueue<>(link);
+        queue.add("a", 1, 0);
+        link.setCut(true);
+        queue.add("b", 1, NS_PER_MS);
+        assertThat(queue.poll(1000 * NS_PER_MS)).isEmpty();
+        assertThat(queue.nsUntilNextArrival(1000 * NS_PER_MS).isPresent()).isFalse();
+        link.setCut(false);
+        assertThat(queue.poll(NS_PER_MS)).isEmpty();
+        assertThat(queue.nsUntilNextArrival(NS_PER_MS).getAsLong()).isEqualTo(NS_PER_MS / 2);
+        assertThat(queue.poll(2 * NS_PER_MS)).hasValue("a");
+        assertThat(queue.poll(2 * NS_PER_MS)).isEmpty();
+        assertThat(queue.poll(5 * NS_PER_MS / 2)).hasValue("b");
     }
 
     @ParameterizedTest
@@ -78,9 +79,9 @@
                 "listen=127.0.0.1:1 target=127.0.0.1:2 from=bole to=nowhere"
             })
     void anInvalidLineIsRejected(String line) {
-        FailureException refused =
+        FailureException failure =
                 assertThrows(FailureException.class, () -> LinkFileParser.parse(List.of("domain bole addis", line)));
-        assertThat(refused.type()).isEqualTo(FailureType.INVALID_SETTING);
+        assertThat(failure.type()).isEqualTo(FailureType.INVALID_SETTING);
     }
 
     @Test
@@ -90,26 +91,28 @@
                     .listen(endpoint(0), (connection, request, answer) -> answer.accept(request))
                     .join();
             String target = " target=127.0.0.1:" + echo.port();
-            LinkConfiguration plan = LinkFileParser.parse(List.of(
+            LinkConfiguration configuration = LinkFileParser.parse(List.of(
                     "domain bole addis",
                     "domain sabian dire-dawa",
                     "listen=127.0.0.1:0" + target + " from=bole to=sabian",
                     "listen=127.0.0.1:0" + target + " from=bole to=bole"));
-            try (LinkServer links = new LinkServer(plan)) {
-                PeerConnection far = connect(transport, links.port(0));
-                PeerConnection near = connect(transport, links.port(1));
-                assertThat(sendRequest(far, 1).join().getVote().getTerm()).isEqualTo(1);
+            try (LinkServer links = new LinkServer(configuration)) {
+                PeerConnection cutConnection = connect(transport, links.port(0));
+                PeerConnection uncutConnection = connect(transport, links.port(1));
+                assertThat(sendRequest(cutConnection, 1).join().getVote().getTerm())
+                        .isEqualTo(1);
                 SetCutRequest cut = SetCutRequest.newBuilder()
                         .setFrom("*")
                         .setTo("sabian")
                         .setCut(true)
                         .build();
                 assertThat(links.setCut(cut).join().getCutsList()).hasSize(1);
-                CompletableFuture<Envelope> held = sendRequest(far, 2);
-                assertThat(sendRequest(near, 3).join().getVote().getTerm()).isEqualTo(3);
-                assertThat(held.isDone()).isFalse();
+                CompletableFuture<Envelope> delayedResponse = sendRequest(cutConnection, 2);
+                assertThat(sendRequest(uncutConnection, 3).join().getVote().getTerm())
+                        .isEqualTo(3);
+                assertThat(delayedResponse.isDone()).isFalse();
                 links.setCut(cut.toBuilder().setCut(false).build()).join();
-                assertThat(held.join().getVote().getTerm()).isEqualTo(2);
+                assertThat(delayedResponse.join().getVote().getTerm()).isEqualTo(2);
                 LinkBytes bytes = links.getLinkBytes().join();
                 assertThat(bytes.getInterRegionBytes()).isGreaterThan(0);
                 assertThat(bytes.getPairsCount()).isEqualTo(4);
--- a/emulator/src/test/java/org/hornbeamspread/emulator/TestDatabase.java
+++ b/emulator/src/test/java/org/hornbeamspread/emulator/TestDatabase.java
@@ -26,7 +26,7 @@
 import org.hornbeamspread.transport.PeerHandler;
 import org.hornbeamspread.transport.PeerTransport;
 
-/** A stand-in database on loopback, with one subscribed and connected client. */
+/** An emulated database on the loopback interface, with one subscribed and connected client. */
 final class TestDatabase implements AutoCloseable, PeerHandler {
     static final Duration TIMEOUT = Duration.ofSeconds(30);
 
@@ -100,7 +100,7 @@
                         .setPrimary(server.endpoint()));
     }
 
-    /** Fences and promotes. */
+    /** Fences and promotes the database at a term. */
     TestDatabase promoteAt(long term) {
         request(fenceRequest(term));
         request(promoteRequest(term));
@@ -120,27 +120,27 @@
     }
 
     FailureException failureOf(Envelope.Builder request) {
-        CompletableFuture<Envelope> answer = requestAsync(request);
-        return FailureException.of(assertThrows(CompletionException.class, answer::join));
+        CompletableFuture<Envelope> response = requestAsync(request);
+        return FailureException.of(assertThrows(CompletionException.class, response::join));
     }
 
-    /** The first value of the first row. */
+    /** The value of a row; empty if the row does not exist. */
     String readValue(String table, String key) {
-        Envelope answer = request(readRequest(statement("row.get", table, key)));
-        return answer.getStatementsExecuted().getResults(0).getRowsList().stream()
+        Envelope response = request(readRequest(statement("row.get", table, key)));
+        return response.getStatementsExecuted().getResults(0).getRowsList().stream()
                 .map(row -> row.getColumns(0))
                 .findFirst()
                 .orElse("");
     }
 
-    PositionReport awaitReport(Predicate<PositionReport> wanted) {
+    PositionReport awaitReport(Predicate<PositionReport> condition) {
         try {
             PositionReport report = reports.poll(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
-            while (report != null && !wanted.test(report)) {
+            while (report != null && !condition.test(report)) {
                 report = reports.poll(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
             }
             if (report == null) {
-                throw new AssertionError("no such report of " + databaseId);
+                throw new AssertionError("no matching position report from database " + databaseId);
             }
             return report;
         } catch (InterruptedException e) {
