--- a/emulator/src/main/java/org/hornbeamspread/emulator/LogFollower.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LogFollower.java
@@ -23,7 +23,7 @@
 final class LogFollower {
     private static final int MAX_ENTRIES_PER_READ = 256;
     private static final int LONG_POLL_MS = 300;
-    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(1);
+    private static final Duration TIMEOUT = Duration.ofSeconds(1);
     private static final Duration RETRY_DELAY = Duration.ofMillis(50);
 
     private final DatabaseSettings settings;
@@ -94,7 +94,7 @@
         }
         Endpoint primary = target.getPrimary();
         transport
-                .connect(primary, REQUEST_TIMEOUT, (connection, request, answer) -> {})
+                .connect(primary, TIMEOUT, (connection, request, answer) -> {})
                 .whenComplete((connection, error) -> eventLoop.submit(() -> {
                     if (error != null) {
                         eventLoop.schedule(RETRY_DELAY, () -> connectToPrimary(requestEpoch));
@@ -118,7 +118,7 @@
                         .setWaitMs(LONG_POLL_MS))
                 .build();
         connection
-                .request(request, REQUEST_TIMEOUT)
+                .request(request, TIMEOUT)
                 .whenComplete((answer, error) -> eventLoop.submit(() -> {
                     boolean isValid = error == null && answer.getLogRead().getTerm() == target.getTerm();
                     if (requestEpoch == epoch && isValid) {
