--- a/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseLog.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DatabaseLog.java
@@ -11,7 +11,7 @@
 import org.hornbeamspread.protocol.schema.LogEntry;
 import org.hornbeamspread.transport.Envelopes;
 
-/** The entries of a database's log in memory, with an index by idempotency key. Entry indexes start at 1. */
+/** The in-memory log of a database, with an index by idempotency key. Entry indexes start at 1. */
 final class DatabaseLog {
     private final List<LogEntry> entries = new ArrayList<>();
     private final Map<String, Integer> indexByKey = new HashMap<>();
@@ -21,8 +21,8 @@
         return entries.size();
     }
 
-    /** The position of the last entry. */
-    LogPosition end() {
+    /** The position of the last entry; NONE when the log is empty. */
+    LogPosition lastPosition() {
         return positionAt(entries.size());
     }
 
@@ -33,17 +33,18 @@
                 : Envelopes.position(entries.get(index - 1).getPosition());
     }
 
-    /** Whether the log holds an entry at this position. The start of the log is held by every log. */
-    boolean holds(LogPosition position) {
+    /** Whether the log contains an entry at this position. Every log contains the start position. */
+    boolean contains(LogPosition position) {
         return position.indexEntries() <= entries.size()
                 && positionAt((int) position.indexEntries()).equals(position);
     }
 
-    /** Adds the next entry. Fails with INVALID_POSITION when it does not follow the last one. */
+    /** Appends an entry. Fails with INVALID_POSITION if the entry does not directly follow the last one. */
     void append(LogEntry entry) {
         LogPosition position = Envelopes.position(entry.getPosition());
-        if (position.indexEntries() != entries.size() + 1L || position.term() < end().term()) {
-            throw new FailureException(FailureType.INVALID_POSITION, position + " does not follow " + end());
+        if (position.indexEntries() != entries.size() + 1L
+                || position.term() < lastPosition().term()) {
+            throw new FailureException(FailureType.INVALID_POSITION, position + " does not follow " + lastPosition());
         }
         entries.add(entry);
         if (!entry.getIdempotencyKey().isEmpty()) {
@@ -51,27 +52,27 @@
         }
     }
 
-    /** Removes every entry behind an index and returns them. */
-    List<LogEntry> cutBack(int lastIndex) {
+    /** Removes and returns all entries after an index. */
+    List<LogEntry> truncate(int lastIndex) {
         List<LogEntry> tail = entries.subList(lastIndex, entries.size());
-        List<LogEntry> cut = List.copyOf(tail);
-        cut.forEach(entry -> indexByKey.remove(entry.getIdempotencyKey()));
+        List<LogEntry> removed = List.copyOf(tail);
+        removed.forEach(entry -> indexByKey.remove(entry.getIdempotencyKey()));
         tail.clear();
-        return cut;
+        return removed;
     }
 
     /** The entry with an idempotency key. */
-    Optional<LogEntry> byKey(String key) {
+    Optional<LogEntry> findByIdempotencyKey(String key) {
         return Optional.ofNullable(indexByKey.get(key)).map(index -> entries.get(index - 1));
     }
 
-    /** Up to {@code maxEntries} entries behind an index. */
-    List<LogEntry> after(int index, int maxEntries) {
+    /** Up to {@code maxEntries} entries after an index. */
+    List<LogEntry> entriesAfter(int index, int maxEntries) {
         return List.copyOf(entries.subList(index, Math.min(entries.size(), index + maxEntries)));
     }
 
     /** The highest index below {@code belowIndex} whose entry's term is at most {@code term}; 0 when there is none. */
-    int lastIndexAtOrBelow(long term, long belowIndex) {
+    int lastIndexWithTermAtMost(long term, long belowIndex) {
         int index = (int) Math.min(entries.size(), belowIndex - 1);
         while (index > 0 && positionAt(index).term() > term) {
             index--;
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LinkLane.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/DirectedLink.java
@@ -2,25 +2,27 @@
 
 import java.time.Duration;
 
-/** One direction between two failure domains: latency, bandwidth, a cut, and a count of bytes. One thread only. */
-final class LinkLane {
+/**
+ * The emulated link from one failure domain to another: latency, bandwidth, cut state and byte count. Not thread-safe.
+ */
+final class DirectedLink {
     private static final long NS_PER_MS = Duration.ofMillis(1).toNanos();
 
-    private final LinkPlan.Pair pair;
+    private final LinkConfiguration.OrderedPair pair;
     private final boolean interRegion;
     private final long latencyNs;
     private final SharedBandwidth bandwidth;
     private boolean cut;
     private long bytes;
 
-    LinkLane(LinkPlan.Pair pair, boolean interRegion, double latencyMs, SharedBandwidth bandwidth) {
+    DirectedLink(LinkConfiguration.OrderedPair pair, boolean interRegion, double latencyMs, SharedBandwidth bandwidth) {
         this.pair = pair;
         this.interRegion = interRegion;
         this.latencyNs = Math.round(latencyMs * NS_PER_MS);
         this.bandwidth = bandwidth;
     }
 
-    LinkPlan.Pair pair() {
+    LinkConfiguration.OrderedPair pair() {
         return pair;
     }
 
@@ -28,13 +30,13 @@
         return interRegion;
     }
 
-    /** Counts a chunk and returns when it arrives, unless the lane is cut by then. */
-    long send(int chunkBytes, long nowNs) {
+    /** Counts the bytes of a chunk and returns its arrival time; the arrival is delayed while the link is cut. */
+    long scheduleArrival(int chunkBytes, long nowNs) {
         bytes += chunkBytes;
-        return bandwidth.send(chunkBytes, nowNs) + latencyNs;
+        return bandwidth.reserve(chunkBytes, nowNs) + latencyNs;
     }
 
-    /** Payload bytes that entered the lane. */
+    /** Payload bytes sent over the link. */
     long bytes() {
         return bytes;
     }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LinkPlan.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LinkConfiguration.java
@@ -5,52 +5,54 @@
 import java.util.Map;
 
 /**
- * What a link file says.
+ * The parsed content of a link file.
  *
  * @param routes the forwarded endpoints
  * @param regions the region of each failure domain
  * @param latencyMs one-way latency by ordered pair of failure domains, in milliseconds
- * @param bandwidthBytesPerSecond bandwidth by ordered pair of regions, shared by all its links
+ * @param bandwidthBytesPerSecond bandwidth by ordered pair of regions, shared by all links of the pair
  */
-record LinkPlan(
+record LinkConfiguration(
         List<LinkRoute> routes,
         Map<String, String> regions,
-        Map<Pair, Double> latencyMs,
-        Map<Pair, Double> bandwidthBytesPerSecond) {
-    /** Copies its parts. */
-    LinkPlan {
+        Map<OrderedPair, Double> latencyMs,
+        Map<OrderedPair, Double> bandwidthBytesPerSecond) {
+    /** Copies the collections. */
+    LinkConfiguration {
         routes = List.copyOf(routes);
         regions = Map.copyOf(regions);
         latencyMs = Map.copyOf(latencyMs);
         bandwidthBytesPerSecond = Map.copyOf(bandwidthBytesPerSecond);
     }
 
-    /** The lanes between every two failure domains; lanes of the same ordered pair of regions share their bandwidth. */
-    Map<Pair, LinkLane> lanes() {
-        Map<Pair, SharedBandwidth> shared = new HashMap<>();
-        bandwidthBytesPerSecond.forEach((pair, rate) -> shared.put(pair, SharedBandwidth.of(rate)));
-        Map<Pair, LinkLane> lanes = new HashMap<>();
+    /**
+     * Links for all ordered pairs of failure domains; links of the same ordered pair of regions share their bandwidth.
+     */
+    Map<OrderedPair, DirectedLink> directedLinks() {
+        Map<OrderedPair, SharedBandwidth> shared = new HashMap<>();
+        bandwidthBytesPerSecond.forEach((pair, rate) -> shared.put(pair, SharedBandwidth.withRate(rate)));
+        Map<OrderedPair, DirectedLink> links = new HashMap<>();
         for (String from : regions.keySet()) {
             for (String to : regions.keySet()) {
-                Pair pair = new Pair(from, to);
-                Pair regionPair = new Pair(regions.get(from), regions.get(to));
-                lanes.put(
+                OrderedPair pair = new OrderedPair(from, to);
+                OrderedPair regionPair = new OrderedPair(regions.get(from), regions.get(to));
+                links.put(
                         pair,
-                        new LinkLane(
+                        new DirectedLink(
                                 pair,
                                 !regionPair.from().equals(regionPair.to()),
                                 latencyMs.getOrDefault(pair, 0.0),
                                 shared.getOrDefault(regionPair, SharedBandwidth.unlimited())));
             }
         }
-        return lanes;
+        return links;
     }
 
     /**
      * An ordered pair of failure domains, or of regions.
      *
-     * @param from where bytes leave
-     * @param to where they arrive
+     * @param from the sending side
+     * @param to the receiving side
      */
-    record Pair(String from, String to) {}
+    record OrderedPair(String from, String to) {}
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LinkConnection.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LinkConnection.java
@@ -18,43 +18,43 @@
 import org.hornbeamspread.protocol.schema.Endpoint;
 
 /**
- * One forwarded connection. Opening it, its bytes and its close travel through the same queue, so all of them wait
- * while the lane is cut. The caller's first bytes leave when the opening has travelled there and back, as after TCP's
- * handshake. Runs on the accepted channel's event loop.
+ * One forwarded connection. The open, data and close segments pass through the same queue, so all of them are delayed
+ * while the link is cut. The caller's first bytes are forwarded after the open segment has made one round trip, as
+ * after the TCP handshake. Runs on the accepted channel's event loop.
  */
 final class LinkConnection {
     private static final long MAX_QUEUED_BYTES = 256 << 10;
 
     private final Channel caller;
     private final Endpoint target;
-    private final Way forward;
-    private final Way back;
+    private final Direction forward;
+    private final Direction backward;
 
-    LinkConnection(Channel caller, Endpoint target, LinkLane forwardLane, LinkLane backLane) {
+    LinkConnection(Channel caller, Endpoint target, DirectedLink forwardLink, DirectedLink backwardLink) {
         this.caller = caller;
         this.target = target;
-        this.forward = new Way(forwardLane);
-        this.back = new Way(backLane);
+        this.forward = new Direction(forwardLink);
+        this.backward = new Direction(backwardLink);
     }
 
-    /** Starts to forward; the caller's channel must not read by itself yet. */
+    /** Starts forwarding. Auto-read of the caller's channel must still be off. */
     void start() {
-        back.sink = caller;
-        back.established = true;
+        backward.sink = caller;
+        backward.established = true;
         forward.source = caller;
-        caller.pipeline().addLast(new Receiver(forward));
-        forward.send(Parcel.open());
+        caller.pipeline().addLast(new SocketReader(forward));
+        forward.send(Segment.open());
     }
 
-    /** Delivers what may arrive now, as after a lane is healed. */
+    /** Delivers all segments that are due, for example after a link is healed. */
     void deliver() {
         forward.deliver();
-        back.deliver();
+        backward.deliver();
     }
 
-    /** Whether both ends are gone and nothing is under way. */
+    /** Whether both directions are closed and no segment is in flight. */
     boolean isFinished() {
-        return forward.closed && back.closed;
+        return forward.closed && backward.closed;
     }
 
     private void connect() {
@@ -63,23 +63,23 @@
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.AUTO_READ, false)
-                .handler(new Receiver(back))
+                .handler(new SocketReader(backward))
                 .connect(new InetSocketAddress(target.getHost(), target.getPort()))
-                .addListener((ChannelFutureListener) this::connected);
+                .addListener((ChannelFutureListener) this::handleConnectResult);
     }
 
-    private void connected(ChannelFuture opened) {
-        if (opened.isSuccess()) {
-            forward.sink = opened.channel();
-            back.source = opened.channel();
-            back.send(Parcel.open());
+    private void handleConnectResult(ChannelFuture connectFuture) {
+        if (connectFuture.isSuccess()) {
+            forward.sink = connectFuture.channel();
+            backward.source = connectFuture.channel();
+            backward.send(Segment.open());
         } else {
-            back.send(Parcel.close());
+            backward.send(Segment.close());
             forward.closed = true;
         }
     }
 
-    /** What travels. */
+    /** The type of a segment. */
     private enum Kind {
         OPEN,
         DATA,
@@ -87,88 +87,88 @@
     }
 
     /**
-     * One thing under way.
+     * A segment sent in one direction.
      *
-     * @param kind what it is
-     * @param data its bytes; empty unless it is data
+     * @param kind the type of the segment
+     * @param data the payload; empty unless the kind is DATA
      */
-    private record Parcel(Kind kind, ByteBuf data) {
-        static Parcel open() {
-            return new Parcel(Kind.OPEN, Unpooled.EMPTY_BUFFER);
+    private record Segment(Kind kind, ByteBuf data) {
+        static Segment open() {
+            return new Segment(Kind.OPEN, Unpooled.EMPTY_BUFFER);
         }
 
-        static Parcel close() {
-            return new Parcel(Kind.CLOSE, Unpooled.EMPTY_BUFFER);
+        static Segment close() {
+            return new Segment(Kind.CLOSE, Unpooled.EMPTY_BUFFER);
         }
     }
 
-    /** One direction with its two sockets. */
-    private final class Way {
-        private final LinkDirection<Parcel> direction;
+    /** One direction of the connection, with the source and sink sockets. */
+    private final class Direction {
+        private final LinkQueue<Segment> queue;
 
-        /** Where bytes come from; null until it is connected. */
+        /** The socket from which bytes are read; null until connected. */
         private Channel source;
 
-        /** Where bytes go; null until it is connected. */
+        /** The socket to which bytes are written; null until connected. */
         private Channel sink;
 
-        /** Whether the sink is connected and the source knows it. */
+        /** Whether the sink is connected and its open segment has reached the source. */
         private boolean established;
 
-        private boolean deliveryPlanned;
+        private boolean deliveryScheduled;
         private boolean closed;
 
-        Way(LinkLane lane) {
-            this.direction = new LinkDirection<>(lane);
+        Direction(DirectedLink link) {
+            this.queue = new LinkQueue<>(link);
         }
 
-        void send(Parcel parcel) {
-            direction.add(parcel, parcel.data().readableBytes(), System.nanoTime());
-            throttle();
+        void send(Segment segment) {
+            queue.add(segment, segment.data().readableBytes(), System.nanoTime());
+            updateAutoRead();
             deliver();
         }
 
         void deliver() {
-            Optional<Parcel> next = direction.poll(System.nanoTime());
+            Optional<Segment> next = queue.poll(System.nanoTime());
             while (next.isPresent()) {
-                arrive(next.get());
-                next = direction.poll(System.nanoTime());
+                handleArrival(next.get());
+                next = queue.poll(System.nanoTime());
             }
-            throttle();
-            OptionalLong waitNs = direction.waitNs(System.nanoTime());
-            if (waitNs.isPresent() && !deliveryPlanned) {
-                deliveryPlanned = true;
-                caller.eventLoop().schedule(this::deliverAsPlanned, waitNs.getAsLong(), TimeUnit.NANOSECONDS);
+            updateAutoRead();
+            OptionalLong waitNs = queue.nsUntilNextArrival(System.nanoTime());
+            if (waitNs.isPresent() && !deliveryScheduled) {
+                deliveryScheduled = true;
+                caller.eventLoop().schedule(this::runScheduledDelivery, waitNs.getAsLong(), TimeUnit.NANOSECONDS);
             }
         }
 
-        private void deliverAsPlanned() {
-            deliveryPlanned = false;
+        private void runScheduledDelivery() {
+            deliveryScheduled = false;
             deliver();
         }
 
-        void throttle() {
+        void updateAutoRead() {
             if (source != null) {
                 source.config()
-                        .setAutoRead(direction.queuedBytes() < MAX_QUEUED_BYTES
+                        .setAutoRead(queue.queuedBytes() < MAX_QUEUED_BYTES
                                 && established
                                 && (sink.isWritable() || !sink.isActive()));
             }
         }
 
-        private void open() {
+        private void handleOpen() {
             if (this == forward) {
                 connect();
             } else {
                 forward.established = true;
-                forward.throttle();
+                forward.updateAutoRead();
             }
         }
 
-        private void arrive(Parcel parcel) {
-            switch (parcel.kind()) {
-                case OPEN -> open();
-                case DATA -> sink.writeAndFlush(parcel.data());
+        private void handleArrival(Segment segment) {
+            switch (segment.kind()) {
+                case OPEN -> handleOpen();
+                case DATA -> sink.writeAndFlush(segment.data());
                 case CLOSE -> {
                     closed = true;
                     if (sink != null) {
@@ -179,32 +179,34 @@
         }
     }
 
-    /** Reads one socket into its way, and resumes the other way when the socket can take more. */
-    private final class Receiver extends ChannelInboundHandlerAdapter {
-        private final Way way;
+    /**
+     * Forwards data read from one socket, and updates auto-read of the opposite direction when the writability changes.
+     */
+    private final class SocketReader extends ChannelInboundHandlerAdapter {
+        private final Direction direction;
 
-        Receiver(Way way) {
-            this.way = way;
+        SocketReader(Direction direction) {
+            this.direction = direction;
         }
 
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
-            if (way.closed) {
+            if (direction.closed) {
                 ReferenceCountUtil.release(message);
             } else {
-                way.send(new Parcel(Kind.DATA, (ByteBuf) message));
+                direction.send(new Segment(Kind.DATA, (ByteBuf) message));
             }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-            Way other = way == forward ? back : forward;
-            other.throttle();
+            Direction other = direction == forward ? backward : forward;
+            other.updateAutoRead();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
-            way.send(Parcel.close());
+            direction.send(Segment.close());
         }
 
         @Override
--- a/emulator/src/main/java/org/hornbeamspread/emulator/LogFollower.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/LogFollower.java
@@ -15,54 +15,57 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * Pulls the primary's log into a replica. First it finds the last place where both logs agree; entries that come after
- * it are held for the replication lag and then appended. Each Follow starts a new epoch; whatever belongs to an earlier
- * one is dropped. Decision thread only.
+ * Replicates the primary's log to a replica by long polling. The follower first determines the last position at which
+ * both logs agree; entries after that position are delayed by the replication lag and then appended. Each Follow to
+ * another target, and each stop, starts a new epoch; responses and delayed entries of earlier epochs are discarded.
+ * Confined to the decision thread.
  */
 final class LogFollower {
-    private static final int MAX_ENTRIES = 256;
-    private static final int WAIT_MS = 300;
+    private static final int MAX_ENTRIES_PER_READ = 256;
+    private static final int LONG_POLL_MS = 300;
     private static final Duration TIMEOUT = Duration.ofSeconds(1);
-    private static final Duration RETRY_PAUSE = Duration.ofMillis(50);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(50);
 
     private final DatabaseSettings settings;
     private final DatabaseState state;
-    private final DecisionLoop loop;
+    private final EventLoop eventLoop;
     private final PeerTransport transport;
     private final Runnable onChange;
     private Follow target = Follow.getDefaultInstance();
     private long epoch;
-    private boolean accepted;
+    private boolean logAccepted;
     private int setAsideEntries;
 
-    /** Where the next request starts: the last entry that was received, perhaps not appended yet. */
-    private LogPosition received = LogPosition.NONE;
+    /** Start position of the next request: the last entry received, which may not be appended yet. */
+    private LogPosition lastReceived = LogPosition.NONE;
 
-    /** Called once, when the primary's log is accepted. */
+    /** Called once, after the primary's log is accepted, with the number of entries set aside. */
     private Consumer<Integer> onAccepted = ignored -> {};
 
     LogFollower(
             DatabaseSettings settings,
             DatabaseState state,
-            DecisionLoop loop,
+            EventLoop loop,
             PeerTransport transport,
             Runnable onChange) {
         this.settings = settings;
         this.state = state;
-        this.loop = loop;
+        this.eventLoop = loop;
         this.transport = transport;
         this.onChange = onChange;
     }
 
-    /** Whether it follows this primary at this term already. */
-    boolean follows(Follow request) {
+    /** Whether the follower already follows this primary at this term. */
+    boolean isFollowing(Follow request) {
         return request.equals(target);
     }
 
-    /** Follows a primary. The callback gets the number of entries that were set aside, once the log is accepted. */
+    /**
+     * Follows a primary. The callback receives the number of entries set aside, after the primary's log is accepted.
+     */
     void follow(Follow request, Consumer<Integer> whenAccepted) {
-        if (follows(request)) {
-            if (accepted) {
+        if (isFollowing(request)) {
+            if (logAccepted) {
                 whenAccepted.accept(setAsideEntries);
             } else {
                 onAccepted = onAccepted.andThen(whenAccepted);
@@ -72,37 +75,37 @@
         stop();
         target = request;
         onAccepted = whenAccepted;
-        received = state.end();
-        open(epoch);
+        lastReceived = state.lastPosition();
+        connectToPrimary(epoch);
     }
 
-    /** Stops, as after a fence. */
+    /** Stops following, for example after a fence. */
     void stop() {
         epoch++;
         target = Follow.getDefaultInstance();
-        accepted = false;
+        logAccepted = false;
         setAsideEntries = 0;
         onAccepted = ignored -> {};
     }
 
-    private void open(long at) {
-        if (at != epoch) {
+    private void connectToPrimary(long requestEpoch) {
+        if (requestEpoch != epoch) {
             return;
         }
         Endpoint primary = target.getPrimary();
         transport
                 .connect(primary, TIMEOUT, (connection, request, answer) -> {})
-                .whenComplete((connection, error) -> loop.submit(() -> {
+                .whenComplete((connection, error) -> eventLoop.submit(() -> {
                     if (error != null) {
-                        loop.after(RETRY_PAUSE, () -> open(at));
+                        eventLoop.schedule(RETRY_DELAY, () -> connectToPrimary(requestEpoch));
                     } else {
-                        pull(at, connection);
+                        fetchEntries(requestEpoch, connection);
                     }
                 }));
     }
 
-    private void pull(long at, PeerConnection connection) {
-        if (at != epoch) {
+    private void fetchEntries(long requestEpoch, PeerConnection connection) {
+        if (requestEpoch != epoch) {
             connection.close();
             return;
         }
@@ -110,32 +113,32 @@
                 .setReadLog(ReadLog.newBuilder()
                         .setFollowerId(settings.databaseId())
                         .setTerm(target.getTerm())
-                        .setAfter(Envelopes.position(received))
-                        .setMaxEntries(MAX_ENTRIES)
-                        .setWaitMs(WAIT_MS))
+                        .setAfter(Envelopes.position(lastReceived))
+                        .setMaxEntries(MAX_ENTRIES_PER_READ)
+                        .setWaitMs(LONG_POLL_MS))
                 .build();
         connection
                 .request(request, TIMEOUT)
-                .whenComplete((answer, error) -> loop.submit(() -> {
-                    boolean usable = error == null && answer.getLogRead().getTerm() == target.getTerm();
-                    if (at == epoch && usable) {
-                        take(answer.getLogRead());
-                        pull(at, connection);
+                .whenComplete((answer, error) -> eventLoop.submit(() -> {
+                    boolean isValid = error == null && answer.getLogRead().getTerm() == target.getTerm();
+                    if (requestEpoch == epoch && isValid) {
+                        processLogRead(answer.getLogRead());
+                        fetchEntries(requestEpoch, connection);
                     } else {
                         connection.close();
-                        loop.after(RETRY_PAUSE, () -> open(at));
+                        eventLoop.schedule(RETRY_DELAY, () -> connectToPrimary(requestEpoch));
                     }
                 }));
     }
 
-    private void take(LogRead read) {
+    private void processLogRead(LogRead read) {
         if (!read.getMatches()) {
-            received = state.positionAt(Math.min(read.getMatchingIndex(), received.indexEntries() - 1));
+            lastReceived = state.positionAt(Math.min(read.getMatchingIndex(), lastReceived.indexEntries() - 1));
             return;
         }
-        if (!accepted) {
-            accepted = true;
-            setAsideEntries += state.accept(target.getTerm(), received).size();
+        if (!logAccepted) {
+            logAccepted = true;
+            setAsideEntries += state.acceptLog(target.getTerm(), lastReceived).size();
             onChange.run();
             onAccepted.accept(setAsideEntries);
         }
@@ -143,17 +146,17 @@
         if (entries.isEmpty()) {
             return;
         }
-        received = Envelopes.position(entries.get(entries.size() - 1).getPosition());
+        lastReceived = Envelopes.position(entries.get(entries.size() - 1).getPosition());
         if (settings.replicationLagMs() == 0) {
             append(epoch, entries);
         } else {
-            long at = epoch;
-            loop.after(Duration.ofMillis(settings.replicationLagMs()), () -> append(at, entries));
+            long requestEpoch = epoch;
+            eventLoop.schedule(Duration.ofMillis(settings.replicationLagMs()), () -> append(requestEpoch, entries));
         }
     }
 
-    private void append(long at, List<LogEntry> entries) {
-        if (at == epoch) {
+    private void append(long requestEpoch, List<LogEntry> entries) {
+        if (requestEpoch == epoch) {
             state.append(target.getTerm(), entries);
             onChange.run();
         }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/RowOverlay.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/RowOverlay.java
@@ -4,49 +4,49 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** Writes that are not committed yet, seen on top of the rows below. */
+/** A view of base rows with uncommitted writes applied on top. */
 final class RowOverlay implements Rows {
-    private final Rows below;
-    private final RowStore written = new RowStore();
-    private final TreeMap<TableKey, String> order = new TreeMap<>();
+    private final Rows base;
+    private final RowStore ownRows = new RowStore();
+    private final TreeMap<TableKey, String> orderedWrites = new TreeMap<>();
 
-    RowOverlay(Rows below) {
-        this.below = below;
+    RowOverlay(Rows base) {
+        this.base = base;
     }
 
     @Override
     public Optional<String> get(String table, String key) {
-        Optional<String> own = written.get(table, key);
-        return own.isPresent() ? own : below.get(table, key);
+        Optional<String> ownValue = ownRows.get(table, key);
+        return ownValue.isPresent() ? ownValue : base.get(table, key);
     }
 
     @Override
     public SortedMap<String, String> withPrefix(String table, String prefix) {
-        SortedMap<String, String> own = written.withPrefix(table, prefix);
-        if (own.isEmpty()) {
-            return below.withPrefix(table, prefix);
+        SortedMap<String, String> ownMatches = ownRows.withPrefix(table, prefix);
+        if (ownMatches.isEmpty()) {
+            return base.withPrefix(table, prefix);
         }
-        SortedMap<String, String> merged = new TreeMap<>(below.withPrefix(table, prefix));
-        merged.putAll(own);
+        SortedMap<String, String> merged = new TreeMap<>(base.withPrefix(table, prefix));
+        merged.putAll(ownMatches);
         return merged;
     }
 
     @Override
     public void put(String table, String key, String value) {
-        written.put(table, key, value);
-        order.put(new TableKey(table, key), value);
+        ownRows.put(table, key, value);
+        orderedWrites.put(new TableKey(table, key), value);
     }
 
-    /** Writes everything to the rows below. */
+    /** Applies all writes to the base rows. */
     void flush() {
-        order.forEach((at, value) -> below.put(at.table(), at.key(), value));
+        orderedWrites.forEach((tableKey, value) -> base.put(tableKey.table(), tableKey.key(), value));
     }
 
     /**
-     * Where a row is.
+     * Identifies a row.
      *
-     * @param table the table's name
-     * @param key the row's key
+     * @param table name of the table
+     * @param key key of the row
      */
     private record TableKey(String table, String key) implements Comparable<TableKey> {
         @Override
--- a/emulator/src/main/java/org/hornbeamspread/emulator/StatementRunner.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/StatementRunner.java
@@ -9,7 +9,10 @@
 import org.hornbeamspread.protocol.schema.Statement;
 import org.hornbeamspread.protocol.schema.StatementResult;
 
-/** Runs the statements that the schema documents. The same statements on the same rows give the same results. */
+/**
+ * Executes the statements documented in the schema. Execution is deterministic: equal rows and statements give equal
+ * results.
+ */
 final class StatementRunner {
     private static final long MAX_SLEEP_MS = 60_000;
 
@@ -23,15 +26,18 @@
         };
     }
 
-    /** How long a statement holds its slot beyond the usual time. Fails with INVALID_STATEMENT. */
+    /** Time for which a statement holds its slot in addition to the configured time. Fails with INVALID_STATEMENT. */
     static long sleepMs(Statement statement) {
         if (!"sleep".equals(statement.getName())) {
             return 0;
         }
-        return Math.max(0, Math.min(MAX_SLEEP_MS, number(statement, 0)));
+        return Math.max(0, Math.min(MAX_SLEEP_MS, integerArgument(statement, 0)));
     }
 
-    /** Runs statements in order. Fails with INVALID_STATEMENT or STATEMENT_CONFLICT; the rows may then be half changed. */
+    /**
+     * Executes statements in order. A failure with INVALID_STATEMENT or STATEMENT_CONFLICT may leave rows partly
+     * changed.
+     */
     static List<StatementResult> runAll(Rows rows, List<Statement> statements) {
         List<StatementResult> results = new ArrayList<>(statements.size());
         for (Statement statement : statements) {
@@ -49,36 +55,36 @@
             case "row.scan" -> scan(rows, statement);
             case "row.count" -> count(rows, statement);
             case "sleep" -> sleep(statement);
-            default -> throw invalid(statement, "unknown name");
+            default -> throw invalidStatement(statement, "unknown statement name");
         };
     }
 
     private static StatementResult get(Rows rows, Statement statement) {
-        expect(statement, 2);
+        checkArgumentCount(statement, 2);
         StatementResult.Builder result = StatementResult.newBuilder();
         rows.get(argument(statement, 0), argument(statement, 1)).ifPresent(value -> result.addRows(row(value)));
         return result.build();
     }
 
     private static StatementResult put(Rows rows, Statement statement) {
-        expect(statement, 3);
+        checkArgumentCount(statement, 3);
         rows.put(argument(statement, 0), argument(statement, 1), argument(statement, 2));
         return StatementResult.newBuilder().setAffectedRows(1).build();
     }
 
     private static StatementResult insert(Rows rows, Statement statement) {
-        expect(statement, 3);
+        checkArgumentCount(statement, 3);
         String table = argument(statement, 0);
         String key = argument(statement, 1);
         if (rows.get(table, key).isPresent()) {
-            throw new FailureException(FailureType.STATEMENT_CONFLICT, table + " " + key + " is present");
+            throw new FailureException(FailureType.STATEMENT_CONFLICT, table + " " + key + " already exists");
         }
         rows.put(table, key, argument(statement, 2));
         return StatementResult.newBuilder().setAffectedRows(1).build();
     }
 
     private static StatementResult add(Rows rows, Statement statement) {
-        expect(statement, 3);
+        checkArgumentCount(statement, 3);
         String table = argument(statement, 0);
         String key = argument(statement, 1);
         String before = rows.get(table, key).orElse("0");
@@ -92,24 +98,24 @@
 
     private static String sum(Statement statement, String before) {
         try {
-            return Long.toString(Math.addExact(Long.parseLong(before), number(statement, 2)));
+            return Long.toString(Math.addExact(Long.parseLong(before), integerArgument(statement, 2)));
         } catch (NumberFormatException | ArithmeticException e) {
-            throw invalid(statement, "the row is not an integer that can be added to");
+            throw invalidStatement(statement, "the value of the row is not an integer, or the sum overflows");
         }
     }
 
     private static StatementResult scan(Rows rows, Statement statement) {
-        expect(statement, 3);
+        checkArgumentCount(statement, 3);
         SortedMap<String, String> found = rows.withPrefix(argument(statement, 0), argument(statement, 1));
         StatementResult.Builder result = StatementResult.newBuilder();
         found.entrySet().stream()
-                .limit(Math.max(0, number(statement, 2)))
+                .limit(Math.max(0, integerArgument(statement, 2)))
                 .forEach(entry -> result.addRows(row(entry.getKey(), entry.getValue())));
         return result.build();
     }
 
     private static StatementResult count(Rows rows, Statement statement) {
-        expect(statement, 2);
+        checkArgumentCount(statement, 2);
         int found =
                 rows.withPrefix(argument(statement, 0), argument(statement, 1)).size();
         return StatementResult.newBuilder()
@@ -118,8 +124,8 @@
     }
 
     private static StatementResult sleep(Statement statement) {
-        expect(statement, 1);
-        number(statement, 0);
+        checkArgumentCount(statement, 1);
+        integerArgument(statement, 0);
         return StatementResult.getDefaultInstance();
     }
 
@@ -127,9 +133,9 @@
         return Row.newBuilder().addAllColumns(List.of(columns)).build();
     }
 
-    private static void expect(Statement statement, int arguments) {
+    private static void checkArgumentCount(Statement statement, int arguments) {
         if (statement.getArgumentsCount() != arguments) {
-            throw invalid(statement, arguments + " arguments expected");
+            throw invalidStatement(statement, arguments + " arguments expected");
         }
     }
 
@@ -137,15 +143,15 @@
         return statement.getArguments(index);
     }
 
-    private static long number(Statement statement, int index) {
+    private static long integerArgument(Statement statement, int index) {
         try {
             return Long.parseLong(statement.getArguments(index));
         } catch (NumberFormatException | IndexOutOfBoundsException e) {
-            throw invalid(statement, "argument " + index + " is not an integer");
+            throw invalidStatement(statement, "argument " + index + " is not an integer");
         }
     }
 
-    private static FailureException invalid(Statement statement, String reason) {
+    private static FailureException invalidStatement(Statement statement, String reason) {
         return new FailureException(FailureType.INVALID_STATEMENT, statement.getName() + ": " + reason);
     }
 }
--- a/emulator/src/main/java/org/hornbeamspread/emulator/StatementService.java
+++ b/emulator/src/main/java/org/hornbeamspread/emulator/StatementService.java
@@ -26,24 +26,25 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * Connections, slots, statements and transactions of one database. A statement takes effect at the end of its time in
- * the slot, and the term is checked then. So of two requests with one idempotency key the second one finds the key of
- * the first, also when both waited together; and a key look-up waits for requests with that key. Decision thread only.
+ * Connections, slots, statements and transactions of one database. A statement takes effect at the end of the time for
+ * which it holds the slot, and its term is checked at that point. Therefore, of two requests with the same idempotency
+ * key, the second detects the key of the first even if both were waiting at the same time. A key look-up waits for
+ * in-flight requests with that key. Confined to the decision thread.
  */
 final class StatementService {
     private final DatabaseSettings settings;
     private final DatabaseState state;
-    private final DecisionLoop loop;
+    private final EventLoop eventLoop;
     private final Runnable onCommit;
     private final SlotQueue slots;
     private final Multiset<String> keysInFlight = HashMultiset.create();
-    private final ListMultimap<String, Runnable> waitingLookUps = ArrayListMultimap.create();
+    private final ListMultimap<String, Runnable> pendingLookUps = ArrayListMultimap.create();
     private int connections;
 
-    StatementService(DatabaseSettings settings, DatabaseState state, DecisionLoop loop, Runnable onCommit) {
+    StatementService(DatabaseSettings settings, DatabaseState state, EventLoop loop, Runnable onCommit) {
         this.settings = settings;
         this.state = state;
-        this.loop = loop;
+        this.eventLoop = loop;
         this.onCommit = onCommit;
         this.slots = new SlotQueue(settings.slots());
     }
@@ -56,21 +57,23 @@
         return slots.inUse();
     }
 
-    /** Opens a database connection after the connect time. Refused with CONNECTION_LIMIT. */
+    /**
+     * Opens a database connection after the connect time. Fails with DEPARTING, INVALID_REQUEST or CONNECTION_LIMIT.
+     */
     void connect(ClientSession session, boolean departing, Consumer<Envelope> answer) {
         if (departing) {
             throw new FailureException(FailureType.DEPARTING, settings.databaseId());
         }
         if (session.isCounted()) {
-            throw new FailureException(FailureType.INVALID_REQUEST, "connected already");
+            throw new FailureException(FailureType.INVALID_REQUEST, "Connect was already received on this connection");
         }
         if (connections >= settings.connectionLimit()) {
-            throw new FailureException(FailureType.CONNECTION_LIMIT, connections + " open");
+            throw new FailureException(FailureType.CONNECTION_LIMIT, connections + " connections are open");
         }
-        session.count();
+        session.markCounted();
         connections++;
-        loop.after(Duration.ofMillis(settings.connectTimeMs()), () -> {
-            session.connect();
+        eventLoop.schedule(Duration.ofMillis(settings.connectTimeMs()), () -> {
+            session.markConnected();
             answer.accept(Envelope.newBuilder()
                     .setConnected(Connected.newBuilder()
                             .setDatabaseId(settings.databaseId())
@@ -81,7 +84,7 @@
         });
     }
 
-    /** The connection is gone. What runs in a slot runs to its end. */
+    /** Handles the close of a connection. A statement that already holds a slot runs to completion. */
     void close(ClientSession session) {
         if (session.isCounted() && !session.isClosed()) {
             connections--;
@@ -95,52 +98,54 @@
         if (!request.getReadOnly()) {
             state.checkWritable(request.getTerm());
         }
-        session.begin(new DatabaseTransaction(request.getTerm(), request.getReadOnly(), state.rows()));
+        session.beginTransaction(new DatabaseTransaction(request.getTerm(), request.getReadOnly(), state.rows()));
         return Envelope.newBuilder()
                 .setTransactionBegun(TransactionBegun.getDefaultInstance())
                 .build();
     }
 
-    /** A request with this idempotency key has arrived; look-ups of the key wait until {@link #left}. */
-    void arrived(String idempotencyKey) {
+    /**
+     * Registers an arrived request with this idempotency key; look-ups of the key wait until {@link #requestCompleted}.
+     */
+    void requestArrived(String idempotencyKey) {
         keysInFlight.add(idempotencyKey);
     }
 
-    /** A request that had arrived is answered or dropped. */
-    void left(String idempotencyKey) {
+    /** Unregisters an arrived request that was answered or dropped, and runs the look-ups that waited for the key. */
+    void requestCompleted(String idempotencyKey) {
         keysInFlight.remove(idempotencyKey);
         if (!keysInFlight.contains(idempotencyKey)) {
-            waitingLookUps.removeAll(idempotencyKey).forEach(Runnable::run);
+            pendingLookUps.removeAll(idempotencyKey).forEach(Runnable::run);
         }
     }
 
-    /** Runs statements in a slot, and calls {@code done} after the answer. */
-    void execute(ClientSession session, ExecuteStatements request, Consumer<Envelope> answer, Runnable done) {
-        Optional<DatabaseTransaction> open = session.transaction();
+    /** Executes statements in a slot, and calls {@code onComplete} after the answer. */
+    void execute(ClientSession session, ExecuteStatements request, Consumer<Envelope> answer, Runnable onComplete) {
+        Optional<DatabaseTransaction> openTransaction = session.transaction();
         Optional<CommitOutcome> replayed;
-        Duration hold;
+        Duration holdTime;
         try {
             session.checkConnected();
-            replayed = beforeSlot(open, request);
-            hold = hold(request.getStatementsList());
+            replayed = findReplay(openTransaction, request);
+            holdTime = slotHoldTime(request.getStatementsList());
         } catch (FailureException e) {
             answer.accept(Envelopes.failureEnvelope(e));
-            done.run();
+            onComplete.run();
             return;
         }
         if (replayed.isPresent()) {
-            answer.accept(executed(replayed.get()));
-            done.run();
+            answer.accept(executedEnvelope(replayed.get()));
+            onComplete.run();
             return;
         }
         slots.submit(() -> {
-            boolean dropped = session.isClosed();
-            loop.after(dropped ? Duration.ZERO : hold, () -> {
-                if (!dropped) {
-                    answer.accept(attempt(() -> executed(take(open, request))));
+            boolean sessionClosed = session.isClosed();
+            eventLoop.schedule(sessionClosed ? Duration.ZERO : holdTime, () -> {
+                if (!sessionClosed) {
+                    answer.accept(resultOrFailure(() -> executedEnvelope(executeStatements(openTransaction, request))));
                 }
                 slots.release();
-                done.run();
+                onComplete.run();
             });
         });
     }
@@ -148,9 +153,9 @@
     /** Commits the open transaction. */
     Envelope commit(ClientSession session, CommitTransaction request) {
         session.checkConnected();
-        DatabaseTransaction transaction = session.end();
+        DatabaseTransaction transaction = session.takeTransaction();
         if (!request.getIdempotencyKey().isEmpty()) {
-            transaction.useKey(request.getIdempotencyKey());
+            transaction.setIdempotencyKey(request.getIdempotencyKey());
         }
         CommitOutcome outcome = state.commit(transaction, transaction.idempotencyKey());
         onCommit.run();
@@ -164,72 +169,76 @@
         return Envelope.newBuilder().setTransactionEnded(ended).build();
     }
 
-    /** Drops the open transaction. */
+    /** Rolls back the open transaction. */
     Envelope rollback(ClientSession session) {
         session.checkConnected();
-        session.end();
+        session.takeTransaction();
         return Envelope.newBuilder()
                 .setTransactionEnded(TransactionEnded.newBuilder()
-                        .setPosition(Envelopes.position(state.end()))
+                        .setPosition(Envelopes.position(state.lastPosition()))
                         .setTerm(state.metadata().term()))
                 .build();
     }
 
-    /** Looks a key up, after every request in flight with this key. */
+    /** Looks up an idempotency key after all in-flight requests with this key complete. */
     void lookUp(LookUpKey request, Consumer<Envelope> answer) {
         if (keysInFlight.contains(request.getIdempotencyKey())) {
-            waitingLookUps.put(request.getIdempotencyKey(), () -> answer.accept(attempt(() -> lookedUp(request))));
+            pendingLookUps.put(
+                    request.getIdempotencyKey(), () -> answer.accept(resultOrFailure(() -> lookUpEnvelope(request))));
         } else {
-            answer.accept(lookedUp(request));
+            answer.accept(lookUpEnvelope(request));
         }
     }
 
-    /** A request's answer, or its typed failure. */
-    static Envelope attempt(Supplier<Envelope> work) {
+    /** The result of an operation, or a failure envelope if the operation fails. */
+    static Envelope resultOrFailure(Supplier<Envelope> operation) {
         try {
-            return work.get();
+            return operation.get();
         } catch (FailureException e) {
             return Envelopes.failureEnvelope(e);
         }
     }
 
-    private Optional<CommitOutcome> beforeSlot(Optional<DatabaseTransaction> open, ExecuteStatements request) {
-        if (request.getReadOnly() || open.isPresent()) {
+    private Optional<CommitOutcome> findReplay(
+            Optional<DatabaseTransaction> openTransaction, ExecuteStatements request) {
+        if (request.getReadOnly() || openTransaction.isPresent()) {
             return Optional.empty();
         }
         state.checkWritable(request.getTerm());
-        return state.committed(request.getIdempotencyKey());
+        return state.findCommit(request.getIdempotencyKey());
     }
 
-    /** Runs a request at the end of its time in the slot, in the transaction that was open when it came. */
-    private CommitOutcome take(Optional<DatabaseTransaction> open, ExecuteStatements request) {
-        DatabaseTransaction transaction =
-                open.orElseGet(() -> new DatabaseTransaction(request.getTerm(), request.getReadOnly(), state.rows()));
+    /**
+     * Executes a request at the end of its slot time, in the transaction that was open when the request was started.
+     */
+    private CommitOutcome executeStatements(Optional<DatabaseTransaction> openTransaction, ExecuteStatements request) {
+        DatabaseTransaction transaction = openTransaction.orElseGet(
+                () -> new DatabaseTransaction(request.getTerm(), request.getReadOnly(), state.rows()));
         if (!transaction.readOnly()) {
             state.checkWritable(transaction.term());
-            Optional<CommitOutcome> earlier = state.committed(request.getIdempotencyKey());
-            if (earlier.isPresent()) {
-                return earlier.get();
+            Optional<CommitOutcome> previousOutcome = state.findCommit(request.getIdempotencyKey());
+            if (previousOutcome.isPresent()) {
+                return previousOutcome.get();
             }
         }
         if (!request.getIdempotencyKey().isEmpty()) {
-            transaction.useKey(request.getIdempotencyKey());
+            transaction.setIdempotencyKey(request.getIdempotencyKey());
         }
         List<StatementResult> results = transaction.run(request.getStatementsList());
-        if (open.isPresent()) {
-            return new CommitOutcome(results, state.end(), false);
+        if (openTransaction.isPresent()) {
+            return new CommitOutcome(results, state.lastPosition(), false);
         }
         CommitOutcome outcome = state.commit(transaction, request.getIdempotencyKey());
         onCommit.run();
         return outcome;
     }
 
-    private Duration hold(List<Statement> statements) {
+    private Duration slotHoldTime(List<Statement> statements) {
         long sleepMs = statements.stream().mapToLong(StatementRunner::sleepMs).sum();
         return Duration.ofMillis(settings.statementMs() * Math.max(1, statements.size()) + sleepMs);
     }
 
-    private Envelope executed(CommitOutcome outcome) {
+    private Envelope executedEnvelope(CommitOutcome outcome) {
         return Envelope.newBuilder()
                 .setStatementsExecuted(StatementsExecuted.newBuilder()
                         .addAllResults(outcome.results())
@@ -239,14 +248,14 @@
                 .build();
     }
 
-    private Envelope lookedUp(LookUpKey request) {
+    private Envelope lookUpEnvelope(LookUpKey request) {
         state.checkWritable(request.getTerm());
-        KeyLookedUp.Builder found =
+        KeyLookedUp.Builder response =
                 KeyLookedUp.newBuilder().setTerm(state.metadata().term());
-        state.committed(request.getIdempotencyKey())
-                .ifPresent(outcome -> found.setFound(true)
+        state.findCommit(request.getIdempotencyKey())
+                .ifPresent(outcome -> response.setFound(true)
                         .setPosition(Envelopes.position(outcome.position()))
                         .addAllResults(outcome.results()));
-        return Envelope.newBuilder().setKeyLookedUp(found).build();
+        return Envelope.newBuilder().setKeyLookedUp(response).build();
     }
 }
