--- a/load/src/main/java/org/hornbeamspread/load/AgentBooks.java
+++ b/load/src/main/java/org/hornbeamspread/load/AgentRows.java
@@ -9,14 +9,14 @@
  * @param times the value of each payment's row by payment id, 0 for an absent row
  * @param balance the agent's balance, 0 for an absent row
  */
-record AgentBooks(Map<String, Long> times, long balance) {
-    AgentBooks {
-        times = Map.copyOf(times);
+record AgentRows(Map<String, Long> executionCounts, long balance) {
+    AgentRows {
+        executionCounts = Map.copyOf(executionCounts);
     }
 
     /** How often a payment ran; empty when its row was not read. */
-    OptionalLong of(Payment payment) {
-        Long value = times.get(payment.id());
+    OptionalLong executionCount(Payment payment) {
+        Long value = executionCounts.get(payment.id());
         return value == null ? OptionalLong.empty() : OptionalLong.of(value);
     }
 }
--- a/load/src/main/java/org/hornbeamspread/load/AgentSession.java
+++ b/load/src/main/java/org/hornbeamspread/load/AgentSession.java
@@ -10,7 +10,7 @@
     private String lastProxy = "";
 
     /** The payment that the token was returned with, or that it covers; empty before the first. */
-    private Optional<Payment> visiblePayment = Optional.empty();
+    private Optional<Payment> lastPayment = Optional.empty();
 
     /** Raised with each payment, so that a read that was sent before it doesn't bring back an older token. */
     private int epoch;
@@ -31,8 +31,8 @@
         return lastProxy;
     }
 
-    Optional<Payment> visiblePayment() {
-        return visiblePayment;
+    Optional<Payment> lastPayment() {
+        return lastPayment;
     }
 
     int epoch() {
@@ -40,15 +40,15 @@
     }
 
     /** A payment was acknowledged. */
-    void onPayment(Payment payment, ExecuteResponse answer) {
+    void onPaymentAcknowledged(Payment payment, ExecuteResponse answer) {
         epoch++;
-        visiblePayment = Optional.of(payment);
+        lastPayment = Optional.of(payment);
         token = answer.getSessionToken();
         lastProxy = answer.getProxyId();
     }
 
     /** A read that was sent in an epoch was answered. */
-    void onRead(int sentInEpoch, ExecuteResponse answer) {
+    void onReadServed(int sentInEpoch, ExecuteResponse answer) {
         if (sentInEpoch == epoch) {
             token = answer.getSessionToken();
             lastProxy = answer.getProxyId();
--- a/load/src/main/java/org/hornbeamspread/load/Arrival.java
+++ b/load/src/main/java/org/hornbeamspread/load/Arrival.java
@@ -9,7 +9,7 @@
  */
 record Arrival(long atUs, int rank, boolean flood) {
     /** Whether it counts in the report's figures by rank; the ledger and the audit take in every payment. */
-    boolean counted() {
+    boolean isMeasured() {
         return atUs >= 0;
     }
 }
--- a/load/src/main/java/org/hornbeamspread/load/ArrivalSchedule.java
+++ b/load/src/main/java/org/hornbeamspread/load/ArrivalSchedule.java
@@ -28,18 +28,19 @@
         List<Arrival> arrivals = new ArrayList<>();
         SplittableRandom seeds = new SplittableRandom(seed);
         for (int rank = 0; rank < workload.ranks().size(); rank++) {
-            RankPlan plan = workload.ranks().get(rank);
-            addStream(arrivals, seeds.split(), plan.arrivalsPerSecond(), -warmUpUs, endUs, rank, false);
+            RankWorkload plan = workload.ranks().get(rank);
+            addPoissonArrivals(arrivals, seeds.split(), plan.arrivalsPerSecond(), -warmUpUs, endUs, rank, false);
             SplittableRandom floodRandom = seeds.split();
             if (floodRank.isPresent() && floodRank.get() == rank) {
-                addStream(arrivals, floodRandom, plan.floodArrivalsPerSecond(), endUs / 3, endUs * 2 / 3, rank, true);
+                addPoissonArrivals(
+                        arrivals, floodRandom, plan.floodArrivalsPerSecond(), endUs / 3, endUs * 2 / 3, rank, true);
             }
         }
         arrivals.sort(Comparator.comparingLong(Arrival::atUs));
         return arrivals;
     }
 
-    private static void addStream(
+    private static void addPoissonArrivals(
             List<Arrival> arrivals,
             SplittableRandom random,
             double perSecond,
--- a/load/src/main/java/org/hornbeamspread/load/Answer.java
+++ b/load/src/main/java/org/hornbeamspread/load/AttemptResult.java
@@ -16,16 +16,17 @@
  * @param failure the type of the failure; empty when it was done
  * @param retryAfter the pause that the proxy advises; zero for none
  */
-record Answer(Effect effect, Optional<ExecuteResponse> response, Optional<FailureType> failure, Duration retryAfter) {
+record AttemptResult(
+        Effect effect, Optional<ExecuteResponse> response, Optional<FailureType> failure, Duration retryAfter) {
     /** An answer of the method's own. A failure's type decides the effect, unless the answer itself is more careful. */
-    static Answer of(ExecuteResponse response) {
+    static AttemptResult of(ExecuteResponse response) {
         if (response.getFailure().getType().isEmpty()
                 && response.getEffect() == org.hornbeamspread.protocol.schema.Effect.DONE) {
-            return new Answer(Effect.DONE, Optional.of(response), Optional.empty(), Duration.ZERO);
+            return new AttemptResult(Effect.DONE, Optional.of(response), Optional.empty(), Duration.ZERO);
         }
         FailureException failure = Envelopes.exception(response.getFailure());
         boolean notRun = response.getEffect() == org.hornbeamspread.protocol.schema.Effect.NOT_RUN;
-        return new Answer(
+        return new AttemptResult(
                 notRun ? Effect.NOT_RUN : Effect.UNKNOWN,
                 Optional.of(response),
                 Optional.of(failure.type()),
@@ -33,8 +34,8 @@
     }
 
     /** No answer of the method's own. */
-    static Answer of(FailureException failure) {
-        return new Answer(
+    static AttemptResult of(FailureException failure) {
+        return new AttemptResult(
                 failure.type().effect(),
                 Optional.empty(),
                 Optional.of(failure.type()),
--- a/load/src/main/java/org/hornbeamspread/load/Audit.java
+++ b/load/src/main/java/org/hornbeamspread/load/Audit.java
@@ -35,7 +35,7 @@
      */
     record Result(long acknowledged, long lost, long doubled, long falseNotRun, long unknown, long unaudited) {
         /** Whether the books balance and all of them were seen. */
-        boolean balanced() {
+        boolean isConsistent() {
             return lost == 0 && doubled == 0 && falseNotRun == 0 && unaudited == 0;
         }
     }
@@ -45,13 +45,14 @@
      *
      * @param books what was read of each agent; an agent that is missing could not be read
      */
-    static Result compare(Ledger ledger, Map<String, AgentBooks> books) {
+    static Result compare(Ledger ledger, Map<String, AgentRows> books) {
         Tally tally = new Tally();
         ledger.byAgent().forEach((agent, payments) -> {
-            AgentBooks seen = books.get(agent);
-            payments.forEach(payment -> tally.payment(payment, seen == null ? OptionalLong.empty() : seen.of(payment)));
+            AgentRows seen = books.get(agent);
+            payments.forEach(payment ->
+                    tally.countPayment(payment, seen == null ? OptionalLong.empty() : seen.executionCount(payment)));
             if (seen != null) {
-                tally.balance(payments, seen);
+                tally.countBalance(payments, seen);
             }
         });
         return tally.result();
@@ -66,8 +67,8 @@
         private long unknown;
         private long unaudited;
 
-        void payment(Payment payment, OptionalLong value) {
-            Effect lastWord = payment.lastWord();
+        void countPayment(Payment payment, OptionalLong value) {
+            Effect lastWord = payment.outcome();
             acknowledged += lastWord == Effect.DONE ? 1 : 0;
             unknown += lastWord == Effect.UNKNOWN ? 1 : 0;
             if (value.isEmpty()) {
@@ -80,10 +81,10 @@
             doubled += times > 1 ? 1 : 0;
         }
 
-        void balance(List<Payment> payments, AgentBooks seen) {
+        void countBalance(List<Payment> payments, AgentRows seen) {
             long expected = 0;
             for (Payment payment : payments) {
-                expected += payment.amount() * seen.of(payment).orElse(0);
+                expected += payment.amount() * seen.executionCount(payment).orElse(0);
             }
             lost += seen.balance() < expected ? 1 : 0;
             doubled += seen.balance() > expected ? 1 : 0;
--- a/load/src/main/java/org/hornbeamspread/load/AuditReader.java
+++ b/load/src/main/java/org/hornbeamspread/load/AuditReader.java
@@ -19,43 +19,43 @@
  * in one request, with tries at other proxies until the time is over. An agent that could not be read is left out.
  */
 final class AuditReader {
-    private static final int WINDOW_AGENTS = 12;
+    private static final int MAX_AGENTS_IN_FLIGHT = 12;
     private static final int REQUEST_TIMEOUT_MS = 5_000;
-    private static final Duration ROUND_PAUSE = Duration.ofMillis(200);
+    private static final Duration RETRY_PAUSE = Duration.ofMillis(200);
 
-    private final ProxyPort port;
-    private final Requests requests;
+    private final ProxyClient port;
+    private final RequestFactory requests;
     private final String rank;
     private final Clock clock;
     private int nextProxy;
 
-    AuditReader(ProxyPort port, Workload workload, Clock clock) {
+    AuditReader(ProxyClient port, Workload workload, Clock clock) {
         this.port = port;
-        this.requests = new Requests(workload.service());
+        this.requests = new RequestFactory(workload.service());
         this.rank = workload.urgentRank().name();
         this.clock = clock;
     }
 
     /** The books of every agent that has payments. Blocks the calling thread. */
-    Map<String, AgentBooks> read(Ledger ledger, Duration limit) {
+    Map<String, AgentRows> read(Ledger ledger, Duration limit) {
         Instant deadline = clock.instant().plus(limit);
-        Map<String, AgentBooks> books = new HashMap<>();
+        Map<String, AgentRows> books = new HashMap<>();
         Deque<Map.Entry<String, List<Payment>>> open =
                 new ArrayDeque<>(ledger.byAgent().entrySet());
         while (!open.isEmpty() && clock.instant().isBefore(deadline)) {
-            List<Map.Entry<String, List<Payment>>> failed = readWindow(open, books);
+            List<Map.Entry<String, List<Payment>>> failed = readBatch(open, books);
             open.addAll(failed);
             if (!failed.isEmpty()) {
-                pause();
+                pauseBeforeRetry();
             }
         }
         return books;
     }
 
-    private List<Map.Entry<String, List<Payment>>> readWindow(
-            Deque<Map.Entry<String, List<Payment>>> open, Map<String, AgentBooks> books) {
+    private List<Map.Entry<String, List<Payment>>> readBatch(
+            Deque<Map.Entry<String, List<Payment>>> open, Map<String, AgentRows> books) {
         Map<Map.Entry<String, List<Payment>>, CompletableFuture<ExecuteResponse>> sent = new HashMap<>();
-        while (!open.isEmpty() && sent.size() < WINDOW_AGENTS) {
+        while (!open.isEmpty() && sent.size() < MAX_AGENTS_IN_FLIGHT) {
             Map.Entry<String, List<Payment>> agent = open.poll();
             String proxy = port.proxies().get(nextProxy++ % port.proxies().size());
             sent.put(
@@ -69,8 +69,8 @@
         sent.forEach((agent, future) -> {
             try {
                 ExecuteResponse response = future.join();
-                if (Answer.of(response).effect() == Effect.DONE) {
-                    books.put(agent.getKey(), books(agent.getValue(), response));
+                if (AttemptResult.of(response).effect() == Effect.DONE) {
+                    books.put(agent.getKey(), agentRows(agent.getValue(), response));
                     return;
                 }
             } catch (RuntimeException e) {
@@ -81,17 +81,17 @@
         return failed;
     }
 
-    private static AgentBooks books(List<Payment> payments, ExecuteResponse response) {
+    private static AgentRows agentRows(List<Payment> payments, ExecuteResponse response) {
         Map<String, Long> times = new HashMap<>();
         for (int i = 0; i < payments.size(); i++) {
-            times.put(payments.get(i).id(), Requests.number(response, i + 1));
+            times.put(payments.get(i).id(), RequestFactory.rowValue(response, i + 1));
         }
-        return new AgentBooks(times, Requests.number(response, 0));
+        return new AgentRows(times, RequestFactory.rowValue(response, 0));
     }
 
-    private static void pause() {
+    private static void pauseBeforeRetry() {
         try {
-            Thread.sleep(ROUND_PAUSE.toMillis());
+            Thread.sleep(RETRY_PAUSE.toMillis());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/load/src/main/java/org/hornbeamspread/load/Bound.java
+++ b/load/src/main/java/org/hornbeamspread/load/Bound.java
@@ -44,15 +44,15 @@
 
     /** The ratio in reports by name. Fails with INVALID_SETTING when a report or field is missing. */
     double value(Map<String, JsonObject> reports) {
-        return number(dividend, reports) / number(divisor, reports);
+        return resolveNumber(dividend, reports) / resolveNumber(divisor, reports);
     }
 
     /** Whether a ratio keeps the bound. A ratio that is not a number does not. */
-    boolean isKeptBy(double value) {
+    boolean isSatisfiedBy(double value) {
         return atLeast ? value >= limit : value <= limit;
     }
 
-    private static double number(String field, Map<String, JsonObject> reports) {
+    private static double resolveNumber(String field, Map<String, JsonObject> reports) {
         if (NUMBER.matcher(field).matches()) {
             return Double.parseDouble(field);
         }
--- a/load/src/main/java/org/hornbeamspread/load/BoundsMain.java
+++ b/load/src/main/java/org/hornbeamspread/load/BoundsMain.java
@@ -45,7 +45,7 @@
 
     private static boolean check(Bound bound, Map<String, JsonObject> reports, PrintStream out) {
         double value = bound.value(reports);
-        boolean kept = bound.isKeptBy(value);
+        boolean kept = bound.isSatisfiedBy(value);
         out.println(String.format(
                 Locale.ROOT,
                 "%-8s %-36s %8.3f, bound %s %.3f",
--- a/load/src/main/java/org/hornbeamspread/load/CallerModel.java
+++ b/load/src/main/java/org/hornbeamspread/load/CallerModel.java
@@ -20,31 +20,31 @@
  * read that was answered and lacks the row is a violation; a read that was refused proves nothing.
  */
 final class CallerModel {
-    private static final int FLOOD_TRIES = 2;
-    private static final int FLOOD_CHECK_EVERY = 10;
-    private static final int MAX_AMOUNT = 500;
+    private static final int MAX_FLOOD_ATTEMPTS = 2;
+    private static final int FLOOD_CHECK_INTERVAL = 10;
+    private static final int MAX_PAYMENT_AMOUNT = 500;
     private static final long US_PER_MS = 1_000;
 
     private final Workload workload;
     private final Dispatcher dispatcher;
     private final LongSupplier nowUs;
-    private final Requests requests;
+    private final RequestFactory requests;
     private final Ledger ledger = new Ledger();
     private final SplittableRandom random;
-    private final List<AgentSession> agents = new ArrayList<>();
+    private final List<AgentSession> sessions = new ArrayList<>();
     private final List<RankStatistics> statistics = new ArrayList<>();
     private final Map<String, FailoverGap> gaps = new HashMap<>();
     private final ReadCounts reads = new ReadCounts();
-    private long nextWork;
+    private long nextRequestNumber;
 
     CallerModel(Workload workload, Dispatcher dispatcher, LongSupplier nowUs, long seed) {
         this.workload = workload;
         this.dispatcher = dispatcher;
         this.nowUs = nowUs;
-        this.requests = new Requests(workload.service());
+        this.requests = new RequestFactory(workload.service());
         this.random = new SplittableRandom(seed ^ 0x5DEECE66DL);
         for (int i = 0; i < workload.agents(); i++) {
-            agents.add(new AgentSession(workload.user() + seed + "-a" + i));
+            sessions.add(new AgentSession(workload.user() + seed + "-a" + i));
         }
         workload.ranks().forEach(rank -> statistics.add(new RankStatistics(rank)));
         workload.groups().forEach(group -> gaps.put(group, new FailoverGap()));
@@ -67,69 +67,70 @@
     }
 
     /** Starts the request of one arrival. */
-    void arrive(Arrival arrival) {
-        RankPlan rank = workload.ranks().get(arrival.rank());
-        AgentSession agent = agents.get(random.nextInt(agents.size()));
+    void startRequest(Arrival arrival) {
+        RankWorkload rank = workload.ranks().get(arrival.rank());
+        AgentSession agent = sessions.get(random.nextInt(sessions.size()));
         switch (rank.kind()) {
-            case PAYMENT -> pay(rank, agent, arrival);
-            case ROAMING_READ -> read(rank, agent, arrival.atUs());
+            case PAYMENT -> submitPayment(rank, agent, arrival);
+            case SESSION_READ -> submitRead(rank, agent, arrival.atUs());
             case LEDGER_SCAN -> submit(rank, arrival, requests.scan(rank, agent.agent()), readListener());
             case SYNC_WRITE ->
                 submit(
                         rank,
                         arrival,
-                        requests.sync(rank, agent.agent(), agent.agent() + ".s" + nextWork++),
-                        new Job.JobListener() {});
+                        requests.sync(rank, agent.agent(), agent.agent() + ".s" + nextRequestNumber++),
+                        new PendingRequest.RequestListener() {});
         }
     }
 
-    private void pay(RankPlan rank, AgentSession agent, Arrival arrival) {
-        long number = nextWork++;
-        Payment payment = ledger.open(agent.agent() + ".p" + number, agent.agent(), 1 + random.nextInt(MAX_AMOUNT));
-        boolean checked = !arrival.flood() || number % FLOOD_CHECK_EVERY == 0;
+    private void submitPayment(RankWorkload rank, AgentSession agent, Arrival arrival) {
+        long number = nextRequestNumber++;
+        Payment payment =
+                ledger.addPayment(agent.agent() + ".p" + number, agent.agent(), 1 + random.nextInt(MAX_PAYMENT_AMOUNT));
+        boolean checked = !arrival.flood() || number % FLOOD_CHECK_INTERVAL == 0;
         FailoverGap gap = gaps.get(GroupRouting.groupOf(workload.groups(), agent.agent()));
-        if (arrival.counted()) {
+        if (arrival.isMeasured()) {
             gap.offered(arrival.atUs() / US_PER_MS);
         }
-        submit(rank, arrival, requests.payment(rank, payment, agent.token()), new Job.JobListener() {
+        submit(rank, arrival, requests.payment(rank, payment, agent.token()), new PendingRequest.RequestListener() {
             @Override
-            public int onTry() {
-                return payment.intend();
+            public int onAttempt() {
+                return payment.startAttempt();
             }
 
             @Override
-            public void onAnswer(int number, Answer answer) {
-                payment.answer(number, answer.effect());
+            public void onAttemptResult(int number, AttemptResult answer) {
+                payment.completeAttempt(number, answer.effect());
             }
 
             @Override
-            public void onEnd(Job job, Optional<Answer> last) {
-                if (arrival.counted()) {
-                    gap.ended(nowUs.getAsLong() / US_PER_MS, job.lastWord());
+            public void onCompleted(PendingRequest job, Optional<AttemptResult> last) {
+                if (arrival.isMeasured()) {
+                    gap.completed(nowUs.getAsLong() / US_PER_MS, job.outcome());
                 }
-                if (job.lastWord() != Effect.DONE) {
+                if (job.outcome() != Effect.DONE) {
                     return;
                 }
                 ExecuteResponse response = last.orElseThrow().response().orElseThrow();
-                agent.onPayment(payment, response);
+                agent.onPaymentAcknowledged(payment, response);
                 if (checked) {
-                    read(workload.readRank(), agent, nowUs.getAsLong());
+                    submitRead(workload.readRank(), agent, nowUs.getAsLong());
                 }
             }
         });
     }
 
-    private void read(RankPlan rank, AgentSession agent, long intendedUs) {
-        Optional<Payment> mustSee = agent.visiblePayment();
+    private void submitRead(RankWorkload rank, AgentSession agent, long intendedUs) {
+        Optional<Payment> mustSee = agent.lastPayment();
         int epoch = agent.epoch();
-        Job.JobListener listener = new Job.JobListener() {
+        PendingRequest.RequestListener listener = new PendingRequest.RequestListener() {
             @Override
-            public void onEnd(Job job, Optional<Answer> last) {
-                done(last).ifPresent(response -> {
-                    agent.onRead(epoch, response);
-                    served(job, response);
+            public void onCompleted(PendingRequest job, Optional<AttemptResult> last) {
+                successfulResponse(last).ifPresent(response -> {
+                    agent.onReadServed(epoch, response);
+                    countServedRead(job, response);
                     if (mustSee.isPresent()) {
-                        reads.checked(Requests.number(response, 1) > 0);
+                        reads.checked(RequestFactory.rowValue(response, 1) > 0);
                     }
                 });
             }
@@ -143,51 +144,56 @@
                 listener);
     }
 
-    private Job.JobListener readListener() {
-        return new Job.JobListener() {
+    private PendingRequest.RequestListener readListener() {
+        return new PendingRequest.RequestListener() {
             @Override
-            public void onEnd(Job job, Optional<Answer> last) {
-                done(last).ifPresent(response -> served(job, response));
+            public void onCompleted(PendingRequest job, Optional<AttemptResult> last) {
+                successfulResponse(last).ifPresent(response -> countServedRead(job, response));
             }
         };
     }
 
-    private void served(Job job, ExecuteResponse response) {
+    private void countServedRead(PendingRequest job, ExecuteResponse response) {
         if (job.intendedUs() >= 0) {
             reads.served(response);
         }
     }
 
-    private static Optional<ExecuteResponse> done(Optional<Answer> last) {
-        return last.filter(answer -> answer.effect() == Effect.DONE).flatMap(Answer::response);
+    private static Optional<ExecuteResponse> successfulResponse(Optional<AttemptResult> last) {
+        return last.filter(answer -> answer.effect() == Effect.DONE).flatMap(AttemptResult::response);
     }
 
-    private void submit(RankPlan rank, Arrival arrival, ExecuteRequest request, Job.JobListener listener) {
+    private void submit(
+            RankWorkload rank, Arrival arrival, ExecuteRequest request, PendingRequest.RequestListener listener) {
         submit(rank, arrival, request, "", listener);
     }
 
     private void submit(
-            RankPlan rank, Arrival arrival, ExecuteRequest request, String avoidedProxy, Job.JobListener listener) {
+            RankWorkload rank,
+            Arrival arrival,
+            ExecuteRequest request,
+            String avoidedProxy,
+            PendingRequest.RequestListener listener) {
         RankStatistics counts = statistics.get(arrival.rank());
         counts.offered(arrival.atUs());
-        Job.JobListener counting = new Job.JobListener() {
+        PendingRequest.RequestListener counting = new PendingRequest.RequestListener() {
             @Override
-            public int onTry() {
-                return listener.onTry();
+            public int onAttempt() {
+                return listener.onAttempt();
             }
 
             @Override
-            public void onAnswer(int number, Answer answer) {
-                listener.onAnswer(number, answer);
+            public void onAttemptResult(int number, AttemptResult answer) {
+                listener.onAttemptResult(number, answer);
             }
 
             @Override
-            public void onEnd(Job job, Optional<Answer> last) {
-                counts.ended(job.intendedUs(), nowUs.getAsLong(), job.lastWord());
-                listener.onEnd(job, last);
+            public void onCompleted(PendingRequest job, Optional<AttemptResult> last) {
+                counts.completed(job.intendedUs(), nowUs.getAsLong(), job.outcome());
+                listener.onCompleted(job, last);
             }
         };
-        int tries = arrival.flood() ? Math.min(FLOOD_TRIES, rank.tries()) : rank.tries();
-        dispatcher.submit(new Job(rank, arrival.atUs(), request, tries, avoidedProxy, counting));
+        int tries = arrival.flood() ? Math.min(MAX_FLOOD_ATTEMPTS, rank.maxAttempts()) : rank.maxAttempts();
+        dispatcher.submit(new PendingRequest(rank, arrival.atUs(), request, tries, avoidedProxy, counting));
     }
 }
--- a/load/src/main/java/org/hornbeamspread/load/Dispatcher.java
+++ b/load/src/main/java/org/hornbeamspread/load/Dispatcher.java
@@ -20,32 +20,32 @@
  * but the answers' arrival happens on the run's own thread.
  */
 final class Dispatcher {
-    private static final int IN_FLIGHT_LIMIT = 4_000;
-    private static final long FIRST_PAUSE_US = 50_000;
-    private static final long LONGEST_PAUSE_US = 1_000_000;
-    private static final Duration NETWORK_ALLOWANCE = Duration.ofMillis(500);
+    private static final int MAX_IN_FLIGHT = 4_000;
+    private static final long INITIAL_BACKOFF_US = 50_000;
+    private static final long MAX_BACKOFF_US = 1_000_000;
+    private static final Duration NETWORK_TIMEOUT_MARGIN = Duration.ofMillis(500);
     private static final long US_PER_MS = 1_000;
 
-    private final ProxyPort port;
+    private final ProxyClient port;
     private final List<String> proxies;
     private final SplittableRandom random;
     private final LongSupplier nowUs;
-    private final Consumer<Runnable> onOwnThread;
+    private final Consumer<Runnable> runThreadExecutor;
     private final PriorityQueue<Retry> retries = new PriorityQueue<>(Comparator.comparingLong(Retry::dueUs));
     private final Map<FailureType, Long> refusals = new EnumMap<>(FailureType.class);
     private int inFlight;
     private long notSent;
 
-    Dispatcher(ProxyPort port, SplittableRandom random, LongSupplier nowUs, Consumer<Runnable> onOwnThread) {
+    Dispatcher(ProxyClient port, SplittableRandom random, LongSupplier nowUs, Consumer<Runnable> onOwnThread) {
         this.port = port;
         this.proxies = port.proxies();
         this.random = random;
         this.nowUs = nowUs;
-        this.onOwnThread = onOwnThread;
+        this.runThreadExecutor = onOwnThread;
     }
 
     /** Starts a job. */
-    void submit(Job job) {
+    void submit(PendingRequest job) {
         send(job);
     }
 
@@ -57,7 +57,7 @@
     }
 
     /** Whether every job has its last word. */
-    boolean idle() {
+    boolean isIdle() {
         return inFlight == 0 && retries.isEmpty();
     }
 
@@ -76,43 +76,44 @@
         return new EnumMap<>(refusals);
     }
 
-    private void send(Job job) {
-        if (inFlight >= IN_FLIGHT_LIMIT) {
+    private void send(PendingRequest job) {
+        if (inFlight >= MAX_IN_FLIGHT) {
             notSent++;
-            job.listener().onEnd(job, Optional.empty());
+            job.listener().onCompleted(job, Optional.empty());
             return;
         }
-        String proxy = anotherProxy(job.avoidedProxy());
-        int number = job.listener().onTry();
-        job.tried(proxy);
+        String proxy = selectOtherProxy(job.avoidedProxy());
+        int number = job.listener().onAttempt();
+        job.attemptSent(proxy);
         inFlight++;
-        Duration timeout = Duration.ofMillis(job.request().getTimeoutMs()).plus(NETWORK_ALLOWANCE);
+        Duration timeout = Duration.ofMillis(job.request().getTimeoutMs()).plus(NETWORK_TIMEOUT_MARGIN);
         port.execute(proxy, job.request(), timeout).whenComplete((response, error) -> {
-            Answer answer = error == null ? Answer.of(response) : Answer.of(FailureException.of(error));
-            onOwnThread.accept(() -> onAnswer(job, number, answer));
+            AttemptResult answer =
+                    error == null ? AttemptResult.of(response) : AttemptResult.of(FailureException.of(error));
+            runThreadExecutor.accept(() -> onAnswer(job, number, answer));
         });
     }
 
-    private void onAnswer(Job job, int number, Answer answer) {
+    private void onAnswer(PendingRequest job, int number, AttemptResult answer) {
         inFlight--;
         answer.failure().ifPresent(type -> refusals.merge(type, 1L, Long::sum));
-        job.listener().onAnswer(number, answer);
-        if (job.wantsAnotherTry(answer.effect())) {
-            retries.add(new Retry(nowUs.getAsLong() + pauseUs(job, answer), job));
+        job.listener().onAttemptResult(number, answer);
+        if (job.needsRetry(answer.effect())) {
+            retries.add(new Retry(nowUs.getAsLong() + backoffUs(job, answer), job));
         } else {
-            job.listener().onEnd(job, Optional.of(answer));
+            job.listener().onCompleted(job, Optional.of(answer));
         }
     }
 
-    private long pauseUs(Job job, Answer answer) {
+    private long backoffUs(PendingRequest job, AttemptResult answer) {
         if (answer.effect() == Effect.UNKNOWN) {
-            return FIRST_PAUSE_US;
+            return INITIAL_BACKOFF_US;
         }
-        long doubledUs = Math.min(LONGEST_PAUSE_US, FIRST_PAUSE_US << Math.min(job.triesMade() - 1, 10));
+        long doubledUs = Math.min(MAX_BACKOFF_US, INITIAL_BACKOFF_US << Math.min(job.attemptsMade() - 1, 10));
         return Math.max(doubledUs, answer.retryAfter().toMillis() * US_PER_MS);
     }
 
-    private String anotherProxy(String avoided) {
+    private String selectOtherProxy(String avoided) {
         int at = random.nextInt(proxies.size());
         if (proxies.get(at).equals(avoided)) {
             at = (at + 1 + random.nextInt(proxies.size() - 1)) % proxies.size();
@@ -120,5 +121,5 @@
         return proxies.get(at);
     }
 
-    private record Retry(long dueUs, Job job) {}
+    private record Retry(long dueUs, PendingRequest job) {}
 }
--- a/load/src/main/java/org/hornbeamspread/load/FailoverGap.java
+++ b/load/src/main/java/org/hornbeamspread/load/FailoverGap.java
@@ -21,7 +21,7 @@
     }
 
     /** Notes its acknowledgement, or that it was given up. */
-    void ended(long atMs, Effect lastWord) {
+    void completed(long atMs, Effect lastWord) {
         events.add(new Event(atMs, lastWord == Effect.DONE ? Kind.ACKNOWLEDGED : Kind.GIVEN_UP));
     }
 
--- a/load/src/main/java/org/hornbeamspread/load/HttpProxyPort.java
+++ b/load/src/main/java/org/hornbeamspread/load/HttpProxyClient.java
@@ -14,16 +14,16 @@
 import org.hornbeamspread.transport.AddressTranslator;
 
 /** Proxies over HTTP. */
-final class HttpProxyPort implements ProxyPort {
+final class HttpProxyClient implements ProxyClient {
     private final RpcClient client = new RpcClient();
     private final Map<String, Endpoint> endpoints;
 
-    HttpProxyPort(Map<String, Endpoint> endpoints) {
+    HttpProxyClient(Map<String, Endpoint> endpoints) {
         this.endpoints = new LinkedHashMap<>(endpoints);
     }
 
     /** Reads {@code p1=host:port,p2=host:port}. Fails with INVALID_SETTING. */
-    static HttpProxyPort parse(String list) {
+    static HttpProxyClient parse(String list) {
         Map<String, Endpoint> endpoints = new LinkedHashMap<>();
         for (String entry : list.split(",", -1)) {
             int equals = entry.indexOf('=');
@@ -36,7 +36,7 @@
         if (endpoints.size() < 2) {
             throw new FailureException(FailureType.INVALID_SETTING, "--proxies needs two at least, for roaming");
         }
-        return new HttpProxyPort(endpoints);
+        return new HttpProxyClient(endpoints);
     }
 
     @Override
--- a/load/src/main/java/org/hornbeamspread/load/Ledger.java
+++ b/load/src/main/java/org/hornbeamspread/load/Ledger.java
@@ -14,7 +14,7 @@
     private final Map<String, Payment> payments = new LinkedHashMap<>();
 
     /** Opens a payment. */
-    Payment open(String id, String agent, long amount) {
+    Payment addPayment(String id, String agent, long amount) {
         Payment payment = new Payment(id, agent, amount);
         payments.put(id, payment);
         return payment;
--- a/load/src/main/java/org/hornbeamspread/load/LinkBytesMeter.java
+++ b/load/src/main/java/org/hornbeamspread/load/LinkBytesMeter.java
@@ -20,16 +20,16 @@
 
     LinkBytesMeter(String linkControl) {
         this.linkControl = linkControl;
-        this.startBytes = now();
+        this.startBytes = currentBytes();
     }
 
     /** Bytes since the making, both directions; empty without links. */
     OptionalLong sinceStart() {
-        OptionalLong nowBytes = now();
+        OptionalLong nowBytes = currentBytes();
         return nowBytes.isEmpty() ? nowBytes : OptionalLong.of(nowBytes.getAsLong() - startBytes.orElseThrow());
     }
 
-    private OptionalLong now() {
+    private OptionalLong currentBytes() {
         if (linkControl.isEmpty()) {
             return OptionalLong.empty();
         }
--- a/load/src/main/java/org/hornbeamspread/load/LoadMain.java
+++ b/load/src/main/java/org/hornbeamspread/load/LoadMain.java
@@ -21,9 +21,9 @@
     private static final String BINARY = "hornbeamspread-load";
     private static final int EXIT_PASSED = 0;
     private static final int EXIT_FAILED = 1;
-    private static final int URGENT = 0;
-    private static final int LEAST_URGENT = 2;
-    private static final Duration AUDIT_LIMIT = Duration.ofSeconds(60);
+    private static final int URGENT_RANK_INDEX = 0;
+    private static final int LOWEST_RANK_INDEX = 2;
+    private static final Duration AUDIT_TIMEOUT = Duration.ofSeconds(60);
 
     private LoadMain() {}
 
@@ -47,7 +47,7 @@
             if (!options.page.isEmpty()) {
                 write(
                         Path.of(options.page),
-                        ReportPage.render(report, report.trial().faultAtSeconds()));
+                        ReportPage.render(report, report.scenario().faultAtSeconds()));
             }
             return report.passed() ? EXIT_PASSED : EXIT_FAILED;
         } catch (FailureException e) {
@@ -62,7 +62,7 @@
                     FailureType.INVALID_SETTING, "--seconds and --groups are at least 1, --warm-up-seconds at least 0");
         }
         Workload workload = Workload.of(options.user, options.groups);
-        ProxyPort port = HttpProxyPort.parse(options.proxies);
+        ProxyClient port = HttpProxyClient.parse(options.proxies);
         List<Arrival> schedule = ArrivalSchedule.of(
                 workload, options.warmUpSeconds, options.seconds, options.seed, floodRank(options.fault));
         Clock clock = new MonotonicClock();
@@ -73,7 +73,7 @@
                 options.seed,
                 Duration.ofSeconds(options.warmUpSeconds),
                 clock,
-                progress(out))) {
+                progressPrinter(out))) {
             if (!options.startFile.isEmpty()) {
                 write(Path.of(options.startFile), run.start().toEpochMilli() + "\n");
             }
@@ -86,19 +86,19 @@
     }
 
     /** Reads the rows and compares. */
-    static Audit.Result audit(Workload workload, ProxyPort port, Ledger ledger, Clock clock) {
-        return Audit.compare(ledger, new AuditReader(port, workload, clock).read(ledger, AUDIT_LIMIT));
+    static Audit.Result audit(Workload workload, ProxyClient port, Ledger ledger, Clock clock) {
+        return Audit.compare(ledger, new AuditReader(port, workload, clock).read(ledger, AUDIT_TIMEOUT));
     }
 
     private static Optional<Integer> floodRank(String fault) {
         return switch (fault) {
-            case "flood-low" -> Optional.of(LEAST_URGENT);
-            case "flood-urgent" -> Optional.of(URGENT);
+            case "flood-low" -> Optional.of(LOWEST_RANK_INDEX);
+            case "flood-urgent" -> Optional.of(URGENT_RANK_INDEX);
             default -> Optional.empty();
         };
     }
 
-    private static java.util.function.BiConsumer<Integer, LoadRun> progress(PrintStream out) {
+    private static java.util.function.BiConsumer<Integer, LoadRun> progressPrinter(PrintStream out) {
         return (second, run) -> {
             StringBuilder line = new StringBuilder("t=" + second + " s");
             run.callers()
@@ -111,13 +111,14 @@
     private static LoadReport report(
             LoadOptions options, Workload workload, LoadRun run, OptionalLong interRegionBytes, Audit.Result audit) {
         long endMs = run.nowUs() / 1_000;
-        long faultAtMs = faultTime(options.faultTimeFile) - run.start().toEpochMilli();
+        long faultAtMs = readFaultTimeMs(options.faultTimeFile) - run.start().toEpochMilli();
         Map<String, Long> gaps = new HashMap<>();
         run.callers().gaps().forEach((group, gap) -> gaps.put(group, gap.longestMs(Math.max(0, faultAtMs), endMs)));
         List<String> affected =
                 options.affectedGroups.isEmpty() ? workload.groups() : List.of(options.affectedGroups.split(",", -1));
         return new LoadReport(
-                new LoadReport.Trial(options.user, options.seed, options.fault, options.seconds, faultAtMs / 1_000.0),
+                new LoadReport.Scenario(
+                        options.user, options.seed, options.fault, options.seconds, faultAtMs / 1_000.0),
                 audit,
                 run.callers().reads(),
                 gaps,
@@ -132,7 +133,7 @@
     }
 
     /** The time in the file in ms since 1970; 0 when there was no fault. */
-    private static long faultTime(String file) {
+    private static long readFaultTimeMs(String file) {
         if (file.isEmpty() || !Files.exists(Path.of(file))) {
             return 0;
         }
--- a/load/src/main/java/org/hornbeamspread/load/LoadReport.java
+++ b/load/src/main/java/org/hornbeamspread/load/LoadReport.java
@@ -20,7 +20,7 @@
  * @param notSent requests that met the load tool's own bound on requests in flight; each counts as refused
  */
 record LoadReport(
-        Trial trial,
+        Scenario scenario,
         Audit.Result audit,
         ReadCounts reads,
         Map<String, Long> gapMsByGroup,
@@ -46,11 +46,11 @@
      * @param seconds how long requests arrived
      * @param faultAtSeconds when the fault came, since the start; negative for none
      */
-    record Trial(String user, long seed, String fault, int seconds, double faultAtSeconds) {}
+    record Scenario(String user, long seed, String fault, int seconds, double faultAtSeconds) {}
 
     /** Whether every promise that the tool checks was kept. */
     boolean passed() {
-        return audit.balanced() && reads.violations() == 0;
+        return audit.isConsistent() && reads.violations() == 0;
     }
 
     /** The longest gap of the affected groups. */
--- a/load/src/main/java/org/hornbeamspread/load/LoadRun.java
+++ b/load/src/main/java/org/hornbeamspread/load/LoadRun.java
@@ -20,12 +20,12 @@
  * time, whatever became of earlier ones.
  */
 final class LoadRun implements AutoCloseable {
-    private static final int RING_EVENTS = 16_384;
-    private static final Duration TICK = Duration.ofMillis(1);
-    private static final Duration DRAIN_LIMIT = Duration.ofSeconds(30);
+    private static final int RING_CAPACITY = 16_384;
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(1);
+    private static final Duration DRAIN_TIMEOUT = Duration.ofSeconds(30);
 
     private final Clock clock;
-    private final DutyThread<Runnable> duty;
+    private final DutyThread<Runnable> runThread;
     private final Dispatcher dispatcher;
     private final CallerModel callers;
     private final Deque<Arrival> schedule;
@@ -33,12 +33,12 @@
     private final CompletableFuture<Void> finished = new CompletableFuture<>();
     private final Instant start;
     private final long lastArrivalUs;
-    private int secondsReported;
+    private int lastReportedSecond;
 
     /** Prepares a run whose warm-up starts at once; progress is called each second on the run's thread. */
     LoadRun(
             Workload workload,
-            ProxyPort port,
+            ProxyClient port,
             List<Arrival> schedule,
             long seed,
             Duration warmUp,
@@ -50,14 +50,14 @@
         this.start = clock.instant().plus(warmUp);
         this.lastArrivalUs =
                 schedule.isEmpty() ? 0 : schedule.get(schedule.size() - 1).atUs();
-        this.duty = new DutyThread<>("load", RING_EVENTS, Runnable::run, TICK, this::tick);
+        this.runThread = new DutyThread<>("load", RING_CAPACITY, Runnable::run, TICK_INTERVAL, this::tick);
         this.dispatcher = new Dispatcher(port, new SplittableRandom(seed), this::nowUs, this::enqueue);
         this.callers = new CallerModel(workload, dispatcher, this::nowUs, seed);
     }
 
     /** Runs the schedule and waits for the last words, for a bounded time. */
     void run() {
-        duty.start();
+        runThread.start();
         finished.join();
     }
 
@@ -80,11 +80,11 @@
 
     @Override
     public void close() {
-        duty.close();
+        runThread.close();
     }
 
     private void enqueue(Runnable event) {
-        if (!duty.offer(event)) {
+        if (!runThread.offer(event)) {
             finished.completeExceptionally(new FailureException(FailureType.RING_FULL, "answers of the load tool"));
         }
     }
@@ -92,15 +92,15 @@
     private void tick() {
         long nowUs = nowUs();
         while (!schedule.isEmpty() && schedule.peek().atUs() <= nowUs) {
-            callers.arrive(schedule.poll());
+            callers.startRequest(schedule.poll());
         }
         dispatcher.tick();
         int second = (int) Math.floorDiv(nowUs, 1_000_000L);
-        if (second > secondsReported) {
-            secondsReported = second;
+        if (second > lastReportedSecond) {
+            lastReportedSecond = second;
             progress.accept(second, this);
         }
-        boolean drained = dispatcher.idle() || nowUs > lastArrivalUs + DRAIN_LIMIT.toNanos() / 1_000;
+        boolean drained = dispatcher.isIdle() || nowUs > lastArrivalUs + DRAIN_TIMEOUT.toNanos() / 1_000;
         if (schedule.isEmpty() && nowUs >= 0 && drained) {
             finished.complete(null);
         }
--- a/load/src/main/java/org/hornbeamspread/load/Payment.java
+++ b/load/src/main/java/org/hornbeamspread/load/Payment.java
@@ -12,7 +12,7 @@
     private final long amount;
 
     /** One for each try, in order; empty while its answer is awaited. */
-    private final List<Optional<Effect>> tries = new ArrayList<>();
+    private final List<Optional<Effect>> attempts = new ArrayList<>();
 
     Payment(String id, String agent, long amount) {
         this.id = id;
@@ -36,25 +36,25 @@
     }
 
     /** Notes a try before it is sent, and returns its number. */
-    int intend() {
-        tries.add(Optional.empty());
-        return tries.size() - 1;
+    int startAttempt() {
+        attempts.add(Optional.empty());
+        return attempts.size() - 1;
     }
 
     /** Notes the answer to a try. */
-    void answer(int number, Effect effect) {
-        tries.set(number, Optional.of(effect));
+    void completeAttempt(int number, Effect effect) {
+        attempts.set(number, Optional.of(effect));
     }
 
     /**
      * What the caller may conclude: DONE when a try was acknowledged; NOT_RUN when every try was answered so, or none was
      * sent; else UNKNOWN, since a try without proof may still have run.
      */
-    Effect lastWord() {
-        if (tries.contains(Optional.of(Effect.DONE))) {
+    Effect outcome() {
+        if (attempts.contains(Optional.of(Effect.DONE))) {
             return Effect.DONE;
         }
-        return tries.stream().allMatch(effect -> effect.equals(Optional.of(Effect.NOT_RUN)))
+        return attempts.stream().allMatch(effect -> effect.equals(Optional.of(Effect.NOT_RUN)))
                 ? Effect.NOT_RUN
                 : Effect.UNKNOWN;
     }
--- a/load/src/main/java/org/hornbeamspread/load/Job.java
+++ b/load/src/main/java/org/hornbeamspread/load/PendingRequest.java
@@ -5,35 +5,35 @@
 import org.hornbeamspread.protocol.schema.ExecuteRequest;
 
 /** One request of a caller, from its intended start over all its tries to the last word. Used by one thread. */
-final class Job {
-    private final RankPlan rank;
+final class PendingRequest {
+    private final RankWorkload rank;
     private final long intendedUs;
     private final ExecuteRequest request;
-    private final int triesAllowed;
-    private final JobListener listener;
+    private final int maxAttempts;
+    private final RequestListener listener;
 
     /** The proxy not to go to: the one that answered the session last, then the one tried last. May be empty. */
     private String avoidedProxy;
 
-    private int triesMade;
-    private Effect lastWord = Effect.NOT_RUN;
+    private int attemptsMade;
+    private Effect outcome = Effect.NOT_RUN;
 
-    Job(
-            RankPlan rank,
+    PendingRequest(
+            RankWorkload rank,
             long intendedUs,
             ExecuteRequest request,
             int triesAllowed,
             String avoidedProxy,
-            JobListener listener) {
+            RequestListener listener) {
         this.rank = rank;
         this.intendedUs = intendedUs;
         this.request = request;
-        this.triesAllowed = triesAllowed;
+        this.maxAttempts = triesAllowed;
         this.avoidedProxy = avoidedProxy;
         this.listener = listener;
     }
 
-    RankPlan rank() {
+    RankWorkload rank() {
         return rank;
     }
 
@@ -45,7 +45,7 @@
         return request;
     }
 
-    JobListener listener() {
+    RequestListener listener() {
         return listener;
     }
 
@@ -53,40 +53,40 @@
         return avoidedProxy;
     }
 
-    int triesMade() {
-        return triesMade;
+    int attemptsMade() {
+        return attemptsMade;
     }
 
     /** What is known after all tries so far: a try that may have run keeps the outcome unknown until one is done. */
-    Effect lastWord() {
-        return lastWord;
+    Effect outcome() {
+        return outcome;
     }
 
     /** Notes that a try goes to a proxy. */
-    void tried(String proxy) {
-        triesMade++;
+    void attemptSent(String proxy) {
+        attemptsMade++;
         avoidedProxy = proxy;
     }
 
     /** Notes a try's effect and says whether another is due. */
-    boolean wantsAnotherTry(Effect effect) {
-        if (effect == Effect.DONE || (effect == Effect.UNKNOWN && lastWord == Effect.NOT_RUN)) {
-            lastWord = effect;
+    boolean needsRetry(Effect effect) {
+        if (effect == Effect.DONE || (effect == Effect.UNKNOWN && outcome == Effect.NOT_RUN)) {
+            outcome = effect;
         }
-        return lastWord != Effect.DONE && triesMade < triesAllowed;
+        return outcome != Effect.DONE && attemptsMade < maxAttempts;
     }
 
     /** Follows a job. */
-    interface JobListener {
+    interface RequestListener {
         /** A try is about to be sent; returns its number. */
-        default int onTry() {
+        default int onAttempt() {
             return 0;
         }
 
         /** A try was answered, or will not be. */
-        default void onAnswer(int number, Answer answer) {}
+        default void onAttemptResult(int number, AttemptResult answer) {}
 
         /** The last word; the answer is empty when the job was not sent at all. */
-        default void onEnd(Job job, Optional<Answer> last) {}
+        default void onCompleted(PendingRequest job, Optional<AttemptResult> last) {}
     }
 }
--- a/load/src/main/java/org/hornbeamspread/load/ProxyPort.java
+++ b/load/src/main/java/org/hornbeamspread/load/ProxyClient.java
@@ -7,7 +7,7 @@
 import org.hornbeamspread.protocol.schema.ExecuteResponse;
 
 /** The proxies, as a caller reaches them. */
-interface ProxyPort {
+interface ProxyClient {
     /** The names of the proxies. */
     List<String> proxies();
 
--- a/load/src/main/java/org/hornbeamspread/load/RankReport.java
+++ b/load/src/main/java/org/hornbeamspread/load/RankReport.java
@@ -24,7 +24,7 @@
         double withinTargetShare,
         double p50Ms,
         double p99Ms,
-        List<Second> seconds) {
+        List<SecondCounts> seconds) {
     RankReport {
         seconds = List.copyOf(seconds);
     }
@@ -36,5 +36,5 @@
      * @param served requests that were done in it
      * @param refused requests that were refused for good in it
      */
-    record Second(long offered, long served, long refused) {}
+    record SecondCounts(long offered, long served, long refused) {}
 }
--- a/load/src/main/java/org/hornbeamspread/load/RankStatistics.java
+++ b/load/src/main/java/org/hornbeamspread/load/RankStatistics.java
@@ -7,21 +7,21 @@
 
 /** Counts and latencies of one rank. Latency runs from the intended start to the last word. Used by one thread. */
 final class RankStatistics {
-    private static final long HIGHEST_US = 120_000_000L;
-    private static final int DIGITS = 3;
+    private static final long MAX_RECORDED_LATENCY_US = 120_000_000L;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final long US_PER_MS = 1_000;
     private static final long US_PER_SECOND = 1_000_000;
 
-    private final RankPlan plan;
-    private final Histogram served = new Histogram(HIGHEST_US, DIGITS);
-    private final List<Second> seconds = new ArrayList<>();
+    private final RankWorkload rank;
+    private final Histogram served = new Histogram(MAX_RECORDED_LATENCY_US, SIGNIFICANT_DIGITS);
+    private final List<SecondCounts> seconds = new ArrayList<>();
     private long offered;
     private long refusedNotRun;
     private long unknown;
     private long withinTarget;
 
-    RankStatistics(RankPlan plan) {
-        this.plan = plan;
+    RankStatistics(RankWorkload plan) {
+        this.rank = plan;
     }
 
     /** Counts a request at its intended start; one of the warm-up is passed over. */
@@ -30,24 +30,24 @@
             return;
         }
         offered++;
-        second(atUs).offered++;
+        countsOfSecond(atUs).offered++;
     }
 
     /** Counts a request's last word. */
-    void ended(long intendedUs, long nowUs, Effect lastWord) {
+    void completed(long intendedUs, long nowUs, Effect lastWord) {
         if (intendedUs < 0) {
             return;
         }
         long latencyUs = Math.max(0, nowUs - intendedUs);
         switch (lastWord) {
             case DONE -> {
-                served.recordValue(Math.min(latencyUs, HIGHEST_US));
-                second(nowUs).served++;
-                withinTarget += latencyUs <= plan.targetMs() * US_PER_MS ? 1 : 0;
+                served.recordValue(Math.min(latencyUs, MAX_RECORDED_LATENCY_US));
+                countsOfSecond(nowUs).served++;
+                withinTarget += latencyUs <= rank.targetMs() * US_PER_MS ? 1 : 0;
             }
             case NOT_RUN -> {
                 refusedNotRun++;
-                second(nowUs).refused++;
+                countsOfSecond(nowUs).refused++;
             }
             case UNKNOWN -> unknown++;
         }
@@ -56,7 +56,7 @@
     /** The counts so far. */
     RankReport report() {
         return new RankReport(
-                plan.name(),
+                rank.name(),
                 offered,
                 served.getTotalCount(),
                 refusedNotRun,
@@ -65,7 +65,7 @@
                 percentileMs(50),
                 percentileMs(99),
                 seconds.stream()
-                        .map(second -> new RankReport.Second(second.offered, second.served, second.refused))
+                        .map(second -> new RankReport.SecondCounts(second.offered, second.served, second.refused))
                         .toList());
     }
 
@@ -73,16 +73,16 @@
         return served.getTotalCount() == 0 ? 0 : served.getValueAtPercentile(percentile) / (double) US_PER_MS;
     }
 
-    private Second second(long atUs) {
+    private SecondCounts countsOfSecond(long atUs) {
         int index = (int) (Math.max(0, atUs) / US_PER_SECOND);
         while (seconds.size() <= index) {
-            seconds.add(new Second());
+            seconds.add(new SecondCounts());
         }
         return seconds.get(index);
     }
 
     /** The counts of one second of the run. */
-    private static final class Second {
+    private static final class SecondCounts {
         private long offered;
         private long served;
         private long refused;
--- a/load/src/main/java/org/hornbeamspread/load/RankPlan.java
+++ b/load/src/main/java/org/hornbeamspread/load/RankWorkload.java
@@ -11,16 +11,16 @@
  * @param timeoutMs how long one try may take
  * @param tries how often a request is sent at most; a request of a flood at most twice
  */
-record RankPlan(
+record RankWorkload(
         String name,
-        WorkKind kind,
+        RequestKind kind,
         double arrivalsPerSecond,
         double floodArrivalsPerSecond,
         int targetMs,
         int timeoutMs,
-        int tries) {
-    RankPlan {
-        if (name.isEmpty() || arrivalsPerSecond < 0 || floodArrivalsPerSecond < 0 || targetMs <= 0 || tries < 1) {
+        int maxAttempts) {
+    RankWorkload {
+        if (name.isEmpty() || arrivalsPerSecond < 0 || floodArrivalsPerSecond < 0 || targetMs <= 0 || maxAttempts < 1) {
             throw new IllegalArgumentException("rank " + name);
         }
     }
--- a/load/src/main/java/org/hornbeamspread/load/ReportJson.java
+++ b/load/src/main/java/org/hornbeamspread/load/ReportJson.java
@@ -15,10 +15,10 @@
     /** The file's text. */
     static String render(LoadReport report) {
         JsonObject root = new JsonObject();
-        root.addProperty("user", report.trial().user());
-        root.addProperty("seed", report.trial().seed());
-        root.addProperty("fault", report.trial().fault());
-        root.addProperty("seconds", report.trial().seconds());
+        root.addProperty("user", report.scenario().user());
+        root.addProperty("seed", report.scenario().seed());
+        root.addProperty("fault", report.scenario().fault());
+        root.addProperty("seconds", report.scenario().seconds());
         root.addProperty("passed", report.passed());
         addAudit(root, report.audit());
         addReads(root, report.reads());
--- a/load/src/main/java/org/hornbeamspread/load/ReportPage.java
+++ b/load/src/main/java/org/hornbeamspread/load/ReportPage.java
@@ -14,7 +14,7 @@
     /** The page's text. */
     static String render(LoadReport report, double faultAtSeconds) {
         StringBuilder page = new StringBuilder();
-        LoadReport.Trial trial = report.trial();
+        LoadReport.Scenario trial = report.scenario();
         String title = "hornbeamspread: " + trial.user() + ", fault " + trial.fault() + ", seed " + trial.seed();
         page.append("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
                 .append(escape(title))
@@ -29,9 +29,9 @@
             page.append("<h2>").append(escape(rank.name())).append(", requests a second</h2>");
             page.append(SvgChart.render(
                     List.of(
-                            line("offered", "#999", rank, RankReport.Second::offered),
-                            line("served", "#2a7", rank, RankReport.Second::served),
-                            line("refused", "#c60", rank, RankReport.Second::refused)),
+                            line("offered", "#999", rank, RankReport.SecondCounts::offered),
+                            line("served", "#2a7", rank, RankReport.SecondCounts::served),
+                            line("refused", "#c60", rank, RankReport.SecondCounts::refused)),
                     faultAtSeconds));
         }
         page.append("<p>The dashed line is the fault. ")
@@ -40,7 +40,7 @@
     }
 
     private static SvgChart.Line line(
-            String label, String colour, RankReport rank, ToLongFunction<RankReport.Second> value) {
+            String label, String colour, RankReport rank, ToLongFunction<RankReport.SecondCounts> value) {
         return new SvgChart.Line(
                 label,
                 colour,
--- a/load/src/main/java/org/hornbeamspread/load/ReportTable.java
+++ b/load/src/main/java/org/hornbeamspread/load/ReportTable.java
@@ -16,22 +16,22 @@
     /** The text, ended by a line break. */
     static String render(LoadReport report) {
         ReportTable table = new ReportTable();
-        table.heading(report);
-        table.ranks(report);
-        table.promises(report);
+        table.appendHeading(report);
+        table.appendRanks(report);
+        table.appendAuditAndReads(report);
         return table.text.toString();
     }
 
-    private void heading(LoadReport report) {
-        LoadReport.Trial trial = report.trial();
+    private void appendHeading(LoadReport report) {
+        LoadReport.Scenario trial = report.scenario();
         String verdict = report.passed() ? "passed" : "FAILED";
-        line("%n%s, fault %s, seed %d: %s%n%n", trial.user(), trial.fault(), trial.seed(), verdict);
+        appendLine("%n%s, fault %s, seed %d: %s%n%n", trial.user(), trial.fault(), trial.seed(), verdict);
     }
 
-    private void ranks(LoadReport report) {
-        line(RANK_HEADING, "rank", "offered", "served", "refused", "unknown", "in target", "p50 ms", "p99 ms");
+    private void appendRanks(LoadReport report) {
+        appendLine(RANK_HEADING, "rank", "offered", "served", "refused", "unknown", "in target", "p50 ms", "p99 ms");
         for (RankReport rank : report.ranks()) {
-            line(
+            appendLine(
                     RANK_LINE,
                     rank.name(),
                     rank.offered(),
@@ -44,21 +44,21 @@
         }
     }
 
-    private void promises(LoadReport report) {
+    private void appendAuditAndReads(LoadReport report) {
         Audit.Result audit = report.audit();
         ReadCounts reads = report.reads();
-        line("%nacknowledged %d, lost %d, doubled %d, ", audit.acknowledged(), audit.lost(), audit.doubled());
-        line("false not-run %d, unknown %d, ", audit.falseNotRun(), audit.unknown());
-        line("unaudited %d%n", audit.unaudited());
-        line("read-your-writes: %d violations in %d checks; ", reads.violations(), reads.checks());
-        line("reads %d, from replicas %.1f%%%n", reads.served(), reads.replicaShare() * 100);
-        line("failover gap %d ms %s; ", report.failoverGapMs(), new TreeMap<>(report.gapMsByGroup()));
-        line("configuration in force after %s ms; ", text(report.configurationInForceMs()));
-        line("between regions %s bytes%n", text(report.interRegionBytes()));
-        line("failed answers %s; not sent %d%n", new TreeMap<>(report.refusals()), report.notSent());
+        appendLine("%nacknowledged %d, lost %d, doubled %d, ", audit.acknowledged(), audit.lost(), audit.doubled());
+        appendLine("false not-run %d, unknown %d, ", audit.falseNotRun(), audit.unknown());
+        appendLine("unaudited %d%n", audit.unaudited());
+        appendLine("read-your-writes: %d violations in %d checks; ", reads.violations(), reads.checks());
+        appendLine("reads %d, from replicas %.1f%%%n", reads.served(), reads.replicaShare() * 100);
+        appendLine("failover gap %d ms %s; ", report.failoverGapMs(), new TreeMap<>(report.gapMsByGroup()));
+        appendLine("configuration in force after %s ms; ", text(report.configurationInForceMs()));
+        appendLine("between regions %s bytes%n", text(report.interRegionBytes()));
+        appendLine("failed answers %s; not sent %d%n", new TreeMap<>(report.refusals()), report.notSent());
     }
 
-    private void line(String format, Object... values) {
+    private void appendLine(String format, Object... values) {
         text.append(String.format(Locale.ROOT, format, values));
     }
 
--- a/load/src/main/java/org/hornbeamspread/load/Requests.java
+++ b/load/src/main/java/org/hornbeamspread/load/RequestFactory.java
@@ -6,21 +6,21 @@
 import org.hornbeamspread.protocol.schema.Statement;
 
 /** Builds the workload's requests, and reads their rows. */
-final class Requests {
+final class RequestFactory {
     private static final String PAYMENTS = "payments";
     private static final String BALANCES = "balances";
-    private static final String SCAN_ROWS = "100";
-    private static final String NIGHTLY_WORK_MS = "20";
+    private static final String SCAN_ROW_LIMIT = "100";
+    private static final String NIGHTLY_SLEEP_MS = "20";
 
     private final String service;
 
-    Requests(String service) {
+    RequestFactory(String service) {
         this.service = service;
     }
 
     /** A payment: its row and the agent's balance in one transaction, keyed by its id. */
-    ExecuteRequest payment(RankPlan rank, Payment payment, String sessionToken) {
-        return base(rank.name(), payment.agent(), rank.timeoutMs())
+    ExecuteRequest payment(RankWorkload rank, Payment payment, String sessionToken) {
+        return requestBuilder(rank.name(), payment.agent(), rank.timeoutMs())
                 .setSessionToken(sessionToken)
                 .setNonRepeatable(true)
                 .setIdempotencyKey(payment.id())
@@ -30,34 +30,35 @@
     }
 
     /** A session's read of its agent's balance, and of the payments that it must see, in this order. */
-    ExecuteRequest read(RankPlan rank, String agent, String sessionToken, List<Payment> payments) {
-        ExecuteRequest.Builder request =
-                base(rank.name(), agent, rank.timeoutMs()).setReadOnly(true).setSessionToken(sessionToken);
+    ExecuteRequest read(RankWorkload rank, String agent, String sessionToken, List<Payment> payments) {
+        ExecuteRequest.Builder request = requestBuilder(rank.name(), agent, rank.timeoutMs())
+                .setReadOnly(true)
+                .setSessionToken(sessionToken);
         addGets(request, agent, payments);
         return request.build();
     }
 
     /** A long read of an agent's payments. */
-    ExecuteRequest scan(RankPlan rank, String agent) {
-        return base(rank.name(), agent, rank.timeoutMs())
+    ExecuteRequest scan(RankWorkload rank, String agent) {
+        return requestBuilder(rank.name(), agent, rank.timeoutMs())
                 .setReadOnly(true)
-                .addStatements(statement("row.scan", PAYMENTS, agent, SCAN_ROWS))
-                .addStatements(statement("sleep", NIGHTLY_WORK_MS))
+                .addStatements(statement("row.scan", PAYMENTS, agent, SCAN_ROW_LIMIT))
+                .addStatements(statement("sleep", NIGHTLY_SLEEP_MS))
                 .build();
     }
 
     /** A long keyed write. */
-    ExecuteRequest sync(RankPlan rank, String agent, String id) {
-        return base(rank.name(), agent, rank.timeoutMs())
+    ExecuteRequest sync(RankWorkload rank, String agent, String id) {
+        return requestBuilder(rank.name(), agent, rank.timeoutMs())
                 .setIdempotencyKey(id)
                 .addStatements(statement("row.put", "syncs", id, "done"))
-                .addStatements(statement("sleep", NIGHTLY_WORK_MS))
+                .addStatements(statement("sleep", NIGHTLY_SLEEP_MS))
                 .build();
     }
 
     /** The audit's read: it brings a session but no token, and so is served from the primary's position on arrival. */
     ExecuteRequest audit(String rank, String agent, List<Payment> payments, int timeoutMs) {
-        ExecuteRequest.Builder request = base(rank, agent, timeoutMs)
+        ExecuteRequest.Builder request = requestBuilder(rank, agent, timeoutMs)
                 .setReadOnly(true)
                 .setSessionId("audit")
                 .setStalenessAllowanceMs(1);
@@ -66,7 +67,7 @@
     }
 
     /** The number in the row of one statement's result, 0 for an absent row. */
-    static long number(ExecuteResponse response, int statement) {
+    static long rowValue(ExecuteResponse response, int statement) {
         if (response.getResultsCount() <= statement
                 || response.getResults(statement).getRowsCount() == 0) {
             return 0;
@@ -80,7 +81,7 @@
         payments.forEach(payment -> request.addStatements(statement("row.get", PAYMENTS, payment.id())));
     }
 
-    private ExecuteRequest.Builder base(String rank, String agent, int timeoutMs) {
+    private ExecuteRequest.Builder requestBuilder(String rank, String agent, int timeoutMs) {
         return ExecuteRequest.newBuilder()
                 .setService(service)
                 .setRank(rank)
--- a/load/src/main/java/org/hornbeamspread/load/WorkKind.java
+++ b/load/src/main/java/org/hornbeamspread/load/RequestKind.java
@@ -1,11 +1,11 @@
 package org.hornbeamspread.load;
 
 /** What a request of a rank does. */
-enum WorkKind {
+enum RequestKind {
     /** A keyed, non-repeatable payment: its own row and the agent's balance in one transaction. */
     PAYMENT,
     /** A read with the session's token through a proxy other than the one that answered last. */
-    ROAMING_READ,
+    SESSION_READ,
     /** A long read of an agent's payments, for the books. */
     LEDGER_SCAN,
     /** A long keyed write, from the field. */
--- a/load/src/main/java/org/hornbeamspread/load/SvgChart.java
+++ b/load/src/main/java/org/hornbeamspread/load/SvgChart.java
@@ -14,11 +14,11 @@
 
     private final StringBuilder svg = new StringBuilder();
     private final int seconds;
-    private final double highest;
+    private final double maxValue;
 
     private SvgChart(int seconds, double highest) {
         this.seconds = seconds;
-        this.highest = highest;
+        this.maxValue = highest;
     }
 
     /**
@@ -35,39 +35,41 @@
                 .max()
                 .orElse(1);
         SvgChart chart = new SvgChart(Math.max(2, seconds), Math.max(1, highest));
-        chart.axes();
+        chart.appendAxes();
         if (faultAtSeconds >= 0) {
-            chart.mark(faultAtSeconds);
+            chart.appendFaultMark(faultAtSeconds);
         }
         for (int i = 0; i < lines.size(); i++) {
-            chart.line(lines.get(i), i);
+            chart.appendLine(lines.get(i), i);
         }
         return chart.svg.append("</svg>").toString();
     }
 
-    private void axes() {
-        add(
+    private void appendAxes() {
+        append(
                 "<svg viewBox=\"0 0 %d %d\" width=\"%d\" height=\"%d\">",
                 WIDTH_PIXELS, HEIGHT_PIXELS, WIDTH_PIXELS, HEIGHT_PIXELS);
-        add("<path d=\"M%.1f %.1f V%.1f H%.1f\" class=\"axis\"/>", x(0), y(highest), y(0), x(seconds - 1));
-        add("<text x=\"2\" y=\"%.1f\">%.0f</text><text x=\"2\" y=\"%.1f\">0</text>", y(highest) + 4, highest, y(0));
+        append("<path d=\"M%.1f %.1f V%.1f H%.1f\" class=\"axis\"/>", x(0), y(maxValue), y(0), x(seconds - 1));
+        append(
+                "<text x=\"2\" y=\"%.1f\">%.0f</text><text x=\"2\" y=\"%.1f\">0</text>",
+                y(maxValue) + 4, maxValue, y(0));
         int step = Math.max(1, seconds / LABELLED_SECONDS);
         for (int second = 0; second < seconds; second += step) {
-            add("<text x=\"%.1f\" y=\"%d\">%d s</text>", x(second) - 6, HEIGHT_PIXELS - 14, second);
+            append("<text x=\"%.1f\" y=\"%d\">%d s</text>", x(second) - 6, HEIGHT_PIXELS - 14, second);
         }
     }
 
-    private void mark(double atSeconds) {
-        add("<path d=\"M%.1f %.1f V%.1f\" class=\"fault\"/>", x(atSeconds), y(highest), y(0));
+    private void appendFaultMark(double atSeconds) {
+        append("<path d=\"M%.1f %.1f V%.1f\" class=\"fault\"/>", x(atSeconds), y(maxValue), y(0));
     }
 
-    private void line(Line line, int index) {
+    private void appendLine(Line line, int index) {
         String points = IntStream.range(0, line.values().size())
                 .mapToObj(i -> String.format(
                         Locale.ROOT, "%.1f,%.1f", x(i), y(line.values().get(i))))
                 .collect(Collectors.joining(" "));
-        add("<polyline points=\"%s\" stroke=\"%s\" fill=\"none\" stroke-width=\"1.5\"/>", points, line.colour());
-        add(
+        append("<polyline points=\"%s\" stroke=\"%s\" fill=\"none\" stroke-width=\"1.5\"/>", points, line.colour());
+        append(
                 "<text x=\"%d\" y=\"12\" fill=\"%s\">%s</text>",
                 MARGIN_PIXELS + 12 + index * 110, line.colour(), line.label());
     }
@@ -77,10 +79,10 @@
     }
 
     private double y(double value) {
-        return HEIGHT_PIXELS - MARGIN_PIXELS - value * (HEIGHT_PIXELS - 2.0 * MARGIN_PIXELS + 8) / highest;
+        return HEIGHT_PIXELS - MARGIN_PIXELS - value * (HEIGHT_PIXELS - 2.0 * MARGIN_PIXELS + 8) / maxValue;
     }
 
-    private void add(String format, Object... values) {
+    private void append(String format, Object... values) {
         svg.append(String.format(Locale.ROOT, format, values));
     }
 
--- a/load/src/main/java/org/hornbeamspread/load/Workload.java
+++ b/load/src/main/java/org/hornbeamspread/load/Workload.java
@@ -14,7 +14,7 @@
  * @param agents how many agents there are; each is one session and one routing key
  * @param ranks the ranks, most urgent first: payments, session reads, and the nightly work
  */
-record Workload(String user, String service, List<String> groups, int agents, List<RankPlan> ranks) {
+record Workload(String user, String service, List<String> groups, int agents, List<RankWorkload> ranks) {
     private static final int AGENTS = 240;
     private static final int URGENT_TARGET_MS = 300;
     private static final int READ_TARGET_MS = 500;
@@ -22,9 +22,9 @@
     private static final int URGENT_TIMEOUT_MS = 2_000;
     private static final int READ_TIMEOUT_MS = 2_000;
     private static final int NIGHTLY_TIMEOUT_MS = 6_000;
-    private static final int URGENT_TRIES = 10;
-    private static final int READ_TRIES = 3;
-    private static final int NIGHTLY_TRIES = 4;
+    private static final int URGENT_MAX_ATTEMPTS = 10;
+    private static final int READ_MAX_ATTEMPTS = 3;
+    private static final int NIGHTLY_MAX_ATTEMPTS = 4;
 
     Workload {
         groups = List.copyOf(groups);
@@ -45,46 +45,50 @@
                         List.of(
                                 urgent(45, 500),
                                 reads("stock", 120),
-                                nightly("ledger", WorkKind.LEDGER_SCAN, 15, 600)));
+                                nightly("ledger", RequestKind.LEDGER_SCAN, 15, 600)));
             case "ujaas" ->
                 new Workload(
                         user,
                         "ledger",
                         groups,
                         AGENTS,
-                        List.of(urgent(60, 500), reads("balance", 90), nightly("sync", WorkKind.SYNC_WRITE, 10, 400)));
+                        List.of(
+                                urgent(60, 500),
+                                reads("balance", 90),
+                                nightly("sync", RequestKind.SYNC_WRITE, 10, 400)));
             default ->
                 throw new FailureException(FailureType.INVALID_SETTING, "--user is entoto or ujaas, not " + user);
         };
     }
 
-    private static RankPlan urgent(double perSecond, double floodPerSecond) {
-        return new RankPlan(
+    private static RankWorkload urgent(double perSecond, double floodPerSecond) {
+        return new RankWorkload(
                 "urgent",
-                WorkKind.PAYMENT,
+                RequestKind.PAYMENT,
                 perSecond,
                 floodPerSecond,
                 URGENT_TARGET_MS,
                 URGENT_TIMEOUT_MS,
-                URGENT_TRIES);
+                URGENT_MAX_ATTEMPTS);
     }
 
-    private static RankPlan reads(String name, double perSecond) {
-        return new RankPlan(name, WorkKind.ROAMING_READ, perSecond, 0, READ_TARGET_MS, READ_TIMEOUT_MS, READ_TRIES);
+    private static RankWorkload reads(String name, double perSecond) {
+        return new RankWorkload(
+                name, RequestKind.SESSION_READ, perSecond, 0, READ_TARGET_MS, READ_TIMEOUT_MS, READ_MAX_ATTEMPTS);
     }
 
-    private static RankPlan nightly(String name, WorkKind kind, double perSecond, double floodPerSecond) {
-        return new RankPlan(
-                name, kind, perSecond, floodPerSecond, NIGHTLY_TARGET_MS, NIGHTLY_TIMEOUT_MS, NIGHTLY_TRIES);
+    private static RankWorkload nightly(String name, RequestKind kind, double perSecond, double floodPerSecond) {
+        return new RankWorkload(
+                name, kind, perSecond, floodPerSecond, NIGHTLY_TARGET_MS, NIGHTLY_TIMEOUT_MS, NIGHTLY_MAX_ATTEMPTS);
     }
 
     /** The rank of the payments. */
-    RankPlan urgentRank() {
+    RankWorkload urgentRank() {
         return ranks.get(0);
     }
 
     /** The rank of the session reads. */
-    RankPlan readRank() {
+    RankWorkload readRank() {
         return ranks.get(1);
     }
 }
--- a/load/src/test/java/org/hornbeamspread/load/ArrivalScheduleTest.java
+++ b/load/src/test/java/org/hornbeamspread/load/ArrivalScheduleTest.java
@@ -13,13 +13,13 @@
 
     @ParameterizedTest
     @CsvSource({"entoto,0", "entoto,2", "ujaas,0", "ujaas,2"})
-    void aFloodLeavesTheOrdinaryArrivalsAsTheyWere(String user, int floodRank) {
+    void aFloodDoesNotChangeTheOrdinaryArrivals(String user, int floodRank) {
         Workload workload = Workload.of(user, 3);
         List<Arrival> quiet = ArrivalSchedule.of(workload, 2, SECONDS, 5, Optional.empty());
         List<Arrival> flooded = ArrivalSchedule.of(workload, 2, SECONDS, 5, Optional.of(floodRank));
         assertThat(flooded.stream().filter(arrival -> !arrival.flood()).toList())
                 .isEqualTo(quiet);
-        assertThat(quiet.stream().anyMatch(arrival -> !arrival.counted())).isTrue();
+        assertThat(quiet.stream().anyMatch(arrival -> !arrival.isMeasured())).isTrue();
         List<Arrival> flood = flooded.stream().filter(Arrival::flood).toList();
         double perSecond = workload.ranks().get(floodRank).floodArrivalsPerSecond();
         assertThat((double) flood.size()).isWithin(perSecond).of(perSecond * SECONDS / 3);
--- a/load/src/test/java/org/hornbeamspread/load/AuditDetectionTest.java
+++ b/load/src/test/java/org/hornbeamspread/load/AuditDetectionTest.java
@@ -29,7 +29,7 @@
         "REFUSES,            19, 0, 0, 0, 0, true",
         "RUNS_WITHOUT_PROOF, 19, 0, 0, 0, 1, true"
     })
-    void theAuditSeesTheHarm(
+    void theAuditDetectsTheFault(
             FakeProxy.Misbehaviour misbehaviour,
             long acknowledged,
             long lost,
@@ -47,17 +47,17 @@
 
     @ParameterizedTest
     @CsvSource({"NONE,false", "READS_STALE,true"})
-    void aReadThatLacksTheSessionsWriteIsAViolation(FakeProxy.Misbehaviour misbehaviour, boolean violated) {
+    void aReadWithoutTheSessionsWriteIsAViolation(FakeProxy.Misbehaviour misbehaviour, boolean violated) {
         LoadReport report = run(misbehaviour);
         assertThat(report.reads().checks()).isAtLeast(PAYMENTS);
         assertThat(report.reads().violations() > 0).isEqualTo(violated);
         assertThat(report.passed()).isEqualTo(!violated);
-        assertThat(report.audit().balanced()).isTrue();
+        assertThat(report.audit().isConsistent()).isTrue();
     }
 
     @ParameterizedTest
     @CsvSource({"NONE,0", "DROPS_ROW,1", "RUNS_TWICE,1", "RUNS_BUT_REFUSES,1"})
-    void theBinaryExitsWithTheVerdict(FakeProxy.Misbehaviour misbehaviour, int code) {
+    void theExitCodeReportsTheAuditResult(FakeProxy.Misbehaviour misbehaviour, int code) {
         try (FakeProxy proxy = new FakeProxy(misbehaviour)) {
             java.io.PrintStream discard = new java.io.PrintStream(java.io.OutputStream.nullOutputStream());
             String proxies = "p1=" + proxy.endpoint() + ",p2=" + proxy.endpoint();
@@ -77,22 +77,22 @@
 
     private static LoadReport run(FakeProxy.Misbehaviour misbehaviour) {
         Clock clock = new MonotonicClock();
-        RankPlan urgent = new RankPlan("urgent", WorkKind.PAYMENT, 1, 0, 60_000, 2_000, 1);
-        RankPlan reads = new RankPlan("stock", WorkKind.ROAMING_READ, 1, 0, 60_000, 2_000, 1);
+        RankWorkload urgent = new RankWorkload("urgent", RequestKind.PAYMENT, 1, 0, 60_000, 2_000, 1);
+        RankWorkload reads = new RankWorkload("stock", RequestKind.SESSION_READ, 1, 0, 60_000, 2_000, 1);
         Workload workload = new Workload("test", "service", List.of("g1"), PAYMENTS, List.of(urgent, reads));
         List<Arrival> schedule = new ArrayList<>();
         for (int i = 0; i < PAYMENTS; i++) {
             schedule.add(new Arrival(i, 0, false));
         }
         try (FakeProxy proxy = new FakeProxy(misbehaviour)) {
-            HttpProxyPort port = HttpProxyPort.parse("p1=" + proxy.endpoint() + ",p2=" + proxy.endpoint());
+            HttpProxyClient port = HttpProxyClient.parse("p1=" + proxy.endpoint() + ",p2=" + proxy.endpoint());
             try (LoadRun run =
                     new LoadRun(workload, port, schedule, SEED, Duration.ZERO, clock, (second, state) -> {})) {
                 run.run();
                 Audit.Result audit =
                         LoadMain.audit(workload, port, run.callers().ledger(), clock);
                 return new LoadReport(
-                        new LoadReport.Trial("test", SEED, "none", 0, -1),
+                        new LoadReport.Scenario("test", SEED, "none", 0, -1),
                         audit,
                         run.callers().reads(),
                         Map.of(),
--- a/load/src/test/java/org/hornbeamspread/load/BoundTest.java
+++ b/load/src/test/java/org/hornbeamspread/load/BoundTest.java
@@ -26,10 +26,10 @@
         "a: flood.gap / 1000 <= 0.05, 0.1, false",
         "a: empty.gap / empty.gap <= 5, NaN, false"
     })
-    void theRatioDecides(String line, double value, boolean kept) {
+    void aBoundComparesTheRatioWithItsLimit(String line, double value, boolean kept) {
         Bound bound = Bound.parse(line);
         assertThat(bound.value(REPORTS)).isEqualTo(value);
-        assertThat(bound.isKeptBy(bound.value(REPORTS))).isEqualTo(kept);
+        assertThat(bound.isSatisfiedBy(bound.value(REPORTS))).isEqualTo(kept);
     }
 
     @ParameterizedTest
@@ -38,7 +38,7 @@
         "a: missing.gap / none.gap <= 2, false",
         "a: flood.byRank / none.gap <= 2, false"
     })
-    void aMissingNumberFails(String line, boolean present) {
+    void aMissingNumberIsRejected(String line, boolean present) {
         Bound bound = Bound.parse(line);
         if (!present) {
             assertThrows(FailureException.class, () -> bound.value(REPORTS));
@@ -49,7 +49,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"a flood.gap / none.gap <= 2", "a: flood.gap <= 2", "a: flood.gap / none.gap = 2"})
-    void aWrongLineIsRefused(String line) {
+    void aMalformedLineIsRejected(String line) {
         assertThrows(FailureException.class, () -> Bound.parse(line));
     }
 
--- a/load/src/test/java/org/hornbeamspread/load/DispatcherTest.java
+++ b/load/src/test/java/org/hornbeamspread/load/DispatcherTest.java
@@ -20,13 +20,13 @@
 
 /** Tries go on with the same key at another proxy, for a bounded number of times, and keep the careful last word. */
 class DispatcherTest {
-    private static final int TRIES = 3;
+    private static final int MAX_ATTEMPTS = 3;
 
-    private final List<String> proxiesTried = new ArrayList<>();
+    private final List<String> attemptedProxies = new ArrayList<>();
     private final List<String> keysSent = new ArrayList<>();
     private final Deque<String> script = new ArrayDeque<>();
     private long nowUs;
-    private Effect lastWord;
+    private Effect outcome;
 
     @ParameterizedTest
     @CsvSource({
@@ -39,34 +39,35 @@
         "REQUEST_TIMEOUT QUEUE_FULL QUEUE_FULL DONE,        3, UNKNOWN",
         "QUEUE_FULL NO_QUORUM_IN_TIME QUEUE_FULL DONE,      3, UNKNOWN"
     })
-    void triesAreBoundedAndTheLastWordIsProved(String answers, int tries, Effect expected) {
+    void attemptsAreBoundedAndAnUnprovedOutcomeStaysUnknown(String answers, int tries, Effect expected) {
         script.addAll(List.of(answers.split(" ", -1)));
         Dispatcher dispatcher =
-                new Dispatcher(new ScriptedProxies(), new SplittableRandom(1), () -> nowUs, Runnable::run);
-        RankPlan rank = new RankPlan("urgent", WorkKind.PAYMENT, 1, 0, 300, 2_000, TRIES);
+                new Dispatcher(new ScriptedProxyClient(), new SplittableRandom(1), () -> nowUs, Runnable::run);
+        RankWorkload rank = new RankWorkload("urgent", RequestKind.PAYMENT, 1, 0, 300, 2_000, MAX_ATTEMPTS);
         ExecuteRequest request =
                 ExecuteRequest.newBuilder().setIdempotencyKey("k").build();
-        dispatcher.submit(new Job(rank, 0, request, TRIES, "p2", new Job.JobListener() {
-            @Override
-            public void onEnd(Job job, Optional<Answer> last) {
-                lastWord = job.lastWord();
-            }
-        }));
-        while (!dispatcher.idle()) {
+        dispatcher.submit(new PendingRequest(
+                rank, 0, request, MAX_ATTEMPTS, "p2", new PendingRequest.RequestListener() {
+                    @Override
+                    public void onCompleted(PendingRequest job, Optional<AttemptResult> last) {
+                        outcome = job.outcome();
+                    }
+                }));
+        while (!dispatcher.isIdle()) {
             nowUs += 1_000;
             dispatcher.tick();
         }
-        assertThat(lastWord).isEqualTo(expected);
+        assertThat(outcome).isEqualTo(expected);
         assertThat(keysSent).containsExactlyElementsIn(java.util.Collections.nCopies(tries, "k"));
         String previous = "p2";
-        for (String proxy : proxiesTried) {
+        for (String proxy : attemptedProxies) {
             assertThat(proxy).isNotEqualTo(previous);
             previous = proxy;
         }
     }
 
     /** Answers from the script: DONE, or a failure by its type. */
-    private final class ScriptedProxies implements ProxyPort {
+    private final class ScriptedProxyClient implements ProxyClient {
         @Override
         public List<String> proxies() {
             return List.of("p1", "p2", "p3");
@@ -74,7 +75,7 @@
 
         @Override
         public CompletableFuture<ExecuteResponse> execute(String proxy, ExecuteRequest request, Duration timeout) {
-            proxiesTried.add(proxy);
+            attemptedProxies.add(proxy);
             keysSent.add(request.getIdempotencyKey());
             String answer = script.poll();
             if ("DONE".equals(answer)) {
--- a/load/src/test/java/org/hornbeamspread/load/FailoverGapTest.java
+++ b/load/src/test/java/org/hornbeamspread/load/FailoverGapTest.java
@@ -19,14 +19,15 @@
         "o10 a400 o500 a520,         450, 600, 20",
         "'',                           0, 600, 0"
     })
-    void theLongestSpanWithoutAnAcknowledgement(String events, long faultAtMs, long endMs, long expectedMs) {
+    void theGapIsTheLongestIntervalWithoutAnAcknowledgement(
+            String events, long faultAtMs, long endMs, long expectedMs) {
         FailoverGap gap = new FailoverGap();
         for (String event : events.isEmpty() ? new String[0] : events.split(" ", -1)) {
             long atMs = Long.parseLong(event.substring(1));
             switch (event.charAt(0)) {
                 case 'o' -> gap.offered(atMs);
-                case 'a' -> gap.ended(atMs, Effect.DONE);
-                default -> gap.ended(atMs, Effect.NOT_RUN);
+                case 'a' -> gap.completed(atMs, Effect.DONE);
+                default -> gap.completed(atMs, Effect.NOT_RUN);
             }
         }
         assertThat(gap.longestMs(faultAtMs, endMs)).isEqualTo(expectedMs);
--- a/load/src/test/java/org/hornbeamspread/load/FakeProxy.java
+++ b/load/src/test/java/org/hornbeamspread/load/FakeProxy.java
@@ -25,7 +25,7 @@
     private final Map<String, Long> rows = new HashMap<>();
 
     /** The payment that was misbehaved with; null before it came. */
-    private String victim;
+    private String faultyPaymentKey;
 
     FakeProxy(Misbehaviour misbehaviour) {
         this.misbehaviour = misbehaviour;
@@ -51,37 +51,37 @@
 
     private synchronized ExecuteResponse execute(ExecuteRequest request) {
         String key = request.getIdempotencyKey();
-        if (victim == null && request.getNonRepeatable()) {
-            victim = key;
+        if (faultyPaymentKey == null && request.getNonRepeatable()) {
+            faultyPaymentKey = key;
         }
-        if (!key.isEmpty() && key.equals(victim)) {
-            return misbehave(request);
+        if (!key.isEmpty() && key.equals(faultyPaymentKey)) {
+            return executeWithFault(request);
         }
         boolean stale = misbehaviour == Misbehaviour.READS_STALE
                 && !request.getSessionToken().isEmpty();
-        return done(request, stale ? new HashMap<>() : rows);
+        return executeStatements(request, stale ? new HashMap<>() : rows);
     }
 
-    private ExecuteResponse misbehave(ExecuteRequest request) {
+    private ExecuteResponse executeWithFault(ExecuteRequest request) {
         return switch (misbehaviour) {
-            case NONE, READS_STALE -> done(request, rows);
-            case DROPS_ROW -> done(request, new HashMap<>());
+            case NONE, READS_STALE -> executeStatements(request, rows);
+            case DROPS_ROW -> executeStatements(request, new HashMap<>());
             case RUNS_TWICE -> {
-                done(request, rows);
-                yield done(request, rows);
+                executeStatements(request, rows);
+                yield executeStatements(request, rows);
             }
             case ADDS_BALANCE_TWICE -> {
-                ExecuteResponse first = done(request, rows);
-                done(request.toBuilder().removeStatements(0).build(), rows);
+                ExecuteResponse first = executeStatements(request, rows);
+                executeStatements(request.toBuilder().removeStatements(0).build(), rows);
                 yield first;
             }
             case RUNS_BUT_REFUSES -> {
-                done(request, rows);
+                executeStatements(request, rows);
                 yield refusal(FailureType.QUEUE_FULL);
             }
             case REFUSES -> refusal(FailureType.QUEUE_FULL);
             case RUNS_WITHOUT_PROOF -> {
-                done(request, rows);
+                executeStatements(request, rows);
                 yield refusal(FailureType.TIMEOUT_AFTER_SEND);
             }
         };
@@ -94,19 +94,19 @@
                 .build();
     }
 
-    private static ExecuteResponse done(ExecuteRequest request, Map<String, Long> rows) {
+    private static ExecuteResponse executeStatements(ExecuteRequest request, Map<String, Long> rows) {
         ExecuteResponse.Builder response = ExecuteResponse.newBuilder()
                 .setEffect(Effect.DONE)
                 .setSessionToken("token")
                 .setProxyId("p1")
                 .setFromReplica(request.getReadOnly());
         for (Statement statement : request.getStatementsList()) {
-            response.addResults(run(statement, rows));
+            response.addResults(executeStatement(statement, rows));
         }
         return response.build();
     }
 
-    private static StatementResult run(Statement statement, Map<String, Long> rows) {
+    private static StatementResult executeStatement(Statement statement, Map<String, Long> rows) {
         if (statement.getArgumentsCount() < 2) {
             return StatementResult.getDefaultInstance();
         }
