--- a/load/src/main/java/org/hornbeamspread/load/AgentSession.java
+++ b/load/src/main/java/org/hornbeamspread/load/AgentSession.java
@@ -13,7 +13,7 @@
     private Optional<Payment> lastPayment = Optional.empty();
 
     /** Raised with each payment, so that a read that was sent before it doesn't bring back an older token. */
-    private int epoch;
+    private int paymentCount;
 
     AgentSession(String agent) {
         this.agent = agent;
@@ -35,13 +35,13 @@
         return lastPayment;
     }
 
-    int epoch() {
-        return epoch;
+    int paymentCount() {
+        return paymentCount;
     }
 
     /** A payment was acknowledged. */
     void onPaymentAcknowledged(Payment payment, ExecuteResponse answer) {
-        epoch++;
+        paymentCount++;
         lastPayment = Optional.of(payment);
         token = answer.getSessionToken();
         lastProxy = answer.getProxyId();
@@ -49,7 +49,7 @@
 
     /** A read that was sent in an epoch was answered. */
     void onReadServed(int sentInEpoch, ExecuteResponse answer) {
-        if (sentInEpoch == epoch) {
+        if (sentInEpoch == paymentCount) {
             token = answer.getSessionToken();
             lastProxy = answer.getProxyId();
         }
--- a/load/src/main/java/org/hornbeamspread/load/AuditReader.java
+++ b/load/src/main/java/org/hornbeamspread/load/AuditReader.java
@@ -23,14 +23,14 @@
     private static final int REQUEST_TIMEOUT_MS = 5_000;
     private static final Duration RETRY_PAUSE = Duration.ofMillis(200);
 
-    private final ProxyClient port;
+    private final ProxyClient proxyClient;
     private final RequestFactory requests;
     private final String rank;
     private final Clock clock;
     private int nextProxy;
 
     AuditReader(ProxyClient port, Workload workload, Clock clock) {
-        this.port = port;
+        this.proxyClient = port;
         this.requests = new RequestFactory(workload.service());
         this.rank = workload.urgentRank().name();
         this.clock = clock;
@@ -57,12 +57,14 @@
         Map<Map.Entry<String, List<Payment>>, CompletableFuture<ExecuteResponse>> sent = new HashMap<>();
         while (!open.isEmpty() && sent.size() < MAX_AGENTS_IN_FLIGHT) {
             Map.Entry<String, List<Payment>> agent = open.poll();
-            String proxy = port.proxies().get(nextProxy++ % port.proxies().size());
+            String proxy = proxyClient
+                    .proxies()
+                    .get(nextProxy++ % proxyClient.proxies().size());
             sent.put(
                     agent,
-                    port.execute(
+                    proxyClient.execute(
                             proxy,
-                            requests.audit(rank, agent.getKey(), agent.getValue(), REQUEST_TIMEOUT_MS),
+                            requests.auditRead(rank, agent.getKey(), agent.getValue(), REQUEST_TIMEOUT_MS),
                             Duration.ofMillis(REQUEST_TIMEOUT_MS)));
         }
         List<Map.Entry<String, List<Payment>>> failed = new ArrayList<>();
--- a/load/src/main/java/org/hornbeamspread/load/CallerModel.java
+++ b/load/src/main/java/org/hornbeamspread/load/CallerModel.java
@@ -73,12 +73,12 @@
         switch (rank.kind()) {
             case PAYMENT -> submitPayment(rank, agent, arrival);
             case SESSION_READ -> submitRead(rank, agent, arrival.atUs());
-            case LEDGER_SCAN -> submit(rank, arrival, requests.scan(rank, agent.agent()), readListener());
+            case LEDGER_SCAN -> submit(rank, arrival, requests.ledgerScan(rank, agent.agent()), readListener());
             case SYNC_WRITE ->
                 submit(
                         rank,
                         arrival,
-                        requests.sync(rank, agent.agent(), agent.agent() + ".s" + nextRequestNumber++),
+                        requests.syncWrite(rank, agent.agent(), agent.agent() + ".s" + nextRequestNumber++),
                         new PendingRequest.RequestListener() {});
         }
     }
@@ -122,7 +122,7 @@
 
     private void submitRead(RankWorkload rank, AgentSession agent, long intendedUs) {
         Optional<Payment> mustSee = agent.lastPayment();
-        int epoch = agent.epoch();
+        int epoch = agent.paymentCount();
         PendingRequest.RequestListener listener = new PendingRequest.RequestListener() {
             @Override
             public void onCompleted(PendingRequest job, Optional<AttemptResult> last) {
@@ -138,7 +138,7 @@
         submit(
                 rank,
                 new Arrival(intendedUs, workload.ranks().indexOf(rank), false),
-                requests.read(
+                requests.sessionRead(
                         rank, agent.agent(), agent.token(), mustSee.stream().toList()),
                 agent.lastProxy(),
                 listener);
@@ -154,7 +154,7 @@
     }
 
     private void countServedRead(PendingRequest job, ExecuteResponse response) {
-        if (job.intendedUs() >= 0) {
+        if (job.intendedStartUs() >= 0) {
             reads.served(response);
         }
     }
@@ -189,7 +189,7 @@
 
             @Override
             public void onCompleted(PendingRequest job, Optional<AttemptResult> last) {
-                counts.completed(job.intendedUs(), nowUs.getAsLong(), job.outcome());
+                counts.completed(job.intendedStartUs(), nowUs.getAsLong(), job.outcome());
                 listener.onCompleted(job, last);
             }
         };
--- a/load/src/main/java/org/hornbeamspread/load/Dispatcher.java
+++ b/load/src/main/java/org/hornbeamspread/load/Dispatcher.java
@@ -26,7 +26,7 @@
     private static final Duration NETWORK_TIMEOUT_MARGIN = Duration.ofMillis(500);
     private static final long US_PER_MS = 1_000;
 
-    private final ProxyClient port;
+    private final ProxyClient proxyClient;
     private final List<String> proxies;
     private final SplittableRandom random;
     private final LongSupplier nowUs;
@@ -37,7 +37,7 @@
     private long notSent;
 
     Dispatcher(ProxyClient port, SplittableRandom random, LongSupplier nowUs, Consumer<Runnable> onOwnThread) {
-        this.port = port;
+        this.proxyClient = port;
         this.proxies = port.proxies();
         this.random = random;
         this.nowUs = nowUs;
@@ -52,7 +52,7 @@
     /** Sends the retries that are due. */
     void tick() {
         while (!retries.isEmpty() && retries.peek().dueUs <= nowUs.getAsLong()) {
-            send(retries.poll().job);
+            send(retries.poll().pending);
         }
     }
 
@@ -87,14 +87,14 @@
         job.attemptSent(proxy);
         inFlight++;
         Duration timeout = Duration.ofMillis(job.request().getTimeoutMs()).plus(NETWORK_TIMEOUT_MARGIN);
-        port.execute(proxy, job.request(), timeout).whenComplete((response, error) -> {
+        proxyClient.execute(proxy, job.request(), timeout).whenComplete((response, error) -> {
             AttemptResult answer =
                     error == null ? AttemptResult.of(response) : AttemptResult.of(FailureException.of(error));
-            runThreadExecutor.accept(() -> onAnswer(job, number, answer));
+            runThreadExecutor.accept(() -> onAttemptResult(job, number, answer));
         });
     }
 
-    private void onAnswer(PendingRequest job, int number, AttemptResult answer) {
+    private void onAttemptResult(PendingRequest job, int number, AttemptResult answer) {
         inFlight--;
         answer.failure().ifPresent(type -> refusals.merge(type, 1L, Long::sum));
         job.listener().onAttemptResult(number, answer);
@@ -121,5 +121,5 @@
         return proxies.get(at);
     }
 
-    private record Retry(long dueUs, PendingRequest job) {}
+    private record Retry(long dueUs, PendingRequest pending) {}
 }
--- a/load/src/main/java/org/hornbeamspread/load/HttpProxyClient.java
+++ b/load/src/main/java/org/hornbeamspread/load/HttpProxyClient.java
@@ -15,7 +15,7 @@
 
 /** Proxies over HTTP. */
 final class HttpProxyClient implements ProxyClient {
-    private final RpcClient client = new RpcClient();
+    private final RpcClient rpcClient = new RpcClient();
     private final Map<String, Endpoint> endpoints;
 
     HttpProxyClient(Map<String, Endpoint> endpoints) {
@@ -46,7 +46,7 @@
 
     @Override
     public CompletableFuture<ExecuteResponse> execute(String proxy, ExecuteRequest request, Duration timeout) {
-        return client.call(
+        return rpcClient.call(
                 endpoints.get(proxy),
                 "hornbeamspread.Statements/Execute",
                 request,
--- a/load/src/main/java/org/hornbeamspread/load/LoadRun.java
+++ b/load/src/main/java/org/hornbeamspread/load/LoadRun.java
@@ -50,7 +50,7 @@
         this.start = clock.instant().plus(warmUp);
         this.lastArrivalUs =
                 schedule.isEmpty() ? 0 : schedule.get(schedule.size() - 1).atUs();
-        this.runThread = new DutyThread<>("load", RING_CAPACITY, Runnable::run, TICK_INTERVAL, this::tick);
+        this.runThread = new DutyThread<>("load", RING_CAPACITY, Runnable::run, TICK_INTERVAL, this::onTick);
         this.dispatcher = new Dispatcher(port, new SplittableRandom(seed), this::nowUs, this::enqueue);
         this.callers = new CallerModel(workload, dispatcher, this::nowUs, seed);
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    private void tick() {
+    private void onTick() {
         long nowUs = nowUs();
         while (!schedule.isEmpty() && schedule.peek().atUs() <= nowUs) {
             callers.startRequest(schedule.poll());
--- a/load/src/main/java/org/hornbeamspread/load/PendingRequest.java
+++ b/load/src/main/java/org/hornbeamspread/load/PendingRequest.java
@@ -7,7 +7,7 @@
 /** One request of a caller, from its intended start over all its tries to the last word. Used by one thread. */
 final class PendingRequest {
     private final RankWorkload rank;
-    private final long intendedUs;
+    private final long intendedStartUs;
     private final ExecuteRequest request;
     private final int maxAttempts;
     private final RequestListener listener;
@@ -26,7 +26,7 @@
             String avoidedProxy,
             RequestListener listener) {
         this.rank = rank;
-        this.intendedUs = intendedUs;
+        this.intendedStartUs = intendedUs;
         this.request = request;
         this.maxAttempts = triesAllowed;
         this.avoidedProxy = avoidedProxy;
@@ -37,8 +37,8 @@
         return rank;
     }
 
-    long intendedUs() {
-        return intendedUs;
+    long intendedStartUs() {
+        return intendedStartUs;
     }
 
     ExecuteRequest request() {
--- a/load/src/main/java/org/hornbeamspread/load/ReportJson.java
+++ b/load/src/main/java/org/hornbeamspread/load/ReportJson.java
@@ -23,10 +23,10 @@
         addAudit(root, report.audit());
         addReads(root, report.reads());
         addGaps(root, report);
-        root.add("configurationInForceMs", number(report.configurationInForceMs()));
-        root.add("interRegionBytes", number(report.interRegionBytes()));
+        root.add("configurationInForceMs", numberOrNull(report.configurationInForceMs()));
+        root.add("interRegionBytes", numberOrNull(report.interRegionBytes()));
         JsonObject byRank = new JsonObject();
-        report.ranks().forEach(rank -> byRank.add(rank.name(), rank(rank)));
+        report.ranks().forEach(rank -> byRank.add(rank.name(), rankObject(rank)));
         root.add("byRank", byRank);
         JsonObject refusals = new JsonObject();
         new TreeMap<>(report.refusals()).forEach((type, count) -> refusals.addProperty(type.name(), count));
@@ -58,7 +58,7 @@
         root.add("failoverGapMsByGroup", gaps);
     }
 
-    private static JsonObject rank(RankReport rank) {
+    private static JsonObject rankObject(RankReport rank) {
         JsonObject object = new JsonObject();
         object.addProperty("offered", rank.offered());
         object.addProperty("served", rank.served());
@@ -70,7 +70,7 @@
         return object;
     }
 
-    private static JsonElement number(OptionalLong value) {
+    private static JsonElement numberOrNull(OptionalLong value) {
         return value.isPresent() ? new JsonPrimitive(value.getAsLong()) : JsonNull.INSTANCE;
     }
 
--- a/load/src/main/java/org/hornbeamspread/load/ReportTable.java
+++ b/load/src/main/java/org/hornbeamspread/load/ReportTable.java
@@ -9,7 +9,7 @@
     private static final String RANK_HEADING = "%-10s %8s %8s %8s %8s %10s %9s %9s%n";
     private static final String RANK_LINE = "%-10s %8d %8d %8d %8d %9.2f%% %9.1f %9.1f%n";
 
-    private final StringBuilder text = new StringBuilder();
+    private final StringBuilder output = new StringBuilder();
 
     private ReportTable() {}
 
@@ -19,7 +19,7 @@
         table.appendHeading(report);
         table.appendRanks(report);
         table.appendAuditAndReads(report);
-        return table.text.toString();
+        return table.output.toString();
     }
 
     private void appendHeading(LoadReport report) {
@@ -53,16 +53,16 @@
         appendLine("read-your-writes: %d violations in %d checks; ", reads.violations(), reads.checks());
         appendLine("reads %d, from replicas %.1f%%%n", reads.served(), reads.replicaShare() * 100);
         appendLine("failover gap %d ms %s; ", report.failoverGapMs(), new TreeMap<>(report.gapMsByGroup()));
-        appendLine("configuration in force after %s ms; ", text(report.configurationInForceMs()));
-        appendLine("between regions %s bytes%n", text(report.interRegionBytes()));
+        appendLine("configuration in force after %s ms; ", textOrNotMeasured(report.configurationInForceMs()));
+        appendLine("between regions %s bytes%n", textOrNotMeasured(report.interRegionBytes()));
         appendLine("failed answers %s; not sent %d%n", new TreeMap<>(report.refusals()), report.notSent());
     }
 
     private void appendLine(String format, Object... values) {
-        text.append(String.format(Locale.ROOT, format, values));
+        output.append(String.format(Locale.ROOT, format, values));
     }
 
-    private static String text(OptionalLong value) {
+    private static String textOrNotMeasured(OptionalLong value) {
         return value.isPresent() ? Long.toString(value.getAsLong()) : "(not measured)";
     }
 }
--- a/load/src/main/java/org/hornbeamspread/load/RequestFactory.java
+++ b/load/src/main/java/org/hornbeamspread/load/RequestFactory.java
@@ -30,7 +30,7 @@
     }
 
     /** A session's read of its agent's balance, and of the payments that it must see, in this order. */
-    ExecuteRequest read(RankWorkload rank, String agent, String sessionToken, List<Payment> payments) {
+    ExecuteRequest sessionRead(RankWorkload rank, String agent, String sessionToken, List<Payment> payments) {
         ExecuteRequest.Builder request = requestBuilder(rank.name(), agent, rank.timeoutMs())
                 .setReadOnly(true)
                 .setSessionToken(sessionToken);
@@ -39,7 +39,7 @@
     }
 
     /** A long read of an agent's payments. */
-    ExecuteRequest scan(RankWorkload rank, String agent) {
+    ExecuteRequest ledgerScan(RankWorkload rank, String agent) {
         return requestBuilder(rank.name(), agent, rank.timeoutMs())
                 .setReadOnly(true)
                 .addStatements(statement("row.scan", PAYMENTS, agent, SCAN_ROW_LIMIT))
@@ -48,7 +48,7 @@
     }
 
     /** A long keyed write. */
-    ExecuteRequest sync(RankWorkload rank, String agent, String id) {
+    ExecuteRequest syncWrite(RankWorkload rank, String agent, String id) {
         return requestBuilder(rank.name(), agent, rank.timeoutMs())
                 .setIdempotencyKey(id)
                 .addStatements(statement("row.put", "syncs", id, "done"))
@@ -57,7 +57,7 @@
     }
 
     /** The audit's read: it brings a session but no token, and so is served from the primary's position on arrival. */
-    ExecuteRequest audit(String rank, String agent, List<Payment> payments, int timeoutMs) {
+    ExecuteRequest auditRead(String rank, String agent, List<Payment> payments, int timeoutMs) {
         ExecuteRequest.Builder request = requestBuilder(rank, agent, timeoutMs)
                 .setReadOnly(true)
                 .setSessionId("audit")
--- a/load/src/test/java/org/hornbeamspread/load/AuditDetectionTest.java
+++ b/load/src/test/java/org/hornbeamspread/load/AuditDetectionTest.java
@@ -30,7 +30,7 @@
         "RUNS_WITHOUT_PROOF, 19, 0, 0, 0, 1, true"
     })
     void theAuditDetectsTheFault(
-            FakeProxy.Misbehaviour misbehaviour,
+            FakeProxy.Fault misbehaviour,
             long acknowledged,
             long lost,
             long doubled,
@@ -39,7 +39,7 @@
             boolean passed) {
         LoadReport report = run(misbehaviour);
         assertThat(report.audit()).isEqualTo(new Audit.Result(acknowledged, lost, doubled, falseNotRun, unknown, 0));
-        if (misbehaviour != FakeProxy.Misbehaviour.DROPS_ROW) {
+        if (misbehaviour != FakeProxy.Fault.DROPS_ROW) {
             assertThat(report.reads().violations()).isEqualTo(0);
         }
         assertThat(report.passed()).isEqualTo(passed);
@@ -47,7 +47,7 @@
 
     @ParameterizedTest
     @CsvSource({"NONE,false", "READS_STALE,true"})
-    void aReadWithoutTheSessionsWriteIsAViolation(FakeProxy.Misbehaviour misbehaviour, boolean violated) {
+    void aReadWithoutTheSessionsWriteIsAViolation(FakeProxy.Fault misbehaviour, boolean violated) {
         LoadReport report = run(misbehaviour);
         assertThat(report.reads().checks()).isAtLeast(PAYMENTS);
         assertThat(report.reads().violations() > 0).isEqualTo(violated);
@@ -57,7 +57,7 @@
 
     @ParameterizedTest
     @CsvSource({"NONE,0", "DROPS_ROW,1", "RUNS_TWICE,1", "RUNS_BUT_REFUSES,1"})
-    void theExitCodeReportsTheAuditResult(FakeProxy.Misbehaviour misbehaviour, int code) {
+    void theExitCodeReportsTheAuditResult(FakeProxy.Fault misbehaviour, int code) {
         try (FakeProxy proxy = new FakeProxy(misbehaviour)) {
             java.io.PrintStream discard = new java.io.PrintStream(java.io.OutputStream.nullOutputStream());
             String proxies = "p1=" + proxy.endpoint() + ",p2=" + proxy.endpoint();
@@ -75,7 +75,7 @@
         }
     }
 
-    private static LoadReport run(FakeProxy.Misbehaviour misbehaviour) {
+    private static LoadReport run(FakeProxy.Fault misbehaviour) {
         Clock clock = new MonotonicClock();
         RankWorkload urgent = new RankWorkload("urgent", RequestKind.PAYMENT, 1, 0, 60_000, 2_000, 1);
         RankWorkload reads = new RankWorkload("stock", RequestKind.SESSION_READ, 1, 0, 60_000, 2_000, 1);
--- a/load/src/test/java/org/hornbeamspread/load/FakeProxy.java
+++ b/load/src/test/java/org/hornbeamspread/load/FakeProxy.java
@@ -20,15 +20,15 @@
 
 /** An HTTP endpoint that answers like a proxy over rows in memory, and misbehaves with the first payment as told. */
 final class FakeProxy implements AutoCloseable {
-    private final Misbehaviour misbehaviour;
+    private final Fault fault;
     private final RpcServer server;
     private final Map<String, Long> rows = new HashMap<>();
 
     /** The payment that was misbehaved with; null before it came. */
     private String faultyPaymentKey;
 
-    FakeProxy(Misbehaviour misbehaviour) {
-        this.misbehaviour = misbehaviour;
+    FakeProxy(Fault misbehaviour) {
+        this.fault = misbehaviour;
         this.server = new RpcServer(
                 Endpoint.newBuilder().setHost("127.0.0.1").build(),
                 List.of(new RpcMethod<>(
@@ -57,13 +57,12 @@
         if (!key.isEmpty() && key.equals(faultyPaymentKey)) {
             return executeWithFault(request);
         }
-        boolean stale = misbehaviour == Misbehaviour.READS_STALE
-                && !request.getSessionToken().isEmpty();
+        boolean stale = fault == Fault.READS_STALE && !request.getSessionToken().isEmpty();
         return executeStatements(request, stale ? new HashMap<>() : rows);
     }
 
     private ExecuteResponse executeWithFault(ExecuteRequest request) {
-        return switch (misbehaviour) {
+        return switch (fault) {
             case NONE, READS_STALE -> executeStatements(request, rows);
             case DROPS_ROW -> executeStatements(request, new HashMap<>());
             case RUNS_TWICE -> {
@@ -122,7 +121,7 @@
     }
 
     /** What the endpoint does wrong. */
-    enum Misbehaviour {
+    enum Fault {
         NONE,
         DROPS_ROW,
         RUNS_TWICE,
