--- a/load/src/main/java/org/hornbeamspread/load/AgentSession.java
+++ b/load/src/main/java/org/hornbeamspread/load/AgentSession.java
@@ -3,16 +3,19 @@
 import java.util.Optional;
 import org.hornbeamspread.protocol.schema.ExecuteResponse;
 
-/** One agent's session: its token and the payment that the token must make visible. Used by one thread. */
+/** The session of one agent: its token, and the payment that a read with this token must return. Used by one thread. */
 final class AgentSession {
     private final String agent;
     private String token = "";
     private String lastProxy = "";
 
-    /** The payment that the token was returned with, or that it covers; empty before the first. */
+    /** The last acknowledged payment, which the token covers; empty before the first payment. */
     private Optional<Payment> lastPayment = Optional.empty();
 
-    /** Raised with each payment, so that a read that was sent before it doesn't bring back an older token. */
+    /**
+     * The number of acknowledged payments. A read that was sent before the last one returns an older token, which must
+     * not replace the current token.
+     */
     private int paymentCount;
 
     AgentSession(String agent) {
@@ -39,19 +42,19 @@
         return paymentCount;
     }
 
-    /** A payment was acknowledged. */
-    void onPaymentAcknowledged(Payment payment, ExecuteResponse answer) {
+    /** Takes over the token that an acknowledged payment returned. */
+    void onPaymentAcknowledged(Payment payment, ExecuteResponse response) {
         paymentCount++;
         lastPayment = Optional.of(payment);
-        token = answer.getSessionToken();
-        lastProxy = answer.getProxyId();
+        token = response.getSessionToken();
+        lastProxy = response.getProxyId();
     }
 
-    /** A read that was sent in an epoch was answered. */
-    void onReadServed(int sentInEpoch, ExecuteResponse answer) {
-        if (sentInEpoch == paymentCount) {
-            token = answer.getSessionToken();
-            lastProxy = answer.getProxyId();
+    /** Takes over the token of a read, unless a payment was acknowledged since the read was sent. */
+    void onReadServed(int paymentCountAtSend, ExecuteResponse response) {
+        if (paymentCountAtSend == paymentCount) {
+            token = response.getSessionToken();
+            lastProxy = response.getProxyId();
         }
     }
 }
--- a/load/src/main/java/org/hornbeamspread/load/ArrivalSchedule.java
+++ b/load/src/main/java/org/hornbeamspread/load/ArrivalSchedule.java
@@ -7,9 +7,9 @@
 import java.util.SplittableRandom;
 
 /**
- * All arrivals of a run, fixed by the seed before the run starts: an open loop, in which a slow answer delays no later
- * request. Each rank, and the flood, is a Poisson stream of its own with its own random numbers, so that the ordinary
- * arrivals of a seed are the same with and without a flood.
+ * All arrivals of a run, computed from the seed before the run starts: an open loop, in which a slow response delays no
+ * later request. Each rank, and the flood, is a separate Poisson process with its own random generator, so that the
+ * ordinary arrivals of a seed are the same with and without a flood.
  */
 final class ArrivalSchedule {
     private static final double US_PER_SECOND = 1e6;
@@ -17,10 +17,10 @@
     private ArrivalSchedule() {}
 
     /**
-     * The arrivals in order of time. A flood lasts from one third to two thirds of the run.
+     * The arrivals, ordered by time. A flood lasts from one third to two thirds of the run.
      *
-     * @param warmUpSeconds how long ordinary requests arrive before the start, at negative times
-     * @param floodRank the index of the rank that floods, or empty
+     * @param warmUpSeconds the duration of ordinary arrivals before the start, at negative times
+     * @param floodRank the index of the rank of the flood; empty for no flood
      */
     static List<Arrival> of(Workload workload, int warmUpSeconds, int seconds, long seed, Optional<Integer> floodRank) {
         long warmUpUs = (long) (warmUpSeconds * US_PER_SECOND);
@@ -28,12 +28,19 @@
         List<Arrival> arrivals = new ArrayList<>();
         SplittableRandom seeds = new SplittableRandom(seed);
         for (int rank = 0; rank < workload.ranks().size(); rank++) {
-            RankWorkload plan = workload.ranks().get(rank);
-            addPoissonArrivals(arrivals, seeds.split(), plan.arrivalsPerSecond(), -warmUpUs, endUs, rank, false);
+            RankWorkload rankWorkload = workload.ranks().get(rank);
+            addPoissonArrivals(
+                    arrivals, seeds.split(), rankWorkload.arrivalsPerSecond(), -warmUpUs, endUs, rank, false);
             SplittableRandom floodRandom = seeds.split();
             if (floodRank.isPresent() && floodRank.get() == rank) {
                 addPoissonArrivals(
-                        arrivals, floodRandom, plan.floodArrivalsPerSecond(), endUs / 3, endUs * 2 / 3, rank, true);
+                        arrivals,
+                        floodRandom,
+                        rankWorkload.floodArrivalsPerSecond(),
+                        endUs / 3,
+                        endUs * 2 / 3,
+                        rank,
+                        true);
             }
         }
         arrivals.sort(Comparator.comparingLong(Arrival::atUs));
--- a/load/src/main/java/org/hornbeamspread/load/AttemptResult.java
+++ b/load/src/main/java/org/hornbeamspread/load/AttemptResult.java
@@ -9,16 +9,18 @@
 import org.hornbeamspread.transport.Envelopes;
 
 /**
- * What one try brought.
+ * The result of one attempt.
  *
- * @param effect what is known of the try's effect
- * @param response the proxy's answer; empty when none came
- * @param failure the type of the failure; empty when it was done
- * @param retryAfter the pause that the proxy advises; zero for none
+ * @param effect the known effect of the attempt
+ * @param response the proxy's response; empty when none was received
+ * @param failure the type of the failure; empty when the attempt is DONE
+ * @param retryAfter the pause before a retry that the proxy advises; zero for none
  */
 record AttemptResult(
         Effect effect, Optional<ExecuteResponse> response, Optional<FailureType> failure, Duration retryAfter) {
-    /** An answer of the method's own. A failure's type decides the effect, unless the answer itself is more careful. */
+    /**
+     * The result of a response of the method. A failed attempt is NOT_RUN only when the response says so, else UNKNOWN.
+     */
     static AttemptResult of(ExecuteResponse response) {
         if (response.getFailure().getType().isEmpty()
                 && response.getEffect() == org.hornbeamspread.protocol.schema.Effect.DONE) {
@@ -33,7 +35,7 @@
                 failure.retryAfter().orElse(Duration.ZERO));
     }
 
-    /** No answer of the method's own. */
+    /** The result of an attempt without a response of the method. The type of the failure decides the effect. */
     static AttemptResult of(FailureException failure) {
         return new AttemptResult(
                 failure.type().effect(),
--- a/load/src/main/java/org/hornbeamspread/load/Audit.java
+++ b/load/src/main/java/org/hornbeamspread/load/Audit.java
@@ -8,57 +8,57 @@
 /**
  * Compares the ledger with the rows that the databases hold after the run.
  *
- * <p>A payment adds 1 to a row of its own and its amount to its agent's balance, in one transaction. So the value of its
- * row says how often it ran, and the balance must be the sum over the agent's payments of amount times that value. From
- * these two alone:
+ * <p>A payment adds 1 to its own row and its amount to its agent's balance, in one transaction. So the value of its row
+ * is the number of times that the payment ran, and the balance must be the sum over the agent's payments of amount
+ * times that value. These two values and the ledger give:
  *
  * <ul>
- *   <li>lost: acknowledged, and its row is absent; or a balance lower than the rows say.
- *   <li>doubled: a row above 1, whatever was answered; or a balance higher than the rows say.
- *   <li>false not-run: every try was answered as not run, and the row is there.
- *   <li>unknown: neither acknowledged nor proved not run. Either state of the row is right, above 1 excepted.
- *   <li>unaudited: its row could not be read. Nothing is claimed of it, and the run does not pass.
+ *   <li>lost: an acknowledged payment whose row is absent, or a balance that is lower than the rows require.
+ *   <li>doubled: a row above 1, whatever the outcome, or a balance that is higher than the rows require.
+ *   <li>false not-run: a payment whose row is present, although every attempt was reported as not run or none was sent.
+ *   <li>unknown: a payment that is neither acknowledged nor proved not to have run. Its row may be absent or 1, but not above 1.
+ *   <li>unaudited: a payment whose row could not be read. It is in none of lost, doubled and false not-run, and the run fails.
  * </ul>
  */
 final class Audit {
     private Audit() {}
 
     /**
-     * What the audit found, in payments; a wrong balance counts as one.
+     * The counts of the audit, in payments; a wrong balance counts as one payment.
      *
      * @param acknowledged payments that were acknowledged
      * @param lost acknowledged payments that are absent, and balances that are too low
      * @param doubled payments that ran more than once, and balances that are too high
-     * @param falseNotRun payments that ran although every answer said they did not
-     * @param unknown payments whose outcome the caller doesn't know
+     * @param falseNotRun payments that ran although every attempt was reported as not run
+     * @param unknown payments whose outcome is unknown to the caller
      * @param unaudited payments whose rows could not be read
      */
     record Result(long acknowledged, long lost, long doubled, long falseNotRun, long unknown, long unaudited) {
-        /** Whether the books balance and all of them were seen. */
+        /** Whether all rows were read and none contradicts the ledger. */
         boolean isConsistent() {
             return lost == 0 && doubled == 0 && falseNotRun == 0 && unaudited == 0;
         }
     }
 
     /**
-     * Compares.
+     * Compares the ledger with the rows.
      *
-     * @param books what was read of each agent; an agent that is missing could not be read
+     * @param rowsByAgent the rows that were read; without an entry for an agent whose rows could not be read
      */
-    static Result compare(Ledger ledger, Map<String, AgentRows> books) {
+    static Result compare(Ledger ledger, Map<String, AgentRows> rowsByAgent) {
         Tally tally = new Tally();
         ledger.byAgent().forEach((agent, payments) -> {
-            AgentRows seen = books.get(agent);
+            AgentRows rows = rowsByAgent.get(agent);
             payments.forEach(payment ->
-                    tally.countPayment(payment, seen == null ? OptionalLong.empty() : seen.executionCount(payment)));
-            if (seen != null) {
-                tally.countBalance(payments, seen);
+                    tally.countPayment(payment, rows == null ? OptionalLong.empty() : rows.executionCount(payment)));
+            if (rows != null) {
+                tally.countBalance(payments, rows);
             }
         });
         return tally.result();
     }
 
-    /** The running counts. */
+    /** The counts during the comparison. */
     private static final class Tally {
         private long acknowledged;
         private long lost;
@@ -68,26 +68,26 @@
         private long unaudited;
 
         void countPayment(Payment payment, OptionalLong value) {
-            Effect lastWord = payment.outcome();
-            acknowledged += lastWord == Effect.DONE ? 1 : 0;
-            unknown += lastWord == Effect.UNKNOWN ? 1 : 0;
+            Effect outcome = payment.outcome();
+            acknowledged += outcome == Effect.DONE ? 1 : 0;
+            unknown += outcome == Effect.UNKNOWN ? 1 : 0;
             if (value.isEmpty()) {
                 unaudited++;
                 return;
             }
-            long times = value.getAsLong();
-            lost += lastWord == Effect.DONE && times < 1 ? 1 : 0;
-            falseNotRun += lastWord == Effect.NOT_RUN && times > 0 ? 1 : 0;
-            doubled += times > 1 ? 1 : 0;
+            long executions = value.getAsLong();
+            lost += outcome == Effect.DONE && executions < 1 ? 1 : 0;
+            falseNotRun += outcome == Effect.NOT_RUN && executions > 0 ? 1 : 0;
+            doubled += executions > 1 ? 1 : 0;
         }
 
-        void countBalance(List<Payment> payments, AgentRows seen) {
+        void countBalance(List<Payment> payments, AgentRows rows) {
             long expected = 0;
             for (Payment payment : payments) {
-                expected += payment.amount() * seen.executionCount(payment).orElse(0);
+                expected += payment.amount() * rows.executionCount(payment).orElse(0);
             }
-            lost += seen.balance() < expected ? 1 : 0;
-            doubled += seen.balance() > expected ? 1 : 0;
+            lost += rows.balance() < expected ? 1 : 0;
+            doubled += rows.balance() > expected ? 1 : 0;
         }
 
         Result result() {
--- a/load/src/main/java/org/hornbeamspread/load/AuditReader.java
+++ b/load/src/main/java/org/hornbeamspread/load/AuditReader.java
@@ -15,8 +15,9 @@
 import org.hornbeamspread.protocol.schema.ExecuteResponse;
 
 /**
- * Reads every agent's rows after a run, through the proxies: at the primary's position on arrival, all rows of an agent
- * in one request, with tries at other proxies until the time is over. An agent that could not be read is left out.
+ * Reads every agent's rows after a run, through the proxies: all rows of an agent in one request, at the primary's
+ * position when the request arrives, with retries at other proxies until the time limit. The result has no entry for an
+ * agent whose rows could not be read.
  */
 final class AuditReader {
     private static final int MAX_AGENTS_IN_FLIGHT = 12;
@@ -29,34 +30,34 @@
     private final Clock clock;
     private int nextProxy;
 
-    AuditReader(ProxyClient port, Workload workload, Clock clock) {
-        this.proxyClient = port;
+    AuditReader(ProxyClient proxyClient, Workload workload, Clock clock) {
+        this.proxyClient = proxyClient;
         this.requests = new RequestFactory(workload.service());
         this.rank = workload.urgentRank().name();
         this.clock = clock;
     }
 
-    /** The books of every agent that has payments. Blocks the calling thread. */
+    /** The rows of every agent that has payments. Blocks the calling thread. */
     Map<String, AgentRows> read(Ledger ledger, Duration limit) {
         Instant deadline = clock.instant().plus(limit);
-        Map<String, AgentRows> books = new HashMap<>();
-        Deque<Map.Entry<String, List<Payment>>> open =
+        Map<String, AgentRows> rowsByAgent = new HashMap<>();
+        Deque<Map.Entry<String, List<Payment>>> remaining =
                 new ArrayDeque<>(ledger.byAgent().entrySet());
-        while (!open.isEmpty() && clock.instant().isBefore(deadline)) {
-            List<Map.Entry<String, List<Payment>>> failed = readBatch(open, books);
-            open.addAll(failed);
+        while (!remaining.isEmpty() && clock.instant().isBefore(deadline)) {
+            List<Map.Entry<String, List<Payment>>> failed = readBatch(remaining, rowsByAgent);
+            remaining.addAll(failed);
             if (!failed.isEmpty()) {
                 pauseBeforeRetry();
             }
         }
-        return books;
+        return rowsByAgent;
     }
 
     private List<Map.Entry<String, List<Payment>>> readBatch(
-            Deque<Map.Entry<String, List<Payment>>> open, Map<String, AgentRows> books) {
+            Deque<Map.Entry<String, List<Payment>>> remaining, Map<String, AgentRows> rowsByAgent) {
         Map<Map.Entry<String, List<Payment>>, CompletableFuture<ExecuteResponse>> sent = new HashMap<>();
-        while (!open.isEmpty() && sent.size() < MAX_AGENTS_IN_FLIGHT) {
-            Map.Entry<String, List<Payment>> agent = open.poll();
+        while (!remaining.isEmpty() && sent.size() < MAX_AGENTS_IN_FLIGHT) {
+            Map.Entry<String, List<Payment>> agent = remaining.poll();
             String proxy = proxyClient
                     .proxies()
                     .get(nextProxy++ % proxyClient.proxies().size());
@@ -72,7 +73,7 @@
             try {
                 ExecuteResponse response = future.join();
                 if (AttemptResult.of(response).effect() == Effect.DONE) {
-                    books.put(agent.getKey(), agentRows(agent.getValue(), response));
+                    rowsByAgent.put(agent.getKey(), agentRows(agent.getValue(), response));
                     return;
                 }
             } catch (RuntimeException e) {
@@ -84,11 +85,11 @@
     }
 
     private static AgentRows agentRows(List<Payment> payments, ExecuteResponse response) {
-        Map<String, Long> times = new HashMap<>();
+        Map<String, Long> executionCounts = new HashMap<>();
         for (int i = 0; i < payments.size(); i++) {
-            times.put(payments.get(i).id(), RequestFactory.rowValue(response, i + 1));
+            executionCounts.put(payments.get(i).id(), RequestFactory.rowValue(response, i + 1));
         }
-        return new AgentRows(times, RequestFactory.rowValue(response, 0));
+        return new AgentRows(executionCounts, RequestFactory.rowValue(response, 0));
     }
 
     private static void pauseBeforeRetry() {
--- a/load/src/main/java/org/hornbeamspread/load/Bound.java
+++ b/load/src/main/java/org/hornbeamspread/load/Bound.java
@@ -9,30 +9,31 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * A regression bound on reports, as a line of a bounds file:
+ * A regression bound on the ratio of two report fields, as a line of a bounds file:
  *
  * <pre>NAME: REPORT.FIELD / REPORT.FIELD >= NUMBER</pre>
  *
- * The divisor may be a number, such as a target; a field of a rank is {@code byRank.urgent.p99Ms}. Ratios to another run
- * on the same machine hold on a faster or busier one too.
+ * The divisor may be a number, such as a target. A field of a rank is written as {@code byRank.urgent.p99Ms}. A ratio
+ * to another run on the same machine stays comparable on a faster or busier machine.
  *
- * @param name what is bounded
+ * @param name the name of the bound
  * @param dividend a field of a report
  * @param divisor a field of a report, or a number
- * @param atLeast whether the bound is a lower one
- * @param limit the bound
+ * @param atLeast whether the limit is a lower bound; else an upper bound
+ * @param limit the limit of the ratio
  */
 record Bound(String name, String dividend, String divisor, boolean atLeast, double limit) {
     private static final Pattern LINE =
             Pattern.compile("([a-z0-9-]+):\\s+(\\S+)\\s+/\\s+(\\S+)\\s+(>=|<=)\\s+([0-9.]+)");
     private static final Pattern NUMBER = Pattern.compile("[0-9.]+");
 
-    /** Reads a line. Fails with INVALID_SETTING. */
+    /** Parses a line. Fails with INVALID_SETTING. */
     static Bound parse(String line) {
         Matcher parts = LINE.matcher(line.strip());
         if (!parts.matches()) {
             throw new FailureException(
-                    FailureType.INVALID_SETTING, "not NAME: REPORT.FIELD / REPORT.FIELD >= NUMBER: " + line);
+                    FailureType.INVALID_SETTING,
+                    "expected NAME: REPORT.FIELD / REPORT.FIELD >= NUMBER (or <=), not " + line);
         }
         return new Bound(
                 parts.group(1),
@@ -42,12 +43,12 @@
                 Double.parseDouble(parts.group(5)));
     }
 
-    /** The ratio in reports by name. Fails with INVALID_SETTING when a report or field is missing. */
+    /** The ratio, from reports by name. Fails with INVALID_SETTING when a report or a field is missing. */
     double value(Map<String, JsonObject> reports) {
         return resolveNumber(dividend, reports) / resolveNumber(divisor, reports);
     }
 
-    /** Whether a ratio keeps the bound. A ratio that is not a number does not. */
+    /** Whether a ratio satisfies the bound. NaN satisfies no bound. */
     boolean isSatisfiedBy(double value) {
         return atLeast ? value >= limit : value <= limit;
     }
@@ -62,7 +63,7 @@
             element = element.isJsonObject() ? element.getAsJsonObject().get(path[i]) : null;
         }
         if (element == null || !element.isJsonPrimitive()) {
-            throw new FailureException(FailureType.INVALID_SETTING, "no number at " + field);
+            throw new FailureException(FailureType.INVALID_SETTING, "no number in the reports at " + field);
         }
         return element.getAsDouble();
     }
--- a/load/src/main/java/org/hornbeamspread/load/BoundsMain.java
+++ b/load/src/main/java/org/hornbeamspread/load/BoundsMain.java
@@ -14,26 +14,26 @@
 import org.hornbeamspread.core.misc.FailureType;
 import org.hornbeamspread.runtime.CommandLine;
 
-/** Checks a directory of reports, each {@code NAME.json}, against a file of {@link Bound}s. Part of bin/bench. */
+/** Checks a directory of reports, each {@code NAME.json}, against a file of {@link Bound}s. Used by bin/bench. */
 public final class BoundsMain {
     private BoundsMain() {}
 
-    /** Exits with 0 when every bound is kept, 1 when one is not, 2 when a file or field is missing. */
+    /** Exits with 0 when every bound is satisfied, 1 when one is violated, 2 when a file or a field is missing. */
     public static void main(String[] arguments) {
         System.exit(run(Path.of(arguments[0]), Path.of(arguments[1]), System.out));
     }
 
-    /** Checks and returns the exit code. */
+    /** Checks the bounds and returns the exit code. */
     static int run(Path reportDirectory, Path boundsFile, PrintStream out) {
         try {
             Map<String, JsonObject> reports = reports(reportDirectory);
-            boolean kept = true;
+            boolean satisfied = true;
             for (String line : Files.readAllLines(boundsFile)) {
                 if (!line.isBlank() && !line.startsWith("#")) {
-                    kept &= check(Bound.parse(line), reports, out);
+                    satisfied &= check(Bound.parse(line), reports, out);
                 }
             }
-            return kept ? 0 : 1;
+            return satisfied ? 0 : 1;
         } catch (FailureException e) {
             out.println(e.getMessage());
             return CommandLine.EXIT_USAGE;
@@ -45,16 +45,16 @@
 
     private static boolean check(Bound bound, Map<String, JsonObject> reports, PrintStream out) {
         double value = bound.value(reports);
-        boolean kept = bound.isSatisfiedBy(value);
+        boolean satisfied = bound.isSatisfiedBy(value);
         out.println(String.format(
                 Locale.ROOT,
                 "%-8s %-36s %8.3f, bound %s %.3f",
-                kept ? "kept" : "BROKEN",
+                satisfied ? "kept" : "BROKEN",
                 bound.name(),
                 value,
                 bound.atLeast() ? "at least" : "at most",
                 bound.limit()));
-        return kept;
+        return satisfied;
     }
 
     private static Map<String, JsonObject> reports(Path directory) throws IOException {
--- a/load/src/main/java/org/hornbeamspread/load/CallerModel.java
+++ b/load/src/main/java/org/hornbeamspread/load/CallerModel.java
@@ -13,11 +13,11 @@
 import org.hornbeamspread.protocol.schema.ExecuteResponse;
 
 /**
- * The callers: turns each arrival into a job of one agent, keeps the agents' sessions, and checks read-your-writes.
+ * The callers: turns each arrival into a request of one agent, holds the agents' sessions, and checks read-your-writes.
  *
- * <p>Each acknowledged payment is followed at once by a read of its row with the token that came with it, through another
- * proxy; the payments of a flood one time in ten. Scheduled reads check the session's last payment in the same way. A
- * read that was answered and lacks the row is a violation; a read that was refused proves nothing.
+ * <p>Each acknowledged payment is followed immediately by a read of its row with the token that it returned, through
+ * another proxy; of the payments of a flood, only one in ten. Scheduled reads check the session's last payment in the
+ * same way. A served read without the row is a violation; a failed read is no evidence.
  */
 final class CallerModel {
     private static final int MAX_FLOOD_ATTEMPTS = 2;
@@ -69,67 +69,67 @@
     /** Starts the request of one arrival. */
     void startRequest(Arrival arrival) {
         RankWorkload rank = workload.ranks().get(arrival.rank());
-        AgentSession agent = sessions.get(random.nextInt(sessions.size()));
+        AgentSession session = sessions.get(random.nextInt(sessions.size()));
         switch (rank.kind()) {
-            case PAYMENT -> submitPayment(rank, agent, arrival);
-            case SESSION_READ -> submitRead(rank, agent, arrival.atUs());
-            case LEDGER_SCAN -> submit(rank, arrival, requests.ledgerScan(rank, agent.agent()), readListener());
+            case PAYMENT -> submitPayment(rank, session, arrival);
+            case SESSION_READ -> submitRead(rank, session, arrival.atUs());
+            case LEDGER_SCAN -> submit(rank, arrival, requests.ledgerScan(rank, session.agent()), readListener());
             case SYNC_WRITE ->
                 submit(
                         rank,
                         arrival,
-                        requests.syncWrite(rank, agent.agent(), agent.agent() + ".s" + nextRequestNumber++),
+                        requests.syncWrite(rank, session.agent(), session.agent() + ".s" + nextRequestNumber++),
                         new PendingRequest.RequestListener() {});
         }
     }
 
-    private void submitPayment(RankWorkload rank, AgentSession agent, Arrival arrival) {
-        long number = nextRequestNumber++;
-        Payment payment =
-                ledger.addPayment(agent.agent() + ".p" + number, agent.agent(), 1 + random.nextInt(MAX_PAYMENT_AMOUNT));
-        boolean checked = !arrival.flood() || number % FLOOD_CHECK_INTERVAL == 0;
-        FailoverGap gap = gaps.get(GroupRouting.groupOf(workload.groups(), agent.agent()));
+    private void submitPayment(RankWorkload rank, AgentSession session, Arrival arrival) {
+        long requestNumber = nextRequestNumber++;
+        Payment payment = ledger.addPayment(
+                session.agent() + ".p" + requestNumber, session.agent(), 1 + random.nextInt(MAX_PAYMENT_AMOUNT));
+        boolean checked = !arrival.flood() || requestNumber % FLOOD_CHECK_INTERVAL == 0;
+        FailoverGap gap = gaps.get(GroupRouting.groupOf(workload.groups(), session.agent()));
         if (arrival.isMeasured()) {
             gap.offered(arrival.atUs() / US_PER_MS);
         }
-        submit(rank, arrival, requests.payment(rank, payment, agent.token()), new PendingRequest.RequestListener() {
+        submit(rank, arrival, requests.payment(rank, payment, session.token()), new PendingRequest.RequestListener() {
             @Override
             public int onAttempt() {
                 return payment.startAttempt();
             }
 
             @Override
-            public void onAttemptResult(int number, AttemptResult answer) {
-                payment.completeAttempt(number, answer.effect());
+            public void onAttemptResult(int attempt, AttemptResult result) {
+                payment.completeAttempt(attempt, result.effect());
             }
 
             @Override
-            public void onCompleted(PendingRequest job, Optional<AttemptResult> last) {
+            public void onCompleted(PendingRequest pending, Optional<AttemptResult> last) {
                 if (arrival.isMeasured()) {
-                    gap.completed(nowUs.getAsLong() / US_PER_MS, job.outcome());
+                    gap.completed(nowUs.getAsLong() / US_PER_MS, pending.outcome());
                 }
-                if (job.outcome() != Effect.DONE) {
+                if (pending.outcome() != Effect.DONE) {
                     return;
                 }
                 ExecuteResponse response = last.orElseThrow().response().orElseThrow();
-                agent.onPaymentAcknowledged(payment, response);
+                session.onPaymentAcknowledged(payment, response);
                 if (checked) {
-                    submitRead(workload.readRank(), agent, nowUs.getAsLong());
+                    submitRead(workload.readRank(), session, nowUs.getAsLong());
                 }
             }
         });
     }
 
-    private void submitRead(RankWorkload rank, AgentSession agent, long intendedUs) {
-        Optional<Payment> mustSee = agent.lastPayment();
-        int epoch = agent.paymentCount();
+    private void submitRead(RankWorkload rank, AgentSession session, long intendedStartUs) {
+        Optional<Payment> expectedPayment = session.lastPayment();
+        int paymentCount = session.paymentCount();
         PendingRequest.RequestListener listener = new PendingRequest.RequestListener() {
             @Override
-            public void onCompleted(PendingRequest job, Optional<AttemptResult> last) {
+            public void onCompleted(PendingRequest pending, Optional<AttemptResult> last) {
                 successfulResponse(last).ifPresent(response -> {
-                    agent.onReadServed(epoch, response);
-                    countServedRead(job, response);
-                    if (mustSee.isPresent()) {
+                    session.onReadServed(paymentCount, response);
+                    countServedRead(pending, response);
+                    if (expectedPayment.isPresent()) {
                         reads.checked(RequestFactory.rowValue(response, 1) > 0);
                     }
                 });
@@ -137,30 +137,33 @@
         };
         submit(
                 rank,
-                new Arrival(intendedUs, workload.ranks().indexOf(rank), false),
+                new Arrival(intendedStartUs, workload.ranks().indexOf(rank), false),
                 requests.sessionRead(
-                        rank, agent.agent(), agent.token(), mustSee.stream().toList()),
-                agent.lastProxy(),
+                        rank,
+                        session.agent(),
+                        session.token(),
+                        expectedPayment.stream().toList()),
+                session.lastProxy(),
                 listener);
     }
 
     private PendingRequest.RequestListener readListener() {
         return new PendingRequest.RequestListener() {
             @Override
-            public void onCompleted(PendingRequest job, Optional<AttemptResult> last) {
-                successfulResponse(last).ifPresent(response -> countServedRead(job, response));
+            public void onCompleted(PendingRequest pending, Optional<AttemptResult> last) {
+                successfulResponse(last).ifPresent(response -> countServedRead(pending, response));
             }
         };
     }
 
-    private void countServedRead(PendingRequest job, ExecuteResponse response) {
-        if (job.intendedStartUs() >= 0) {
+    private void countServedRead(PendingRequest pending, ExecuteResponse response) {
+        if (pending.intendedStartUs() >= 0) {
             reads.served(response);
         }
     }
 
     private static Optional<ExecuteResponse> successfulResponse(Optional<AttemptResult> last) {
-        return last.filter(answer -> answer.effect() == Effect.DONE).flatMap(AttemptResult::response);
+        return last.filter(result -> result.effect() == Effect.DONE).flatMap(AttemptResult::response);
     }
 
     private void submit(
@@ -183,17 +186,17 @@
             }
 
             @Override
-            public void onAttemptResult(int number, AttemptResult answer) {
-                listener.onAttemptResult(number, answer);
+            public void onAttemptResult(int attempt, AttemptResult result) {
+                listener.onAttemptResult(attempt, result);
             }
 
             @Override
-            public void onCompleted(PendingRequest job, Optional<AttemptResult> last) {
-                counts.completed(job.intendedStartUs(), nowUs.getAsLong(), job.outcome());
-                listener.onCompleted(job, last);
+            public void onCompleted(PendingRequest pending, Optional<AttemptResult> last) {
+                counts.completed(pending.intendedStartUs(), nowUs.getAsLong(), pending.outcome());
+                listener.onCompleted(pending, last);
             }
         };
-        int tries = arrival.flood() ? Math.min(MAX_FLOOD_ATTEMPTS, rank.maxAttempts()) : rank.maxAttempts();
-        dispatcher.submit(new PendingRequest(rank, arrival.atUs(), request, tries, avoidedProxy, counting));
+        int maxAttempts = arrival.flood() ? Math.min(MAX_FLOOD_ATTEMPTS, rank.maxAttempts()) : rank.maxAttempts();
+        dispatcher.submit(new PendingRequest(rank, arrival.atUs(), request, maxAttempts, avoidedProxy, counting));
     }
 }
--- a/load/src/main/java/org/hornbeamspread/load/Dispatcher.java
+++ b/load/src/main/java/org/hornbeamspread/load/Dispatcher.java
@@ -15,9 +15,10 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * Sends jobs to proxies and tries them again: with the same key, to another proxy, after a pause that doubles or that the
- * proxy advises. A job that would exceed the bound on requests in flight is not sent and ends as not run. Everything
- * but the answers' arrival happens on the run's own thread.
+ * Sends requests to proxies and retries them: with the same idempotency key, to another proxy, after an exponential
+ * backoff or the longer pause that the proxy advises. An attempt that would exceed the limit on requests in flight is
+ * not sent, and its request ends, as NOT_RUN if no attempt was sent. Only the responses are received on other threads;
+ * all else runs on the run's thread.
  */
 final class Dispatcher {
     private static final int MAX_IN_FLIGHT = 4_000;
@@ -36,17 +37,21 @@
     private int inFlight;
     private long notSent;
 
-    Dispatcher(ProxyClient port, SplittableRandom random, LongSupplier nowUs, Consumer<Runnable> onOwnThread) {
-        this.proxyClient = port;
-        this.proxies = port.proxies();
+    Dispatcher(
+            ProxyClient proxyClient,
+            SplittableRandom random,
+            LongSupplier nowUs,
+            Consumer<Runnable> runThreadExecutor) {
+        this.proxyClient = proxyClient;
+        this.proxies = proxyClient.proxies();
         this.random = random;
         this.nowUs = nowUs;
-        this.runThreadExecutor = onOwnThread;
+        this.runThreadExecutor = runThreadExecutor;
     }
 
-    /** Starts a job. */
-    void submit(PendingRequest job) {
-        send(job);
+    /** Sends the first attempt of a request. */
+    void submit(PendingRequest pending) {
+        send(pending);
     }
 
     /** Sends the retries that are due. */
@@ -56,69 +61,69 @@
         }
     }
 
-    /** Whether every job has its last word. */
+    /** Whether every request has its final outcome. */
     boolean isIdle() {
         return inFlight == 0 && retries.isEmpty();
     }
 
-    /** Requests that wait for an answer. */
+    /** The number of attempts that wait for a response. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Jobs that met the bound on requests in flight. */
+    /** The number of requests that the limit on requests in flight ended. */
     long notSent() {
         return notSent;
     }
 
-    /** Answers that carried a failure, tries without an answer included, by its type. */
+    /** The number of failed attempts by type of failure, including attempts without a response. */
     Map<FailureType, Long> refusals() {
         return new EnumMap<>(refusals);
     }
 
-    private void send(PendingRequest job) {
+    private void send(PendingRequest pending) {
         if (inFlight >= MAX_IN_FLIGHT) {
             notSent++;
-            job.listener().onCompleted(job, Optional.empty());
+            pending.listener().onCompleted(pending, Optional.empty());
             return;
         }
-        String proxy = selectOtherProxy(job.avoidedProxy());
-        int number = job.listener().onAttempt();
-        job.attemptSent(proxy);
+        String proxy = selectOtherProxy(pending.avoidedProxy());
+        int attempt = pending.listener().onAttempt();
+        pending.attemptSent(proxy);
         inFlight++;
-        Duration timeout = Duration.ofMillis(job.request().getTimeoutMs()).plus(NETWORK_TIMEOUT_MARGIN);
-        proxyClient.execute(proxy, job.request(), timeout).whenComplete((response, error) -> {
-            AttemptResult answer =
+        Duration timeout = Duration.ofMillis(pending.request().getTimeoutMs()).plus(NETWORK_TIMEOUT_MARGIN);
+        proxyClient.execute(proxy, pending.request(), timeout).whenComplete((response, error) -> {
+            AttemptResult result =
                     error == null ? AttemptResult.of(response) : AttemptResult.of(FailureException.of(error));
-            runThreadExecutor.accept(() -> onAttemptResult(job, number, answer));
+            runThreadExecutor.accept(() -> onAttemptResult(pending, attempt, result));
         });
     }
 
-    private void onAttemptResult(PendingRequest job, int number, AttemptResult answer) {
+    private void onAttemptResult(PendingRequest pending, int attempt, AttemptResult result) {
         inFlight--;
-        answer.failure().ifPresent(type -> refusals.merge(type, 1L, Long::sum));
-        job.listener().onAttemptResult(number, answer);
-        if (job.needsRetry(answer.effect())) {
-            retries.add(new Retry(nowUs.getAsLong() + backoffUs(job, answer), job));
+        result.failure().ifPresent(type -> refusals.merge(type, 1L, Long::sum));
+        pending.listener().onAttemptResult(attempt, result);
+        if (pending.needsRetry(result.effect())) {
+            retries.add(new Retry(nowUs.getAsLong() + backoffUs(pending, result), pending));
         } else {
-            job.listener().onCompleted(job, Optional.of(answer));
+            pending.listener().onCompleted(pending, Optional.of(result));
         }
     }
 
-    private long backoffUs(PendingRequest job, AttemptResult answer) {
-        if (answer.effect() == Effect.UNKNOWN) {
+    private long backoffUs(PendingRequest pending, AttemptResult result) {
+        if (result.effect() == Effect.UNKNOWN) {
             return INITIAL_BACKOFF_US;
         }
-        long doubledUs = Math.min(MAX_BACKOFF_US, INITIAL_BACKOFF_US << Math.min(job.attemptsMade() - 1, 10));
-        return Math.max(doubledUs, answer.retryAfter().toMillis() * US_PER_MS);
+        long doubledUs = Math.min(MAX_BACKOFF_US, INITIAL_BACKOFF_US << Math.min(pending.attemptsMade() - 1, 10));
+        return Math.max(doubledUs, result.retryAfter().toMillis() * US_PER_MS);
     }
 
-    private String selectOtherProxy(String avoided) {
-        int at = random.nextInt(proxies.size());
-        if (proxies.get(at).equals(avoided)) {
-            at = (at + 1 + random.nextInt(proxies.size() - 1)) % proxies.size();
+    private String selectOtherProxy(String avoidedProxy) {
+        int index = random.nextInt(proxies.size());
+        if (proxies.get(index).equals(avoidedProxy)) {
+            index = (index + 1 + random.nextInt(proxies.size() - 1)) % proxies.size();
         }
-        return proxies.get(at);
+        return proxies.get(index);
     }
 
     private record Retry(long dueUs, PendingRequest pending) {}
--- a/load/src/main/java/org/hornbeamspread/load/HttpProxyClient.java
+++ b/load/src/main/java/org/hornbeamspread/load/HttpProxyClient.java
@@ -13,7 +13,7 @@
 import org.hornbeamspread.protocol.schema.ExecuteResponse;
 import org.hornbeamspread.transport.AddressTranslator;
 
-/** Proxies over HTTP. */
+/** Sends requests to proxies over HTTP. */
 final class HttpProxyClient implements ProxyClient {
     private final RpcClient rpcClient = new RpcClient();
     private final Map<String, Endpoint> endpoints;
@@ -22,19 +22,21 @@
         this.endpoints = new LinkedHashMap<>(endpoints);
     }
 
-    /** Reads {@code p1=host:port,p2=host:port}. Fails with INVALID_SETTING. */
+    /** Parses {@code p1=host:port,p2=host:port}. Fails with INVALID_SETTING. */
     static HttpProxyClient parse(String list) {
         Map<String, Endpoint> endpoints = new LinkedHashMap<>();
         for (String entry : list.split(",", -1)) {
             int equals = entry.indexOf('=');
             if (equals <= 0) {
                 throw new FailureException(
-                        FailureType.INVALID_SETTING, "--proxies is id=host:port,id=host:port, not " + list);
+                        FailureType.INVALID_SETTING, "--proxies expects id=host:port,id=host:port, not " + list);
             }
             endpoints.put(entry.substring(0, equals).strip(), AddressTranslator.parse(entry.substring(equals + 1)));
         }
         if (endpoints.size() < 2) {
-            throw new FailureException(FailureType.INVALID_SETTING, "--proxies needs two at least, for roaming");
+            throw new FailureException(
+                    FailureType.INVALID_SETTING,
+                    "--proxies needs at least two proxies: session reads and retries go to another proxy");
         }
         return new HttpProxyClient(endpoints);
     }
--- a/load/src/main/java/org/hornbeamspread/load/LinkBytesMeter.java
+++ b/load/src/main/java/org/hornbeamspread/load/LinkBytesMeter.java
@@ -7,13 +7,13 @@
 import org.hornbeamspread.protocol.schema.LinkBytes;
 import org.hornbeamspread.transport.AddressTranslator;
 
-/** Counts the bytes that cross the emulator's links between regions, from its making on. */
+/** Counts the bytes that cross the emulator's links between regions, from the construction of the meter. */
 final class LinkBytesMeter {
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
 
     private final RpcClient client = new RpcClient();
 
-    /** The links' HTTP endpoint, empty when there are no links. */
+    /** The HTTP endpoint of the links; empty when the run has no links. */
     private final String linkControl;
 
     private final OptionalLong startBytes;
@@ -23,7 +23,7 @@
         this.startBytes = currentBytes();
     }
 
-    /** Bytes since the making, both directions; empty without links. */
+    /** The bytes since the construction, in both directions; empty without links. */
     OptionalLong sinceStart() {
         OptionalLong nowBytes = currentBytes();
         return nowBytes.isEmpty() ? nowBytes : OptionalLong.of(nowBytes.getAsLong() - startBytes.orElseThrow());
--- a/load/src/main/java/org/hornbeamspread/load/LoadMain.java
+++ b/load/src/main/java/org/hornbeamspread/load/LoadMain.java
@@ -16,7 +16,7 @@
 import org.hornbeamspread.runtime.CommandLine;
 import org.hornbeamspread.runtime.MonotonicClock;
 
-/** The binary hornbeamspread-load. */
+/** The main class of hornbeamspread-load. */
 public final class LoadMain {
     private static final String BINARY = "hornbeamspread-load";
     private static final int EXIT_PASSED = 0;
@@ -27,12 +27,15 @@
 
     private LoadMain() {}
 
-    /** Runs a load; exits with 0 when every promise was kept, 1 when one was broken or not seen, 2 on a wrong flag. */
+    /**
+     * Runs a workload. Exits with 0 when every guarantee held, 1 when one was violated or could not be checked, 2 on a
+     * wrong flag.
+     */
     public static void main(String[] arguments) {
         System.exit(run(System.getenv(), System.out, System.err, arguments));
     }
 
-    /** Runs a load and returns the exit code. */
+    /** Runs a workload and returns the exit code. */
     static int run(Map<String, String> environment, PrintStream out, PrintStream err, String... arguments) {
         if (CommandLine.answered(BINARY, new LoadOptions(), out, arguments)) {
             return EXIT_PASSED;
@@ -59,16 +62,17 @@
     private static LoadReport run(LoadOptions options, PrintStream out) {
         if (options.seconds < 1 || options.groups < 1 || options.warmUpSeconds < 0) {
             throw new FailureException(
-                    FailureType.INVALID_SETTING, "--seconds and --groups are at least 1, --warm-up-seconds at least 0");
+                    FailureType.INVALID_SETTING,
+                    "--seconds and --groups must be at least 1, --warm-up-seconds at least 0");
         }
         Workload workload = Workload.of(options.user, options.groups);
-        ProxyClient port = HttpProxyClient.parse(options.proxies);
+        ProxyClient proxyClient = HttpProxyClient.parse(options.proxies);
         List<Arrival> schedule = ArrivalSchedule.of(
                 workload, options.warmUpSeconds, options.seconds, options.seed, floodRank(options.fault));
         Clock clock = new MonotonicClock();
         try (LoadRun run = new LoadRun(
                 workload,
-                port,
+                proxyClient,
                 schedule,
                 options.seed,
                 Duration.ofSeconds(options.warmUpSeconds),
@@ -80,14 +84,14 @@
             LinkBytesMeter bytes = new LinkBytesMeter(options.linkControl);
             run.run();
             OptionalLong interRegionBytes = bytes.sinceStart();
-            Audit.Result audit = audit(workload, port, run.callers().ledger(), clock);
+            Audit.Result audit = audit(workload, proxyClient, run.callers().ledger(), clock);
             return report(options, workload, run, interRegionBytes, audit);
         }
     }
 
-    /** Reads the rows and compares. */
-    static Audit.Result audit(Workload workload, ProxyClient port, Ledger ledger, Clock clock) {
-        return Audit.compare(ledger, new AuditReader(port, workload, clock).read(ledger, AUDIT_TIMEOUT));
+    /** Reads the rows from the databases and compares the ledger with them. */
+    static Audit.Result audit(Workload workload, ProxyClient proxyClient, Ledger ledger, Clock clock) {
+        return Audit.compare(ledger, new AuditReader(proxyClient, workload, clock).read(ledger, AUDIT_TIMEOUT));
     }
 
     private static Optional<Integer> floodRank(String fault) {
@@ -132,7 +136,7 @@
                 run.dispatcher().notSent());
     }
 
-    /** The time in the file in ms since 1970; 0 when there was no fault. */
+    /** The time of the fault in ms since 1970, from the file; 0 without a file. */
     private static long readFaultTimeMs(String file) {
         if (file.isEmpty() || !Files.exists(Path.of(file))) {
             return 0;
@@ -140,7 +144,7 @@
         try {
             return Long.parseLong(Files.readString(Path.of(file)).strip());
         } catch (IOException | NumberFormatException e) {
-            throw new FailureException(FailureType.INVALID_SETTING, "no time in " + file, e);
+            throw new FailureException(FailureType.INVALID_SETTING, "no time in ms since 1970 in " + file, e);
         }
     }
 
--- a/load/src/main/java/org/hornbeamspread/load/LoadReport.java
+++ b/load/src/main/java/org/hornbeamspread/load/LoadReport.java
@@ -6,18 +6,20 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * What a run gave.
+ * The results of a run.
  *
- * @param trial what was run
- * @param audit the comparison of ledger and databases
- * @param reads counts of the reads that were answered
+ * @param scenario the parameters of the run
+ * @param audit the result of the comparison of the ledger with the databases
+ * @param reads the counts of the served reads
  * @param gapMsByGroup the failover gap of each group, see {@link FailoverGap}
- * @param affectedGroups the groups that the fault hits
- * @param configurationInForceMs from sending a configuration until every live proxy had it; empty when not measured
+ * @param affectedGroups the groups that the fault affects
+ * @param configurationInForceMs the time from sending a configuration until every live proxy applied it; empty when not
+ *     measured
  * @param interRegionBytes bytes that crossed the link between regions during the run; empty when not measured
- * @param ranks what each rank got, most urgent first
- * @param refusals answers with a failure, tries without an answer included, by type
- * @param notSent requests that met the load tool's own bound on requests in flight; each counts as refused
+ * @param ranks the results of each rank, most urgent first
+ * @param refusals the number of failed attempts by type of failure, including attempts without a response
+ * @param notSent the number of requests that the load tool's limit on requests in flight ended; one that was never sent
+ *     counts as refused
  */
 record LoadReport(
         Scenario scenario,
@@ -38,22 +40,22 @@
     }
 
     /**
-     * What was run.
+     * The parameters of a run.
      *
-     * @param user whose workload
-     * @param seed of the arrivals and of every choice
-     * @param fault what was injected
-     * @param seconds how long requests arrived
-     * @param faultAtSeconds when the fault came, since the start; negative for none
+     * @param user the user whose workload ran
+     * @param seed the seed of the arrivals and of all random choices
+     * @param fault the name of the injected fault
+     * @param seconds the duration of the arrivals, without the warm-up
+     * @param faultAtSeconds the time of the fault since the start; negative for none
      */
     record Scenario(String user, long seed, String fault, int seconds, double faultAtSeconds) {}
 
-    /** Whether every promise that the tool checks was kept. */
+    /** Whether every guarantee that the load tool checks held. */
     boolean passed() {
         return audit.isConsistent() && reads.violations() == 0;
     }
 
-    /** The longest gap of the affected groups. */
+    /** The longest failover gap of the affected groups. */
     long failoverGapMs() {
         return affectedGroups.stream()
                 .mapToLong(group -> gapMsByGroup.getOrDefault(group, 0L))
--- a/load/src/main/java/org/hornbeamspread/load/LoadRun.java
+++ b/load/src/main/java/org/hornbeamspread/load/LoadRun.java
@@ -15,9 +15,9 @@
 import org.hornbeamspread.runtime.DutyThread;
 
 /**
- * Runs a schedule against the proxies. One thread holds the callers, the ledger and the counts; the answers come to it
- * through a bounded ring, whose capacity exceeds the bound on requests in flight. Arrivals start at their intended
- * time, whatever became of earlier ones.
+ * Runs a schedule of arrivals against the proxies. One thread owns the callers, the ledger and the counts. It receives
+ * the responses through a bounded ring, whose capacity exceeds the limit on requests in flight. Each arrival starts at
+ * its intended time, regardless of the state of earlier requests.
  */
 final class LoadRun implements AutoCloseable {
     private static final int RING_CAPACITY = 16_384;
@@ -35,10 +35,10 @@
     private final long lastArrivalUs;
     private int lastReportedSecond;
 
-    /** Prepares a run whose warm-up starts at once; progress is called each second on the run's thread. */
+    /** Prepares a run whose warm-up starts immediately. Calls {@code progress} each second on the run's thread. */
     LoadRun(
             Workload workload,
-            ProxyClient port,
+            ProxyClient proxyClient,
             List<Arrival> schedule,
             long seed,
             Duration warmUp,
@@ -51,11 +51,11 @@
         this.lastArrivalUs =
                 schedule.isEmpty() ? 0 : schedule.get(schedule.size() - 1).atUs();
         this.runThread = new DutyThread<>("load", RING_CAPACITY, Runnable::run, TICK_INTERVAL, this::onTick);
-        this.dispatcher = new Dispatcher(port, new SplittableRandom(seed), this::nowUs, this::enqueue);
+        this.dispatcher = new Dispatcher(proxyClient, new SplittableRandom(seed), this::nowUs, this::enqueue);
         this.callers = new CallerModel(workload, dispatcher, this::nowUs, seed);
     }
 
-    /** Runs the schedule and waits for the last words, for a bounded time. */
+    /** Runs the schedule and waits for the outcomes of all requests, for {@link #DRAIN_TIMEOUT} at most. */
     void run() {
         runThread.start();
         finished.join();
@@ -73,7 +73,7 @@
         return dispatcher;
     }
 
-    /** Time since the start; negative in the warm-up. */
+    /** The time since the start in microseconds; negative during the warm-up. */
     long nowUs() {
         return ChronoUnit.MICROS.between(start, clock.instant());
     }
@@ -85,7 +85,8 @@
 
     private void enqueue(Runnable event) {
         if (!runThread.offer(event)) {
-            finished.completeExceptionally(new FailureException(FailureType.RING_FULL, "answers of the load tool"));
+            finished.completeExceptionally(
+                    new FailureException(FailureType.RING_FULL, "ring of the responses of the load tool"));
         }
     }
 
--- a/load/src/main/java/org/hornbeamspread/load/Payment.java
+++ b/load/src/main/java/org/hornbeamspread/load/Payment.java
@@ -5,13 +5,13 @@
 import java.util.Optional;
 import org.hornbeamspread.core.misc.Effect;
 
-/** One payment as the ledger knows it: what was intended, and every answer. Used by one thread. */
+/** One payment in the ledger: its content, and the effect of every attempt. Used by one thread. */
 final class Payment {
     private final String id;
     private final String agent;
     private final long amount;
 
-    /** One for each try, in order; empty while its answer is awaited. */
+    /** The effect of each attempt, in the order of sending; empty until the attempt is completed. */
     private final List<Optional<Effect>> attempts = new ArrayList<>();
 
     Payment(String id, String agent, long amount) {
@@ -20,35 +20,35 @@
         this.amount = amount;
     }
 
-    /** The key of its row, and its idempotency key. */
+    /** The key of the payment's row, and its idempotency key. */
     String id() {
         return id;
     }
 
-    /** Whose balance it raises. */
+    /** The agent whose balance the payment increases. */
     String agent() {
         return agent;
     }
 
-    /** By how much. */
+    /** The amount that the payment adds to the balance. */
     long amount() {
         return amount;
     }
 
-    /** Notes a try before it is sent, and returns its number. */
+    /** Adds an attempt before it is sent, and returns its attempt. */
     int startAttempt() {
         attempts.add(Optional.empty());
         return attempts.size() - 1;
     }
 
-    /** Notes the answer to a try. */
-    void completeAttempt(int number, Effect effect) {
-        attempts.set(number, Optional.of(effect));
+    /** Sets the effect of an attempt. */
+    void completeAttempt(int attempt, Effect effect) {
+        attempts.set(attempt, Optional.of(effect));
     }
 
     /**
-     * What the caller may conclude: DONE when a try was acknowledged; NOT_RUN when every try was answered so, or none was
-     * sent; else UNKNOWN, since a try without proof may still have run.
+     * The outcome for the caller: DONE when an attempt was acknowledged; NOT_RUN when every attempt provably did not
+     * run, or none was sent; else UNKNOWN, since an attempt without such proof may have run.
      */
     Effect outcome() {
         if (attempts.contains(Optional.of(Effect.DONE))) {
--- a/load/src/main/java/org/hornbeamspread/load/PendingRequest.java
+++ b/load/src/main/java/org/hornbeamspread/load/PendingRequest.java
@@ -4,7 +4,7 @@
 import org.hornbeamspread.core.misc.Effect;
 import org.hornbeamspread.protocol.schema.ExecuteRequest;
 
-/** One request of a caller, from its intended start over all its tries to the last word. Used by one thread. */
+/** One request of a caller with all its attempts, from the intended start to the final outcome. Used by one thread. */
 final class PendingRequest {
     private final RankWorkload rank;
     private final long intendedStartUs;
@@ -12,7 +12,10 @@
     private final int maxAttempts;
     private final RequestListener listener;
 
-    /** The proxy not to go to: the one that answered the session last, then the one tried last. May be empty. */
+    /**
+     * The proxy that the next attempt must avoid: the proxy of the session's last response, then that of the last
+     * attempt. May be empty.
+     */
     private String avoidedProxy;
 
     private int attemptsMade;
@@ -22,13 +25,13 @@
             RankWorkload rank,
             long intendedUs,
             ExecuteRequest request,
-            int triesAllowed,
+            int maxAttempts,
             String avoidedProxy,
             RequestListener listener) {
         this.rank = rank;
         this.intendedStartUs = intendedUs;
         this.request = request;
-        this.maxAttempts = triesAllowed;
+        this.maxAttempts = maxAttempts;
         this.avoidedProxy = avoidedProxy;
         this.listener = listener;
     }
@@ -57,18 +60,18 @@
         return attemptsMade;
     }
 
-    /** What is known after all tries so far: a try that may have run keeps the outcome unknown until one is done. */
+    /** The outcome of the attempts so far. An attempt that may have run makes it UNKNOWN until an attempt is DONE. */
     Effect outcome() {
         return outcome;
     }
 
-    /** Notes that a try goes to a proxy. */
+    /** Counts an attempt, which is sent to the given proxy. */
     void attemptSent(String proxy) {
         attemptsMade++;
         avoidedProxy = proxy;
     }
 
-    /** Notes a try's effect and says whether another is due. */
+    /** Updates the outcome with an attempt's effect, and returns whether to send another attempt. */
     boolean needsRetry(Effect effect) {
         if (effect == Effect.DONE || (effect == Effect.UNKNOWN && outcome == Effect.NOT_RUN)) {
             outcome = effect;
@@ -76,17 +79,20 @@
         return outcome != Effect.DONE && attemptsMade < maxAttempts;
     }
 
-    /** Follows a job. */
+    /** Receives the events of a request. */
     interface RequestListener {
-        /** A try is about to be sent; returns its number. */
+        /** Called before an attempt is sent; returns the number of the attempt. */
         default int onAttempt() {
             return 0;
         }
 
-        /** A try was answered, or will not be. */
-        default void onAttemptResult(int number, AttemptResult answer) {}
+        /** Called when an attempt got a response or failed without one. */
+        default void onAttemptResult(int attempt, AttemptResult result) {}
 
-        /** The last word; the answer is empty when the job was not sent at all. */
-        default void onCompleted(PendingRequest job, Optional<AttemptResult> last) {}
+        /**
+         * Called with the final outcome. The last result is empty when the limit on requests in flight stopped the
+         * request.
+         */
+        default void onCompleted(PendingRequest request, Optional<AttemptResult> last) {}
     }
 }
--- a/load/src/main/java/org/hornbeamspread/load/ProxyClient.java
+++ b/load/src/main/java/org/hornbeamspread/load/ProxyClient.java
@@ -6,11 +6,11 @@
 import org.hornbeamspread.protocol.schema.ExecuteRequest;
 import org.hornbeamspread.protocol.schema.ExecuteResponse;
 
-/** The proxies, as a caller reaches them. */
+/** Sends requests to the proxies, as a caller does. */
 interface ProxyClient {
     /** The names of the proxies. */
     List<String> proxies();
 
-    /** Sends a request to one proxy. Fails with a typed failure when no answer of the method came. */
+    /** Sends a request to one proxy. Fails with a {@code FailureException} when the method gave no response. */
     CompletableFuture<ExecuteResponse> execute(String proxy, ExecuteRequest request, Duration timeout);
 }
--- a/load/src/main/java/org/hornbeamspread/load/RankStatistics.java
+++ b/load/src/main/java/org/hornbeamspread/load/RankStatistics.java
@@ -5,7 +5,10 @@
 import org.HdrHistogram.Histogram;
 import org.hornbeamspread.core.misc.Effect;
 
-/** Counts and latencies of one rank. Latency runs from the intended start to the last word. Used by one thread. */
+/**
+ * Counts and latencies of one rank. Latency is the time from the intended start to the final outcome. Used by one
+ * thread.
+ */
 final class RankStatistics {
     private static final long MAX_RECORDED_LATENCY_US = 120_000_000L;
     private static final int SIGNIFICANT_DIGITS = 3;
@@ -20,11 +23,11 @@
     private long unknown;
     private long withinTarget;
 
-    RankStatistics(RankWorkload plan) {
-        this.rank = plan;
+    RankStatistics(RankWorkload rank) {
+        this.rank = rank;
     }
 
-    /** Counts a request at its intended start; one of the warm-up is passed over. */
+    /** Counts a request at its intended start. A request of the warm-up is not counted. */
     void offered(long atUs) {
         if (atUs < 0) {
             return;
@@ -33,13 +36,13 @@
         countsOfSecond(atUs).offered++;
     }
 
-    /** Counts a request's last word. */
-    void completed(long intendedUs, long nowUs, Effect lastWord) {
-        if (intendedUs < 0) {
+    /** Counts the final outcome of a request. A request of the warm-up is not counted. */
+    void completed(long intendedStartUs, long nowUs, Effect outcome) {
+        if (intendedStartUs < 0) {
             return;
         }
-        long latencyUs = Math.max(0, nowUs - intendedUs);
-        switch (lastWord) {
+        long latencyUs = Math.max(0, nowUs - intendedStartUs);
+        switch (outcome) {
             case DONE -> {
                 served.recordValue(Math.min(latencyUs, MAX_RECORDED_LATENCY_US));
                 countsOfSecond(nowUs).served++;
--- a/load/src/main/java/org/hornbeamspread/load/RankWorkload.java
+++ b/load/src/main/java/org/hornbeamspread/load/RankWorkload.java
@@ -1,15 +1,15 @@
 package org.hornbeamspread.load;
 
 /**
- * The load of one rank.
+ * The workload of one rank.
  *
  * @param name the rank's name in the configuration
- * @param kind what its requests do
+ * @param kind the kind of the requests
  * @param arrivalsPerSecond the mean rate of ordinary arrivals
- * @param floodArrivalsPerSecond the mean rate of the arrivals that a flood of this rank adds
+ * @param floodArrivalsPerSecond the mean rate of additional arrivals during a flood of this rank
  * @param targetMs the latency, from the intended start, within which a request counts as served in time
- * @param timeoutMs how long one try may take
- * @param tries how often a request is sent at most; a request of a flood at most twice
+ * @param timeoutMs the timeout of one attempt
+ * @param tries the maximum number of attempts of a request; a request of a flood gets two at most
  */
 record RankWorkload(
         String name,
@@ -21,7 +21,8 @@
         int maxAttempts) {
     RankWorkload {
         if (name.isEmpty() || arrivalsPerSecond < 0 || floodArrivalsPerSecond < 0 || targetMs <= 0 || maxAttempts < 1) {
-            throw new IllegalArgumentException("rank " + name);
+            throw new IllegalArgumentException("rank " + name
+                    + ": empty name, negative rate, or a target or number of attempts that is not positive");
         }
     }
 }
--- a/load/src/main/java/org/hornbeamspread/load/ReportJson.java
+++ b/load/src/main/java/org/hornbeamspread/load/ReportJson.java
@@ -8,11 +8,11 @@
 import java.util.OptionalLong;
 import java.util.TreeMap;
 
-/** The report as a JSON file. The names of its fields are read by scripts and don't change. */
+/** The report as a JSON file. Scripts read its fields by name, so the names must not change. */
 final class ReportJson {
     private ReportJson() {}
 
-    /** The file's text. */
+    /** The JSON text. */
     static String render(LoadReport report) {
         JsonObject root = new JsonObject();
         root.addProperty("user", report.scenario().user());
--- a/load/src/main/java/org/hornbeamspread/load/ReportPage.java
+++ b/load/src/main/java/org/hornbeamspread/load/ReportPage.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.ToLongFunction;
 
-/** The report as one HTML page with plots. It refers to nothing outside itself. */
+/** The report as one self-contained HTML page with plots. */
 final class ReportPage {
     private static final String STYLE = "body{font:14px sans-serif;margin:2em;max-width:60em}pre{background:#f4f4f4;"
             + "padding:1em;overflow:auto}svg text{font:10px sans-serif}.axis{fill:none;stroke:#888}"
@@ -11,11 +11,12 @@
 
     private ReportPage() {}
 
-    /** The page's text. */
+    /** The HTML text of the page. */
     static String render(LoadReport report, double faultAtSeconds) {
         StringBuilder page = new StringBuilder();
-        LoadReport.Scenario trial = report.scenario();
-        String title = "hornbeamspread: " + trial.user() + ", fault " + trial.fault() + ", seed " + trial.seed();
+        LoadReport.Scenario scenario = report.scenario();
+        String title =
+                "hornbeamspread: " + scenario.user() + ", fault " + scenario.fault() + ", seed " + scenario.seed();
         page.append("<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
                 .append(escape(title))
                 .append("</title><style>")
@@ -26,7 +27,7 @@
                 .append(escape(ReportTable.render(report).strip()))
                 .append("</pre>");
         for (RankReport rank : report.ranks()) {
-            page.append("<h2>").append(escape(rank.name())).append(", requests a second</h2>");
+            page.append("<h2>").append(escape(rank.name())).append(", requests per second</h2>");
             page.append(SvgChart.render(
                     List.of(
                             line("offered", "#999", rank, RankReport.SecondCounts::offered),
@@ -34,8 +35,8 @@
                             line("refused", "#c60", rank, RankReport.SecondCounts::refused)),
                     faultAtSeconds));
         }
-        page.append("<p>The dashed line is the fault. ")
-                .append("Refused requests are those whose last word was a proved refusal.</p>");
+        page.append("<p>The dashed line marks the fault. ")
+                .append("Refused requests are those that provably did not run.</p>");
         return page.append("</body></html>\n").toString();
     }
 
--- a/load/src/main/java/org/hornbeamspread/load/ReportTable.java
+++ b/load/src/main/java/org/hornbeamspread/load/ReportTable.java
@@ -13,7 +13,7 @@
 
     private ReportTable() {}
 
-    /** The text, ended by a line break. */
+    /** The text, which ends with a line break. */
     static String render(LoadReport report) {
         ReportTable table = new ReportTable();
         table.appendHeading(report);
@@ -23,9 +23,9 @@
     }
 
     private void appendHeading(LoadReport report) {
-        LoadReport.Scenario trial = report.scenario();
+        LoadReport.Scenario scenario = report.scenario();
         String verdict = report.passed() ? "passed" : "FAILED";
-        appendLine("%n%s, fault %s, seed %d: %s%n%n", trial.user(), trial.fault(), trial.seed(), verdict);
+        appendLine("%n%s, fault %s, seed %d: %s%n%n", scenario.user(), scenario.fault(), scenario.seed(), verdict);
     }
 
     private void appendRanks(LoadReport report) {
--- a/load/src/main/java/org/hornbeamspread/load/RequestFactory.java
+++ b/load/src/main/java/org/hornbeamspread/load/RequestFactory.java
@@ -5,7 +5,7 @@
 import org.hornbeamspread.protocol.schema.ExecuteResponse;
 import org.hornbeamspread.protocol.schema.Statement;
 
-/** Builds the workload's requests, and reads their rows. */
+/** Builds the requests of the workload, and extracts values from the rows of their responses. */
 final class RequestFactory {
     private static final String PAYMENTS = "payments";
     private static final String BALANCES = "balances";
@@ -18,7 +18,7 @@
         this.service = service;
     }
 
-    /** A payment: its row and the agent's balance in one transaction, keyed by its id. */
+    /** A payment: adds to its row and to the agent's balance in one transaction; its id is the idempotency key. */
     ExecuteRequest payment(RankWorkload rank, Payment payment, String sessionToken) {
         return requestBuilder(rank.name(), payment.agent(), rank.timeoutMs())
                 .setSessionToken(sessionToken)
@@ -29,7 +29,7 @@
                 .build();
     }
 
-    /** A session's read of its agent's balance, and of the payments that it must see, in this order. */
+    /** A session's read of its agent's balance and of the given payments, in this order. */
     ExecuteRequest sessionRead(RankWorkload rank, String agent, String sessionToken, List<Payment> payments) {
         ExecuteRequest.Builder request = requestBuilder(rank.name(), agent, rank.timeoutMs())
                 .setReadOnly(true)
@@ -47,7 +47,7 @@
                 .build();
     }
 
-    /** A long keyed write. */
+    /** A long write with an idempotency key. */
     ExecuteRequest syncWrite(RankWorkload rank, String agent, String id) {
         return requestBuilder(rank.name(), agent, rank.timeoutMs())
                 .setIdempotencyKey(id)
@@ -56,7 +56,7 @@
                 .build();
     }
 
-    /** The audit's read: it brings a session but no token, and so is served from the primary's position on arrival. */
+    /** The audit's read. With a session but no token, it is served from the primary's position on arrival. */
     ExecuteRequest auditRead(String rank, String agent, List<Payment> payments, int timeoutMs) {
         ExecuteRequest.Builder request = requestBuilder(rank, agent, timeoutMs)
                 .setReadOnly(true)
@@ -66,7 +66,7 @@
         return request.build();
     }
 
-    /** The number in the row of one statement's result, 0 for an absent row. */
+    /** The number in the row of one statement's result; 0 for an absent row. */
     static long rowValue(ExecuteResponse response, int statement) {
         if (response.getResultsCount() <= statement
                 || response.getResults(statement).getRowsCount() == 0) {
--- a/load/src/main/java/org/hornbeamspread/load/RequestKind.java
+++ b/load/src/main/java/org/hornbeamspread/load/RequestKind.java
@@ -1,13 +1,16 @@
 package org.hornbeamspread.load;
 
-/** What a request of a rank does. */
+/** The kind of the requests of a rank. */
 enum RequestKind {
-    /** A keyed, non-repeatable payment: its own row and the agent's balance in one transaction. */
+    /**
+     * A non-repeatable payment with an idempotency key: adds to its own row and to the agent's balance in one
+     * transaction.
+     */
     PAYMENT,
-    /** A read with the session's token through a proxy other than the one that answered last. */
+    /** A read with the session's token, through another proxy than the session's last response. */
     SESSION_READ,
-    /** A long read of an agent's payments, for the books. */
+    /** A long read of an agent's payments, as for accounting. */
     LEDGER_SCAN,
-    /** A long keyed write, from the field. */
+    /** A long write with an idempotency key, as sent by agents in the field. */
     SYNC_WRITE
 }
--- a/load/src/main/java/org/hornbeamspread/load/SvgChart.java
+++ b/load/src/main/java/org/hornbeamspread/load/SvgChart.java
@@ -5,7 +5,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** A line chart over the seconds of a run, as inline SVG that needs nothing else. */
+/** A line chart over the seconds of a run, as self-contained inline SVG. */
 final class SvgChart {
     private static final int WIDTH_PIXELS = 720;
     private static final int HEIGHT_PIXELS = 180;
@@ -16,25 +16,25 @@
     private final int seconds;
     private final double maxValue;
 
-    private SvgChart(int seconds, double highest) {
+    private SvgChart(int seconds, double maxValue) {
         this.seconds = seconds;
-        this.maxValue = highest;
+        this.maxValue = maxValue;
     }
 
     /**
-     * Draws lines.
+     * Renders the lines.
      *
-     * @param faultAtSeconds where a mark is drawn; negative for none
+     * @param faultAtSeconds the time to mark as the fault; negative for no mark
      */
     static String render(List<Line> lines, double faultAtSeconds) {
         int seconds =
                 lines.stream().mapToInt(line -> line.values().size()).max().orElse(1);
-        double highest = lines.stream()
+        double maxValue = lines.stream()
                 .flatMap(line -> line.values().stream())
                 .mapToDouble(Double::doubleValue)
                 .max()
                 .orElse(1);
-        SvgChart chart = new SvgChart(Math.max(2, seconds), Math.max(1, highest));
+        SvgChart chart = new SvgChart(Math.max(2, seconds), Math.max(1, maxValue));
         chart.appendAxes();
         if (faultAtSeconds >= 0) {
             chart.appendFaultMark(faultAtSeconds);
@@ -87,11 +87,11 @@
     }
 
     /**
-     * One line.
+     * One line of the chart.
      *
-     * @param label its legend, without markup
+     * @param label the legend, without markup
      * @param colour a CSS colour
-     * @param values one a second
+     * @param values one value per second
      */
     record Line(String label, String colour, List<Double> values) {
         Line {
--- a/load/src/main/java/org/hornbeamspread/load/Workload.java
+++ b/load/src/main/java/org/hornbeamspread/load/Workload.java
@@ -6,13 +6,13 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * The work of one user.
+ * The workload of one user.
  *
  * @param user the user's short name
- * @param service the service that is called
+ * @param service the called service
  * @param groups the service's groups, in configuration order
- * @param agents how many agents there are; each is one session and one routing key
- * @param ranks the ranks, most urgent first: payments, session reads, and the nightly work
+ * @param agents the number of agents; each has one session and one routing key
+ * @param ranks the ranks, most urgent first: payments, session reads, and nightly requests
  */
 record Workload(String user, String service, List<String> groups, int agents, List<RankWorkload> ranks) {
     private static final int AGENTS = 240;
@@ -31,7 +31,7 @@
         ranks = List.copyOf(ranks);
     }
 
-    /** The workload of entoto or ujaas over a number of groups. Fails with INVALID_SETTING for another name. */
+    /** The workload of entoto or ujaas over a number of groups. Fails with INVALID_SETTING for another user. */
     static Workload of(String user, int groupCount) {
         List<String> groups =
                 IntStream.rangeClosed(1, groupCount).mapToObj(i -> "g" + i).toList();
@@ -57,7 +57,7 @@
                                 reads("balance", 90),
                                 nightly("sync", RequestKind.SYNC_WRITE, 10, 400)));
             default ->
-                throw new FailureException(FailureType.INVALID_SETTING, "--user is entoto or ujaas, not " + user);
+                throw new FailureException(FailureType.INVALID_SETTING, "--user must be entoto or ujaas, not " + user);
         };
     }
 
--- a/load/src/main/java/org/hornbeamspread/load/package-info.java
+++ b/load/src/main/java/org/hornbeamspread/load/package-info.java
@@ -1,2 +1,5 @@
-/** Workloads, floods, the ledger of answers, the audit against the databases, and the report. */
+/**
+ * Load generator: workloads and floods, the ledger of payments and their results, the audit against the databases, and
+ * the report.
+ */
 package org.hornbeamspread.load;
--- a/load/src/test/java/org/hornbeamspread/load/AuditDetectionTest.java
+++ b/load/src/test/java/org/hornbeamspread/load/AuditDetectionTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The whole path of the load tool, over HTTP, against endpoints that misbehave: each kind of harm must be seen. */
+/** Runs the whole load tool over HTTP against proxies with an injected fault. Each kind of fault must be detected. */
 class AuditDetectionTest {
     private static final long SEED = 7;
     private static final int PAYMENTS = 20;
 
     @ParameterizedTest
     @CsvSource({
-        // misbehaviour, acknowledged, lost, doubled, falseNotRun, unknown, passed
+        // fault, acknowledged, lost, doubled, falseNotRun, unknown, passed
         "NONE,               20, 0, 0, 0, 0, true",
         "DROPS_ROW,          20, 1, 0, 0, 0, false",
         "RUNS_TWICE,         20, 0, 1, 0, 0, false",
@@ -30,16 +30,16 @@
         "RUNS_WITHOUT_PROOF, 19, 0, 0, 0, 1, true"
     })
     void theAuditDetectsTheFault(
-            FakeProxy.Fault misbehaviour,
+            FakeProxy.Fault fault,
             long acknowledged,
             long lost,
             long doubled,
             long falseNotRun,
             long unknown,
             boolean passed) {
-        LoadReport report = run(misbehaviour);
+        LoadReport report = run(fault);
         assertThat(report.audit()).isEqualTo(new Audit.Result(acknowledged, lost, doubled, falseNotRun, unknown, 0));
-        if (misbehaviour != FakeProxy.Fault.DROPS_ROW) {
+        if (fault != FakeProxy.Fault.DROPS_ROW) {
             assertThat(report.reads().violations()).isEqualTo(0);
         }
         assertThat(report.passed()).isEqualTo(passed);
@@ -47,8 +47,8 @@
 
     @ParameterizedTest
     @CsvSource({"NONE,false", "READS_STALE,true"})
-    void aReadWithoutTheSessionsWriteIsAViolation(FakeProxy.Fault misbehaviour, boolean violated) {
-        LoadReport report = run(misbehaviour);
+    void aReadWithoutTheSessionsWriteIsAViolation(FakeProxy.Fault fault, boolean violated) {
+        LoadReport report = run(fault);
         assertThat(report.reads().checks()).isAtLeast(PAYMENTS);
         assertThat(report.reads().violations() > 0).isEqualTo(violated);
         assertThat(report.passed()).isEqualTo(!violated);
@@ -57,8 +57,8 @@
 
     @ParameterizedTest
     @CsvSource({"NONE,0", "DROPS_ROW,1", "RUNS_TWICE,1", "RUNS_BUT_REFUSES,1"})
-    void theExitCodeReportsTheAuditResult(FakeProxy.Fault misbehaviour, int code) {
-        try (FakeProxy proxy = new FakeProxy(misbehaviour)) {
+    void theExitCodeReportsTheAuditResult(FakeProxy.Fault fault, int code) {
+        try (FakeProxy proxy = new FakeProxy(fault)) {
             java.io.PrintStream discard = new java.io.PrintStream(java.io.OutputStream.nullOutputStream());
             String proxies = "p1=" + proxy.endpoint() + ",p2=" + proxy.endpoint();
             assertThat(LoadMain.run(
@@ -75,7 +75,7 @@
         }
     }
 
-    private static LoadReport run(FakeProxy.Fault misbehaviour) {
+    private static LoadReport run(FakeProxy.Fault fault) {
         Clock clock = new MonotonicClock();
         RankWorkload urgent = new RankWorkload("urgent", RequestKind.PAYMENT, 1, 0, 60_000, 2_000, 1);
         RankWorkload reads = new RankWorkload("stock", RequestKind.SESSION_READ, 1, 0, 60_000, 2_000, 1);
@@ -84,13 +84,13 @@
         for (int i = 0; i < PAYMENTS; i++) {
             schedule.add(new Arrival(i, 0, false));
         }
-        try (FakeProxy proxy = new FakeProxy(misbehaviour)) {
-            HttpProxyClient port = HttpProxyClient.parse("p1=" + proxy.endpoint() + ",p2=" + proxy.endpoint());
+        try (FakeProxy proxy = new FakeProxy(fault)) {
+            HttpProxyClient proxyClient = HttpProxyClient.parse("p1=" + proxy.endpoint() + ",p2=" + proxy.endpoint());
             try (LoadRun run =
-                    new LoadRun(workload, port, schedule, SEED, Duration.ZERO, clock, (second, state) -> {})) {
+                    new LoadRun(workload, proxyClient, schedule, SEED, Duration.ZERO, clock, (second, state) -> {})) {
                 run.run();
                 Audit.Result audit =
-                        LoadMain.audit(workload, port, run.callers().ledger(), clock);
+                        LoadMain.audit(workload, proxyClient, run.callers().ledger(), clock);
                 return new LoadReport(
                         new LoadReport.Scenario("test", SEED, "none", 0, -1),
                         audit,
--- a/load/src/test/java/org/hornbeamspread/load/BoundTest.java
+++ b/load/src/test/java/org/hornbeamspread/load/BoundTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A bound is kept or broken by the numbers of the reports, and never kept by a number that is missing. */
+/** Guards against a bound that passes without evidence: on a missing field, a division by zero or a malformed line. */
 class BoundTest {
     private static final Map<String, JsonObject> REPORTS = Map.of(
             "none", report("{\"gap\": 50, \"byRank\": {\"urgent\": {\"share\": 1.0}}}"),
@@ -26,10 +26,10 @@
         "a: flood.gap / 1000 <= 0.05, 0.1, false",
         "a: empty.gap / empty.gap <= 5, NaN, false"
     })
-    void aBoundComparesTheRatioWithItsLimit(String line, double value, boolean kept) {
+    void aBoundComparesTheRatioWithItsLimit(String line, double value, boolean satisfied) {
         Bound bound = Bound.parse(line);
         assertThat(bound.value(REPORTS)).isEqualTo(value);
-        assertThat(bound.isSatisfiedBy(bound.value(REPORTS))).isEqualTo(kept);
+        assertThat(bound.isSatisfiedBy(bound.value(REPORTS))).isEqualTo(satisfied);
     }
 
     @ParameterizedTest
--- a/load/src/test/java/org/hornbeamspread/load/DispatcherTest.java
+++ b/load/src/test/java/org/hornbeamspread/load/DispatcherTest.java
@@ -18,7 +18,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Tries go on with the same key at another proxy, for a bounded number of times, and keep the careful last word. */
+/**
+ * Guards against retries with another key, at the same proxy or without a limit, and against an outcome that is not
+ * proved.
+ */
 class DispatcherTest {
     private static final int MAX_ATTEMPTS = 3;
 
@@ -39,8 +42,8 @@
         "REQUEST_TIMEOUT QUEUE_FULL QUEUE_FULL DONE,        3, UNKNOWN",
         "QUEUE_FULL NO_QUORUM_IN_TIME QUEUE_FULL DONE,      3, UNKNOWN"
     })
-    void attemptsAreBoundedAndAnUnprovedOutcomeStaysUnknown(String answers, int tries, Effect expected) {
-        script.addAll(List.of(answers.split(" ", -1)));
+    void attemptsAreBoundedAndAnUnprovedOutcomeStaysUnknown(String responses, int attempts, Effect expected) {
+        script.addAll(List.of(responses.split(" ", -1)));
         Dispatcher dispatcher =
                 new Dispatcher(new ScriptedProxyClient(), new SplittableRandom(1), () -> nowUs, Runnable::run);
         RankWorkload rank = new RankWorkload("urgent", RequestKind.PAYMENT, 1, 0, 300, 2_000, MAX_ATTEMPTS);
@@ -49,8 +52,8 @@
         dispatcher.submit(new PendingRequest(
                 rank, 0, request, MAX_ATTEMPTS, "p2", new PendingRequest.RequestListener() {
                     @Override
-                    public void onCompleted(PendingRequest job, Optional<AttemptResult> last) {
-                        outcome = job.outcome();
+                    public void onCompleted(PendingRequest pending, Optional<AttemptResult> last) {
+                        outcome = pending.outcome();
                     }
                 }));
         while (!dispatcher.isIdle()) {
@@ -58,7 +61,7 @@
             dispatcher.tick();
         }
         assertThat(outcome).isEqualTo(expected);
-        assertThat(keysSent).containsExactlyElementsIn(java.util.Collections.nCopies(tries, "k"));
+        assertThat(keysSent).containsExactlyElementsIn(java.util.Collections.nCopies(attempts, "k"));
         String previous = "p2";
         for (String proxy : attemptedProxies) {
             assertThat(proxy).isNotEqualTo(previous);
@@ -66,7 +69,7 @@
         }
     }
 
-    /** Answers from the script: DONE, or a failure by its type. */
+    /** Responds with the entries of the script in order: DONE, or a failure of the named type. */
     private final class ScriptedProxyClient implements ProxyClient {
         @Override
         public List<String> proxies() {
@@ -77,13 +80,13 @@
         public CompletableFuture<ExecuteResponse> execute(String proxy, ExecuteRequest request, Duration timeout) {
             attemptedProxies.add(proxy);
             keysSent.add(request.getIdempotencyKey());
-            String answer = script.poll();
-            if ("DONE".equals(answer)) {
+            String response = script.poll();
+            if ("DONE".equals(response)) {
                 return CompletableFuture.completedFuture(ExecuteResponse.newBuilder()
                         .setEffect(org.hornbeamspread.protocol.schema.Effect.DONE)
                         .build());
             }
-            return CompletableFuture.failedFuture(new FailureException(FailureType.valueOf(answer), "scripted"));
+            return CompletableFuture.failedFuture(new FailureException(FailureType.valueOf(response), "scripted"));
         }
     }
 }
--- a/load/src/test/java/org/hornbeamspread/load/FailoverGapTest.java
+++ b/load/src/test/java/org/hornbeamspread/load/FailoverGapTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The gap counts only time in which a write was wanted. */
+/** Guards against a gap that includes time without a pending write, or that a given-up write closes. */
 class FailoverGapTest {
     @ParameterizedTest
     @CsvSource({
--- a/load/src/test/java/org/hornbeamspread/load/FakeProxy.java
+++ b/load/src/test/java/org/hornbeamspread/load/FakeProxy.java
@@ -18,17 +18,20 @@
 import org.hornbeamspread.protocol.schema.StatementResult;
 import org.hornbeamspread.transport.Envelopes;
 
-/** An HTTP endpoint that answers like a proxy over rows in memory, and misbehaves with the first payment as told. */
+/**
+ * An HTTP endpoint that responds like a proxy, with rows in memory, and injects a fault into the first payment or the
+ * session reads.
+ */
 final class FakeProxy implements AutoCloseable {
     private final Fault fault;
     private final RpcServer server;
     private final Map<String, Long> rows = new HashMap<>();
 
-    /** The payment that was misbehaved with; null before it came. */
+    /** The idempotency key of the first payment, which gets the fault; null before that payment. */
     private String faultyPaymentKey;
 
-    FakeProxy(Fault misbehaviour) {
-        this.fault = misbehaviour;
+    FakeProxy(Fault fault) {
+        this.fault = fault;
         this.server = new RpcServer(
                 Endpoint.newBuilder().setHost("127.0.0.1").build(),
                 List.of(new RpcMethod<>(
@@ -120,7 +123,7 @@
         return result.build();
     }
 
-    /** What the endpoint does wrong. */
+    /** The injected fault. */
     enum Fault {
         NONE,
         DROPS_ROW,
