--- a/load/src/main/java/org/hornbeamspread/load/Audit.java
+++ b/load/src/main/java/org/hornbeamspread/load/Audit.java
@@ -16,8 +16,10 @@
  *   <li>lost: an acknowledged payment whose row is absent, or a balance that is lower than the rows require.
  *   <li>doubled: a row above 1, whatever the outcome, or a balance that is higher than the rows require.
  *   <li>false not-run: a payment whose row is present, although every attempt was reported as not run or none was sent.
- *   <li>unknown: a payment that is neither acknowledged nor proved not to have run. Its row may be absent or 1, but not above 1.
- *   <li>unaudited: a payment whose row could not be read. It is in none of lost, doubled and false not-run, and the run fails.
+ *   <li>unknown: a payment that is neither acknowledged nor proved not to have run. Its row may be absent or 1, but not
+ *       above 1.
+ *   <li>unaudited: a payment whose row could not be read. It is in none of lost, doubled and false not-run, and the run
+ *       fails.
  * </ul>
  */
 final class Audit {
--- a/load/src/main/java/org/hornbeamspread/load/RankWorkload.java
+++ b/load/src/main/java/org/hornbeamspread/load/RankWorkload.java
@@ -21,8 +21,8 @@
         int maxAttempts) {
     RankWorkload {
         if (name.isEmpty() || arrivalsPerSecond < 0 || floodArrivalsPerSecond < 0 || targetMs <= 0 || maxAttempts < 1) {
-            throw new IllegalArgumentException("rank " + name
-                    + ": empty name, negative rate, or a target or number of attempts that is not positive");
+            throw new IllegalArgumentException(
+                    "empty name, or invalid rate, target or number of attempts of rank " + name);
         }
     }
 }
