--- a/bin/lib/links.bash
+++ b/bin/lib/links.bash
@@ -1,12 +1,13 @@
-# Links between failure domains for bin/quickstart: sourced, not run. One process of the emulator forwards every
-# connection between two places with the brief's latency and bandwidth, counts bytes, and can cut. A place is a failure
-# domain, a control member (control-DOMAIN, so that it can be cut off alone), or the callers of a domain (callers-DOMAIN).
-# Needs free_port, run, domains, regions and user of quickstart.
+# Emulated network links between failure domains for bin/quickstart, which sources this file. One emulator process
+# forwards every connection between two places with a fixed latency and bandwidth, counts the bytes, and can cut links.
+# A place is an end of links: a failure domain, a control member (control-DOMAIN, so that the member can be isolated on its
+# own), or the callers of a failure domain (callers-DOMAIN).
+# Uses free_port, run, domains, regions and user of quickstart.
 
 declare -A link_place=() link_maps=()
 link_endpoints=()
 
-# link_add PLACE HOST:PORT: notes where an endpoint is.
+# link_add PLACE HOST:PORT: registers the place of an endpoint.
 link_add() {
     link_place[$2]=$1
     link_endpoints+=("$2")
@@ -18,13 +19,13 @@
     domain=${domain#callers-}
 }
 
-# link_route FROM TARGET: adds a route, and sets `port` to where it listens.
+# link_route FROM TARGET: adds a route to the link file, and sets `port` to the port that the route listens on.
 link_route() {
     free_port
     echo "listen=127.0.0.1:$port target=$2 from=$1 to=${link_place[$2]}" >>"$run/links"
 }
 
-# link_write_head: domains, latencies and bandwidth of the user.
+# link_write_head: writes the domains, latencies and bandwidth of the user to the link file.
 link_write_head() {
     local near=1.5 i j place
     [ "$user" = entoto ] || near=0.5
@@ -46,7 +47,8 @@
     } >"$run/links"
 }
 
-# link_write_maps: a route and a map line for each place and each endpoint elsewhere; sets link_maps[PLACE].
+# link_write_maps: writes a route and an address map line for each place and each endpoint at another place; sets
+# link_maps[PLACE] to the address map file.
 link_write_maps() {
     local i from target place
     for i in 0 1 2; do
@@ -63,7 +65,8 @@
     done
 }
 
-# link_cut true|false PLACE...: cuts places off from all others, but not from each other; or heals them.
+# link_cut true|false PLACE...: cuts the links between the given places and all others, but not those among the given
+# places; false restores the links.
 link_cut() {
     local cut=$1 place other cut_off
     shift
