--- a/load/src/main/java/org/hornbeamspread/load/AgentRows.java
+++ b/load/src/main/java/org/hornbeamspread/load/AgentRows.java
@@ -6,7 +6,7 @@
 /**
  * The rows of one agent, as read from the databases.
  *
- * @param times the value of each payment's row, by payment id; 0 for an absent row
+ * @param executionCounts the value of each payment's row, by payment id; 0 for an absent row
  * @param balance the agent's balance; 0 for an absent row
  */
 record AgentRows(Map<String, Long> executionCounts, long balance) {
--- a/load/src/main/java/org/hornbeamspread/load/RankWorkload.java
+++ b/load/src/main/java/org/hornbeamspread/load/RankWorkload.java
@@ -9,7 +9,7 @@
  * @param floodArrivalsPerSecond the mean rate of additional arrivals during a flood of this rank
  * @param targetMs the latency, from the intended start, within which a request counts as served in time
  * @param timeoutMs the timeout of one attempt
- * @param tries the maximum number of attempts of a request; a request of a flood gets two at most
+ * @param maxAttempts the maximum number of attempts of a request; a request of a flood gets two at most
  */
 record RankWorkload(
         String name,
