--- a/load/src/main/java/org/hornbeamspread/load/AuditReader.java
+++ b/load/src/main/java/org/hornbeamspread/load/AuditReader.java
@@ -15,62 +15,65 @@
 import org.hornbeamspread.protocol.schema.ExecuteResponse;
 
 /**
- * Reads every agent's rows after a run, through the proxies: at the primary's position on arrival, all rows of an agent
- * in one request, with tries at other proxies until the time is over. An agent that could not be read is left out.
+ * Reads every agent's rows after a run, through the proxies: all rows of an agent in one request, at the primary's
+ * position when the request arrives, with retries at other proxies until the time limit. The result has no entry for an
+ * agent whose rows could not be read.
  */
 final class AuditReader {
-    private static final int WINDOW_AGENTS = 12;
+    private static final int MAX_AGENTS_IN_FLIGHT = 12;
     private static final int REQUEST_TIMEOUT_MS = 5_000;
-    private static final Duration ROUND_PAUSE = Duration.ofMillis(200);
+    private static final Duration RETRY_PAUSE = Duration.ofMillis(200);
 
-    private final ProxyPort port;
-    private final Requests requests;
+    private final ProxyClient proxyClient;
+    private final RequestFactory requests;
     private final String rank;
     private final Clock clock;
     private int nextProxy;
 
-    AuditReader(ProxyPort port, Workload workload, Clock clock) {
-        this.port = port;
-        this.requests = new Requests(workload.service());
+    AuditReader(ProxyClient proxyClient, Workload workload, Clock clock) {
+        this.proxyClient = proxyClient;
+        this.requests = new RequestFactory(workload.service());
         this.rank = workload.urgentRank().name();
         this.clock = clock;
     }
 
-    /** The books of every agent that has payments. Blocks the calling thread. */
-    Map<String, AgentBooks> read(Ledger ledger, Duration limit) {
+    /** The rows of every agent that has payments. Blocks the calling thread. */
+    Map<String, AgentRows> read(Ledger ledger, Duration limit) {
         Instant deadline = clock.instant().plus(limit);
-        Map<String, AgentBooks> books = new HashMap<>();
-        Deque<Map.Entry<String, List<Payment>>> open =
+        Map<String, AgentRows> rowsByAgent = new HashMap<>();
+        Deque<Map.Entry<String, List<Payment>>> remaining =
                 new ArrayDeque<>(ledger.byAgent().entrySet());
-        while (!open.isEmpty() && clock.instant().isBefore(deadline)) {
-            List<Map.Entry<String, List<Payment>>> failed = readWindow(open, books);
-            open.addAll(failed);
+        while (!remaining.isEmpty() && clock.instant().isBefore(deadline)) {
+            List<Map.Entry<String, List<Payment>>> failed = readBatch(remaining, rowsByAgent);
+            remaining.addAll(failed);
             if (!failed.isEmpty()) {
-                pause();
+                pauseBeforeRetry();
             }
         }
-        return books;
+        return rowsByAgent;
     }
 
-    private List<Map.Entry<String, List<Payment>>> readWindow(
-            Deque<Map.Entry<String, List<Payment>>> open, Map<String, AgentBooks> books) {
+    private List<Map.Entry<String, List<Payment>>> readBatch(
+            Deque<Map.Entry<String, List<Payment>>> remaining, Map<String, AgentRows> rowsByAgent) {
         Map<Map.Entry<String, List<Payment>>, CompletableFuture<ExecuteResponse>> sent = new HashMap<>();
-        while (!open.isEmpty() && sent.size() < WINDOW_AGENTS) {
-            Map.Entry<String, List<Payment>> agent = open.poll();
-            String proxy = port.proxies().get(nextProxy++ % port.proxies().size());
+        while (!remaining.isEmpty() && sent.size() < MAX_AGENTS_IN_FLIGHT) {
+            Map.Entry<String, List<Payment>> agent = remaining.poll();
+            String proxy = proxyClient
+                    .proxies()
+                    .get(nextProxy++ % proxyClient.proxies().size());
             sent.put(
                     agent,
-                    port.execute(
+                    proxyClient.execute(
                             proxy,
-                            requests.audit(rank, agent.getKey(), agent.getValue(), REQUEST_TIMEOUT_MS),
+                            requests.auditRead(rank, agent.getKey(), agent.getValue(), REQUEST_TIMEOUT_MS),
                             Duration.ofMillis(REQUEST_TIMEOUT_MS)));
         }
         List<Map.Entry<String, List<Payment>>> failed = new ArrayList<>();
         sent.forEach((agent, future) -> {
             try {
                 ExecuteResponse response = future.join();
-                if (Answer.of(response).effect() == Effect.DONE) {
-                    books.put(agent.getKey(), books(agent.getValue(), response));
+                if (AttemptResult.of(response).effect() == Effect.DONE) {
+                    rowsByAgent.put(agent.getKey(), agentRows(agent.getValue(), response));
                     return;
                 }
             } catch (RuntimeException e) {
@@ -81,17 +84,17 @@
         return failed;
     }
 
-    private static AgentBooks books(List<Payment> payments, ExecuteResponse response) {
-        Map<String, Long> times = new HashMap<>();
+    private static AgentRows agentRows(List<Payment> payments, ExecuteResponse response) {
+        Map<String, Long> executionCounts = new HashMap<>();
         for (int i = 0; i < payments.size(); i++) {
-            times.put(payments.get(i).id(), Requests.number(response, i + 1));
+            executionCounts.put(payments.get(i).id(), RequestFactory.rowValue(response, i + 1));
         }
-        return new AgentBooks(times, Requests.number(response, 0));
+        return new AgentRows(executionCounts, RequestFactory.rowValue(response, 0));
     }
 
-    private static void pause() {
+    private static void pauseBeforeRetry() {
         try {
-            Thread.sleep(ROUND_PAUSE.toMillis());
+            Thread.sleep(RETRY_PAUSE.toMillis());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/load/src/main/java/org/hornbeamspread/load/Dispatcher.java
+++ b/load/src/main/java/org/hornbeamspread/load/Dispatcher.java
@@ -15,110 +15,116 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * Sends jobs to proxies and tries them again: with the same key, to another proxy, after a pause that doubles or that the
- * proxy advises. A job that would exceed the bound on requests in flight is not sent and ends as not run. Everything
- * but the answers' arrival happens on the run's own thread.
+ * Sends requests to proxies and retries them: with the same idempotency key, to another proxy, after an exponential
+ * backoff or the longer pause that the proxy advises. An attempt that would exceed the limit on requests in flight is
+ * not sent, and its request ends, as NOT_RUN if no attempt was sent. Only the responses are received on other threads;
+ * all else runs on the run's thread.
  */
 final class Dispatcher {
-    private static final int IN_FLIGHT_LIMIT = 4_000;
-    private static final long FIRST_PAUSE_US = 50_000;
-    private static final long LONGEST_PAUSE_US = 1_000_000;
-    private static final Duration NETWORK_ALLOWANCE = Duration.ofMillis(500);
+    private static final int MAX_IN_FLIGHT = 4_000;
+    private static final long INITIAL_BACKOFF_US = 50_000;
+    private static final long MAX_BACKOFF_US = 1_000_000;
+    private static final Duration NETWORK_TIMEOUT_MARGIN = Duration.ofMillis(500);
     private static final long US_PER_MS = 1_000;
 
-    private final ProxyPort port;
+    private final ProxyClient proxyClient;
     private final List<String> proxies;
     private final SplittableRandom random;
     private final LongSupplier nowUs;
-    private final Consumer<Runnable> onOwnThread;
+    private final Consumer<Runnable> runThreadExecutor;
     private final PriorityQueue<Retry> retries = new PriorityQueue<>(Comparator.comparingLong(Retry::dueUs));
     private final Map<FailureType, Long> refusals = new EnumMap<>(FailureType.class);
     private int inFlight;
     private long notSent;
 
-    Dispatcher(ProxyPort port, SplittableRandom random, LongSupplier nowUs, Consumer<Runnable> onOwnThread) {
-        this.port = port;
-        this.proxies = port.proxies();
+    Dispatcher(
+            ProxyClient proxyClient,
+            SplittableRandom random,
+            LongSupplier nowUs,
+            Consumer<Runnable> runThreadExecutor) {
+        this.proxyClient = proxyClient;
+        this.proxies = proxyClient.proxies();
         this.random = random;
         this.nowUs = nowUs;
-        this.onOwnThread = onOwnThread;
+        this.runThreadExecutor = runThreadExecutor;
     }
 
-    /** Starts a job. */
-    void submit(Job job) {
-        send(job);
+    /** Sends the first attempt of a request. */
+    void submit(PendingRequest pending) {
+        send(pending);
     }
 
     /** Sends the retries that are due. */
     void tick() {
         while (!retries.isEmpty() && retries.peek().dueUs <= nowUs.getAsLong()) {
-            send(retries.poll().job);
+            send(retries.poll().pending);
         }
     }
 
-    /** Whether every job has its last word. */
-    boolean idle() {
+    /** Whether every request has its final outcome. */
+    boolean isIdle() {
         return inFlight == 0 && retries.isEmpty();
     }
 
-    /** Requests that wait for an answer. */
+    /** The number of attempts that wait for a response. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Jobs that met the bound on requests in flight. */
+    /** The number of requests that the limit on requests in flight ended. */
     long notSent() {
         return notSent;
     }
 
-    /** Answers that carried a failure, tries without an answer included, by its type. */
+    /** The number of failed attempts by type of failure, including attempts without a response. */
     Map<FailureType, Long> refusals() {
         return new EnumMap<>(refusals);
     }
 
-    private void send(Job job) {
-        if (inFlight >= IN_FLIGHT_LIMIT) {
+    private void send(PendingRequest pending) {
+        if (inFlight >= MAX_IN_FLIGHT) {
             notSent++;
-            job.listener().onEnd(job, Optional.empty());
+            pending.listener().onCompleted(pending, Optional.empty());
             return;
         }
-        String proxy = anotherProxy(job.avoidedProxy());
-        int number = job.listener().onTry();
-        job.tried(proxy);
+        String proxy = selectOtherProxy(pending.avoidedProxy());
+        int attempt = pending.listener().onAttempt();
+        pending.attemptSent(proxy);
         inFlight++;
-        Duration timeout = Duration.ofMillis(job.request().getTimeoutMs()).plus(NETWORK_ALLOWANCE);
-        port.execute(proxy, job.request(), timeout).whenComplete((response, error) -> {
-            Answer answer = error == null ? Answer.of(response) : Answer.of(FailureException.of(error));
-            onOwnThread.accept(() -> onAnswer(job, number, answer));
+        Duration timeout = Duration.ofMillis(pending.request().getTimeoutMs()).plus(NETWORK_TIMEOUT_MARGIN);
+        proxyClient.execute(proxy, pending.request(), timeout).whenComplete((response, error) -> {
+            AttemptResult result =
+                    error == null ? AttemptResult.of(response) : AttemptResult.of(FailureException.of(error));
+            runThreadExecutor.accept(() -> onAttemptResult(pending, attempt, result));
         });
     }
 
-    private void onAnswer(Job job, int number, Answer answer) {
+    private void onAttemptResult(PendingRequest pending, int attempt, AttemptResult result) {
         inFlight--;
-        answer.failure().ifPresent(type -> refusals.merge(type, 1L, Long::sum));
-        job.listener().onAnswer(number, answer);
-        if (job.wantsAnotherTry(answer.effect())) {
-            retries.add(new Retry(nowUs.getAsLong() + pauseUs(job, answer), job));
+        result.failure().ifPresent(type -> refusals.merge(type, 1L, Long::sum));
+        pending.listener().onAttemptResult(attempt, result);
+        if (pending.needsRetry(result.effect())) {
+            retries.add(new Retry(nowUs.getAsLong() + backoffUs(pending, result), pending));
         } else {
-            job.listener().onEnd(job, Optional.of(answer));
+            pending.listener().onCompleted(pending, Optional.of(result));
         }
     }
 
-    private long pauseUs(Job job, Answer answer) {
-        if (answer.effect() == Effect.UNKNOWN) {
-            return FIRST_PAUSE_US;
+    private long backoffUs(PendingRequest pending, AttemptResult result) {
+        if (result.effect() == Effect.UNKNOWN) {
+            return INITIAL_BACKOFF_US;
         }
-        long doubledUs = Math.min(LONGEST_PAUSE_US, FIRST_PAUSE_US << Math.min(job.triesMade() - 1, 10));
-        return Math.max(doubledUs, answer.retryAfter().toMillis() * US_PER_MS);
+        long doubledUs = Math.min(MAX_BACKOFF_US, INITIAL_BACKOFF_US << Math.min(pending.attemptsMade() - 1, 10));
+        return Math.max(doubledUs, result.retryAfter().toMillis() * US_PER_MS);
     }
 
-    private String anotherProxy(String avoided) {
-        int at = random.nextInt(proxies.size());
-        if (proxies.get(at).equals(avoided)) {
-            at = (at + 1 + random.nextInt(proxies.size() - 1)) % proxies.size();
+    private String selectOtherProxy(String avoidedProxy) {
+        int index = random.nextInt(proxies.size());
+        if (proxies.get(index).equals(avoidedProxy)) {
+            index = (index + 1 + random.nextInt(proxies.size() - 1)) % proxies.size();
         }
-        return proxies.get(at);
+        return proxies.get(index);
     }
 
-    private record Retry(long dueUs, Job job) {}
+    private record Retry(long dueUs, PendingRequest pending) {}
 }
--- a/load/src/main/java/org/hornbeamspread/load/LoadRun.java
+++ b/load/src/main/java/org/hornbeamspread/load/LoadRun.java
@@ -15,17 +15,17 @@
 import org.hornbeamspread.runtime.EventLoopThread;
 
 /**
- * Runs a schedule against the proxies. One thread holds the callers, the ledger and the counts; the answers come to it
- * through a bounded ring, whose capacity exceeds the bound on requests in flight. Arrivals start at their intended
- * time, whatever became of earlier ones.
+ * Runs a schedule of arrivals against the proxies. One thread owns the callers, the ledger and the counts. It receives
+ * the responses through a bounded ring, whose capacity exceeds the limit on requests in flight. Each arrival starts at
+ * its intended time, regardless of the state of earlier requests.
  */
 final class LoadRun implements AutoCloseable {
-    private static final int RING_EVENTS = 16_384;
-    private static final Duration TICK = Duration.ofMillis(1);
-    private static final Duration DRAIN_LIMIT = Duration.ofSeconds(30);
+    private static final int RING_CAPACITY = 16_384;
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(1);
+    private static final Duration DRAIN_TIMEOUT = Duration.ofSeconds(30);
 
     private final Clock clock;
-    private final EventLoopThread<Runnable> duty;
+    private final EventLoopThread<Runnable> runThread;
     private final Dispatcher dispatcher;
     private final CallerModel callers;
     private final Deque<Arrival> schedule;
@@ -33,12 +33,12 @@
     private final CompletableFuture<Void> finished = new CompletableFuture<>();
     private final Instant start;
     private final long lastArrivalUs;
-    private int secondsReported;
+    private int lastReportedSecond;
 
-    /** Prepares a run whose warm-up starts at once; progress is called each second on the run's thread. */
+    /** Prepares a run whose warm-up starts immediately. Calls {@code progress} each second on the run's thread. */
     LoadRun(
             Workload workload,
-            ProxyPort port,
+            ProxyClient proxyClient,
             List<Arrival> schedule,
             long seed,
             Duration warmUp,
@@ -50,14 +50,14 @@
         this.start = clock.instant().plus(warmUp);
         this.lastArrivalUs =
                 schedule.isEmpty() ? 0 : schedule.get(schedule.size() - 1).atUs();
-        this.duty = new EventLoopThread<>("load", RING_EVENTS, Runnable::run, TICK, this::tick);
-        this.dispatcher = new Dispatcher(port, new SplittableRandom(seed), this::nowUs, this::enqueue);
+        this.runThread = new EventLoopThread<>("load", RING_CAPACITY, Runnable::run, TICK_INTERVAL, this::onTick);
+        this.dispatcher = new Dispatcher(proxyClient, new SplittableRandom(seed), this::nowUs, this::enqueue);
         this.callers = new CallerModel(workload, dispatcher, this::nowUs, seed);
     }
 
-    /** Runs the schedule and waits for the last words, for a bounded time. */
+    /** Runs the schedule and waits for the outcomes of all requests, for {@link #DRAIN_TIMEOUT} at most. */
     void run() {
-        duty.start();
+        runThread.start();
         finished.join();
     }
 
@@ -73,34 +73,35 @@
         return dispatcher;
     }
 
-    /** Time since the start; negative in the warm-up. */
+    /** The time since the start in microseconds; negative during the warm-up. */
     long nowUs() {
         return ChronoUnit.MICROS.between(start, clock.instant());
     }
 
     @Override
     public void close() {
-        duty.close();
+        runThread.close();
     }
 
     private void enqueue(Runnable event) {
-        if (!duty.offer(event)) {
-            finished.completeExceptionally(new FailureException(FailureType.RING_FULL, "answers of the load tool"));
+        if (!runThread.offer(event)) {
+            finished.completeExceptionally(
+                    new FailureException(FailureType.RING_FULL, "ring of the responses of the load tool"));
         }
     }
 
-    private void tick() {
+    private void onTick() {
         long nowUs = nowUs();
         while (!schedule.isEmpty() && schedule.peek().atUs() <= nowUs) {
-            callers.arrive(schedule.poll());
+            callers.startRequest(schedule.poll());
         }
         dispatcher.tick();
         int second = (int) Math.floorDiv(nowUs, 1_000_000L);
-        if (second > secondsReported) {
-            secondsReported = second;
+        if (second > lastReportedSecond) {
+            lastReportedSecond = second;
             progress.accept(second, this);
         }
-        boolean drained = dispatcher.idle() || nowUs > lastArrivalUs + DRAIN_LIMIT.toNanos() / 1_000;
+        boolean drained = dispatcher.isIdle() || nowUs > lastArrivalUs + DRAIN_TIMEOUT.toNanos() / 1_000;
         if (schedule.isEmpty() && nowUs >= 0 && drained) {
             finished.complete(null);
         }
--- a/load/src/main/java/org/hornbeamspread/load/ReportJson.java
+++ b/load/src/main/java/org/hornbeamspread/load/ReportJson.java
@@ -8,25 +8,25 @@
 import java.util.OptionalLong;
 import java.util.TreeMap;
 
-/** The report as a JSON file. The names of its fields are read by scripts and don't change. */
+/** The report as a JSON file. Scripts read its fields by name, so the names must not change. */
 final class ReportJson {
     private ReportJson() {}
 
-    /** The file's text. */
+    /** The JSON text. */
     static String render(LoadReport report) {
         JsonObject root = new JsonObject();
-        root.addProperty("user", report.trial().user());
-        root.addProperty("seed", report.trial().seed());
-        root.addProperty("fault", report.trial().fault());
-        root.addProperty("seconds", report.trial().seconds());
+        root.addProperty("user", report.scenario().user());
+        root.addProperty("seed", report.scenario().seed());
+        root.addProperty("fault", report.scenario().fault());
+        root.addProperty("seconds", report.scenario().seconds());
         root.addProperty("passed", report.passed());
         addAudit(root, report.audit());
         addReads(root, report.reads());
         addGaps(root, report);
-        root.add("configurationInForceMs", number(report.configurationInForceMs()));
-        root.add("interRegionBytes", number(report.interRegionBytes()));
+        root.add("configurationInForceMs", numberOrNull(report.configurationInForceMs()));
+        root.add("interRegionBytes", numberOrNull(report.interRegionBytes()));
         JsonObject byRank = new JsonObject();
-        report.ranks().forEach(rank -> byRank.add(rank.name(), rank(rank)));
+        report.ranks().forEach(rank -> byRank.add(rank.name(), rankObject(rank)));
         root.add("byRank", byRank);
         JsonObject refusals = new JsonObject();
         new TreeMap<>(report.refusals()).forEach((type, count) -> refusals.addProperty(type.name(), count));
@@ -58,7 +58,7 @@
         root.add("failoverGapMsByGroup", gaps);
     }
 
-    private static JsonObject rank(RankReport rank) {
+    private static JsonObject rankObject(RankReport rank) {
         JsonObject object = new JsonObject();
         object.addProperty("offered", rank.offered());
         object.addProperty("served", rank.served());
@@ -70,7 +70,7 @@
         return object;
     }
 
-    private static JsonElement number(OptionalLong value) {
+    private static JsonElement numberOrNull(OptionalLong value) {
         return value.isPresent() ? new JsonPrimitive(value.getAsLong()) : JsonNull.INSTANCE;
     }
 
