--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
@@ -148,7 +148,7 @@
         Optional<DatabaseMonitor> monitor = clusterMonitor.monitor(databaseId).filter(DatabaseMonitor::isConnected);
         Optional<PositionReport> report = monitor.flatMap(DatabaseMonitor::lastReport);
         return HolderAdmissionRule.mayStart(
-                publisher.isFresh(),
+                publisher.isLeaseValid(),
                 readOnly,
                 monitor.map(DatabaseMonitor::timeSinceLastReport).orElse(NO_REPORT_AGE),
                 report.map(PositionReport::getConnections).orElse(Integer.MAX_VALUE),
--- a/proxy/src/main/java/org/hornbeamspread/proxy/HolderExecutor.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HolderExecutor.java
@@ -16,14 +16,14 @@
 final class HolderExecutor implements DatabaseExecutor {
     private final String proxyId;
     private final String region;
-    private final HeldDatabases held;
-    private final RelayClient relays;
+    private final HeldDatabases heldDatabases;
+    private final RelayClient relayClient;
 
     HolderExecutor(String proxyId, String region, HeldDatabases held, RelayClient relays) {
         this.proxyId = proxyId;
         this.region = region;
-        this.held = held;
-        this.relays = relays;
+        this.heldDatabases = held;
+        this.relayClient = relays;
     }
 
     @Override
@@ -34,11 +34,11 @@
                     FailureType.DATABASE_UNREACHABLE, database.getDatabaseId() + " has no holder"));
         }
         if (database.getHolderProxyId().equals(proxyId)) {
-            return held.execute(database.getDatabaseId(), database.getHolderEpoch(), order, statements);
+            return heldDatabases.execute(database.getDatabaseId(), database.getHolderEpoch(), order, statements);
         }
         Optional<ProxyEntry> holder = view.proxy(database.getHolderProxyId());
         boolean otherRegion =
                 holder.map(proxy -> !proxy.getRegion().equals(region)).orElse(false);
-        return relays.execute(holder, otherRegion, database, order, statements);
+        return relayClient.execute(holder, otherRegion, database, order, statements);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/PeerService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/PeerService.java
@@ -26,8 +26,8 @@
  */
 final class PeerService implements PeerHandler {
     private final Dispatcher dispatcher;
-    private final HeldDatabases held;
-    private final ClusterMonitor databases;
+    private final HeldDatabases heldDatabases;
+    private final ClusterMonitor clusterMonitor;
 
     /** Subscribers by database id; confined to the dispatcher's thread. */
     private final Map<String, List<PeerConnection>> subscribers = new HashMap<>();
@@ -36,8 +36,8 @@
 
     PeerService(Dispatcher dispatcher, HeldDatabases held, ClusterMonitor databases) {
         this.dispatcher = dispatcher;
-        this.held = held;
-        this.databases = databases;
+        this.heldDatabases = held;
+        this.clusterMonitor = databases;
     }
 
     @Override
@@ -79,7 +79,8 @@
         Instant deadline = dispatcher.clock().instant().plusMillis(Integer.toUnsignedLong(relay.getTimeoutMs()));
         RequestContext context = new RequestContext(relay.getRank(), relay.getCallerId(), deadline);
         inProgress.incrementAndGet();
-        held.execute(relay.getDatabaseId(), relay.getHolderEpoch(), context, relay.getExecute())
+        heldDatabases
+                .execute(relay.getDatabaseId(), relay.getHolderEpoch(), context, relay.getExecute())
                 .whenComplete((executed, error) -> {
                     answer.accept(relayResponse(executed, error));
                     inProgress.decrementAndGet();
@@ -93,7 +94,10 @@
             if (!peers.contains(peer)) {
                 peers.add(peer);
             }
-            databases.monitor(databaseId).flatMap(DatabaseMonitor::lastReport).ifPresent(reports::addReports);
+            clusterMonitor
+                    .monitor(databaseId)
+                    .flatMap(DatabaseMonitor::lastReport)
+                    .ifPresent(reports::addReports);
         }
         answer.accept(Envelope.newBuilder().setRelaySubscribed(reports).build());
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
@@ -34,13 +34,13 @@
     private final SingleThreadDispatcher controlDispatcher;
     private final PeerTransport transport;
     private final ViewPublisher publisher;
-    private final ClusterMonitor databases;
-    private final HeldDatabases held;
+    private final ClusterMonitor clusterMonitor;
+    private final HeldDatabases heldDatabases;
     private final InFlightAttempts inFlight;
-    private final WritePath writes;
-    private final TransactionManager transactions;
+    private final WritePath writePath;
+    private final TransactionManager transactionManager;
     private final StatementsService statements;
-    private final ViewLeaseRenewer controlLink;
+    private final ViewLeaseRenewer leaseRenewer;
     private final PeerService peerService;
     private final ProxyMetrics metrics;
     private final PrometheusRegistry registry = new PrometheusRegistry();
@@ -67,34 +67,36 @@
         this.transport = new PeerTransport(settings.networkThreads(), settings.translator());
         this.publisher = new ViewPublisher(clock);
         this.metrics = new ProxyMetrics(registry);
-        this.databases = new ClusterMonitor(requestDispatcher, transport, publisher, metrics, settings.region());
-        this.held = new HeldDatabases(
+        this.clusterMonitor = new ClusterMonitor(requestDispatcher, transport, publisher, metrics, settings.region());
+        this.heldDatabases = new HeldDatabases(
                 requestDispatcher,
                 transport,
                 publisher,
-                databases,
+                clusterMonitor,
                 (configuration, database) -> settings.slotOrder()
                         .scheduler(configuration, Math.max(1, database.getSlots()), clock.instant()),
                 settings.proxyId());
-        this.peerService = new PeerService(requestDispatcher, held, databases);
-        databases.setReportListener(peerService::forwardReport);
+        this.peerService = new PeerService(requestDispatcher, heldDatabases, clusterMonitor);
+        clusterMonitor.setReportListener(peerService::forwardReport);
         RelayClient relayClient = new RelayClient(requestDispatcher, transport, RelayClient.refuseRequests(), metrics);
-        DatabaseExecutor executor = new HolderExecutor(settings.proxyId(), settings.region(), held, relayClient);
+        DatabaseExecutor executor =
+                new HolderExecutor(settings.proxyId(), settings.region(), heldDatabases, relayClient);
         this.inFlight = new InFlightAttempts();
-        this.writes = new WritePath(requestDispatcher, publisher, databases, executor, inFlight);
-        ReadPath reads =
-                new ReadPath(requestDispatcher, publisher, databases, held, executor, inFlight, metrics, settings);
-        this.transactions = new TransactionManager(requestDispatcher, publisher, held, writes, settings, incarnation);
+        this.writePath = new WritePath(requestDispatcher, publisher, clusterMonitor, executor, inFlight);
+        ReadPath reads = new ReadPath(
+                requestDispatcher, publisher, clusterMonitor, heldDatabases, executor, inFlight, metrics, settings);
+        this.transactionManager =
+                new TransactionManager(requestDispatcher, publisher, heldDatabases, writePath, settings, incarnation);
         this.statements = new StatementsService(
                 requestDispatcher,
                 publisher,
-                writes,
+                writePath,
                 reads,
-                new TransactionRouter(requestDispatcher, publisher, transactions, settings, incarnation),
+                new TransactionRouter(requestDispatcher, publisher, transactionManager, settings, incarnation),
                 new RetryLoop(requestDispatcher, metrics, publisher::isIsolatedFromControl),
                 metrics,
                 settings);
-        this.controlLink = new ViewLeaseRenewer(
+        this.leaseRenewer = new ViewLeaseRenewer(
                 controlDispatcher, transport, settings.control(), publisher, this::renewalRequest, this::onView);
     }
 
@@ -103,13 +105,13 @@
         peerServer = transport.listen(settings.peerEndpoint(), peerService).join();
         http = new RpcServer(settings.httpEndpoint(), statements.methods(), this::isReady, registry);
         requestDispatcher.execute(() -> {
-            databases.start();
-            held.start();
-            transactions.start();
+            clusterMonitor.start();
+            heldDatabases.start();
+            transactionManager.start();
             observe();
             updateGauges();
         });
-        controlLink.start();
+        leaseRenewer.start();
         LOG.log(Level.INFO, "proxy " + settings.proxyId() + " is listening for HTTP on port " + http.port());
     }
 
@@ -120,13 +122,13 @@
 
     /** Completes once a position report shows that a database has applied a position. */
     CompletableFuture<Void> awaitApplied(String group, String databaseId, LogPosition position) {
-        return CompletableFuture.supplyAsync(() -> databases.groupState(group), requestDispatcher)
+        return CompletableFuture.supplyAsync(() -> clusterMonitor.groupState(group), requestDispatcher)
                 .thenCompose(state -> state.awaitApplied(databaseId, position));
     }
 
     /** Requests the position of a group's primary, from which the staleness of the replicas is bounded. */
     CompletableFuture<LogPosition> requestPrimaryPosition(String group) {
-        return CompletableFuture.supplyAsync(() -> databases.requestPrimaryPosition(group), requestDispatcher)
+        return CompletableFuture.supplyAsync(() -> clusterMonitor.requestPrimaryPosition(group), requestDispatcher)
                 .thenCompose(future -> future);
     }
 
@@ -138,7 +140,7 @@
     void drain(Duration timeout) throws InterruptedException {
         LOG.log(Level.INFO, "proxy " + settings.proxyId() + " is draining");
         draining = true;
-        controlLink.renewNow();
+        leaseRenewer.renewNow();
         Thread.sleep(settings.drainGraceMs());
         statements.close();
         Instant drainDeadline = requestDispatcher.clock().instant().plus(timeout);
@@ -150,7 +152,7 @@
 
     @Override
     public void close() {
-        controlLink.close();
+        leaseRenewer.close();
         if (http != null) {
             http.close();
         }
@@ -199,24 +201,25 @@
     /** Called on the "control" thread: applies a new view on the "requests" thread, then confirms it to control. */
     private void onView(ViewSnapshot view) {
         requestDispatcher.execute(() -> {
-            databases.updateView(view);
-            writes.applyView(view);
+            clusterMonitor.updateView(view);
+            writePath.updateView(view);
             inFlight.updateView(view);
-            held.updateView(view);
-            heldEntries = held.toProto();
+            heldDatabases.updateView(view);
+            heldEntries = heldDatabases.toProto();
             appliedView = view;
-            controlLink.renewNow();
+            leaseRenewer.renewNow();
         });
     }
 
     private void observe() {
-        observations = databases.observations(appliedView);
-        openTransactions = transactions.openTransactionCount();
+        observations = clusterMonitor.observations(appliedView);
+        openTransactions = transactionManager.openTransactionCount();
         requestDispatcher.schedule(OBSERVATION_INTERVAL, this::observe);
     }
 
     private void updateGauges() {
-        held.all()
+        heldDatabases
+                .all()
                 .forEach((id, database) -> metrics.setDatabaseUsage(
                         id,
                         database.queue().outstandingStatements(),
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
@@ -35,8 +35,8 @@
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
-    private final ClusterMonitor databases;
-    private final HeldDatabases held;
+    private final ClusterMonitor clusterMonitor;
+    private final HeldDatabases heldDatabases;
     private final DatabaseExecutor executor;
     private final InFlightAttempts inFlight;
     private final ProxyMetrics metrics;
@@ -55,8 +55,8 @@
             ProxySettings settings) {
         this.dispatcher = dispatcher;
         this.publisher = publisher;
-        this.databases = databases;
-        this.held = held;
+        this.clusterMonitor = databases;
+        this.heldDatabases = held;
         this.executor = executor;
         this.inFlight = inFlight;
         this.metrics = metrics;
@@ -91,7 +91,7 @@
             if (minPosition.isPresent()) {
                 return route(minPosition.get(), true);
             }
-            return databases.requestPrimaryPosition(request.group()).thenCompose(position -> {
+            return clusterMonitor.requestPrimaryPosition(request.group()).thenCompose(position -> {
                 minPosition = Optional.of(position);
                 return route(position, true);
             });
@@ -119,7 +119,7 @@
         }
 
         private CompletableFuture<Void> awaitReplica(ReadDecision.WaitForReplica wait, LogPosition position) {
-            GroupReplicationState state = databases.groupState(request.group());
+            GroupReplicationState state = clusterMonitor.groupState(request.group());
             CompletableFuture<Void> applied = state.awaitApplied(wait.databaseId(), position);
             CompletableFuture<Void> result = new CompletableFuture<>();
             Dispatcher.Timer timer = dispatcher.schedule(wait.maxWait(), () -> {
@@ -177,7 +177,7 @@
             Instant now = dispatcher.clock().instant();
             Optional<Duration> staleness = isPrimary
                     ? Optional.of(Duration.between(sentToPrimaryAt.get(), now))
-                    : databases.groupState(group.getGroup()).staleness().upperBound(state, now);
+                    : clusterMonitor.groupState(group.getGroup()).staleness().upperBound(state, now);
             if (!isPrimary && (staleness.isEmpty() || staleness.get().compareTo(request.stalenessAllowance()) > 0)) {
                 failedDatabases.add(databaseId);
                 throw new FailureException(
@@ -202,7 +202,7 @@
          * treated as a replica, whose staleness must be bounded.
          */
         private List<ReadCandidate> candidates(GroupView group) {
-            GroupReplicationState state = databases.groupState(group.getGroup());
+            GroupReplicationState state = clusterMonitor.groupState(group.getGroup());
             Instant now = dispatcher.clock().instant();
             boolean leaseValid = publisher.current().isLeaseValidAt(now);
             List<ReadCandidate> candidates = new ArrayList<>();
@@ -216,7 +216,7 @@
                         applied,
                         state.staleness().upperBound(applied, now),
                         state.lag(database.getDatabaseId()).typicalLag(now),
-                        held.pendingStatements(database.getDatabaseId())));
+                        heldDatabases.pendingStatements(database.getDatabaseId())));
             }
             return candidates;
         }
@@ -225,11 +225,11 @@
             return !database.getDeparting()
                     && !failedDatabases.contains(database.getDatabaseId())
                     && !database.getHolderProxyId().isEmpty()
-                    && databases
+                    && clusterMonitor
                             .monitor(database.getDatabaseId())
                             .filter(DatabaseMonitor::isConnected)
                             .isPresent()
-                    && held.mayRead(database);
+                    && heldDatabases.mayRead(database);
         }
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
@@ -28,10 +28,10 @@
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
-    private final WritePath writes;
-    private final ReadPath reads;
-    private final TransactionRouter transactions;
-    private final RetryLoop retries;
+    private final WritePath writePath;
+    private final ReadPath readPath;
+    private final TransactionRouter transactionRouter;
+    private final RetryLoop retryLoop;
     private final ProxyMetrics metrics;
     private final ProxySettings settings;
     private final AtomicInteger inProgress = new AtomicInteger();
@@ -48,10 +48,10 @@
             ProxySettings settings) {
         this.dispatcher = dispatcher;
         this.publisher = publisher;
-        this.writes = writes;
-        this.reads = reads;
-        this.transactions = transactions;
-        this.retries = retries;
+        this.writePath = writes;
+        this.readPath = reads;
+        this.transactionRouter = transactions;
+        this.retryLoop = retries;
         this.metrics = metrics;
         this.settings = settings;
     }
@@ -101,7 +101,7 @@
     /** Begins a transaction. Safe for any thread. */
     CompletableFuture<BeginResponse> begin(BeginRequest request) {
         Instant arrivedAt = dispatcher.clock().instant();
-        return admit(() -> transactions.begin(request, arrivedAt), true).handle((answer, error) -> {
+        return admit(() -> transactionRouter.begin(request, arrivedAt), true).handle((answer, error) -> {
             if (error == null) {
                 return answer;
             }
@@ -112,11 +112,11 @@
     }
 
     private CompletableFuture<ExecuteResponse> commit(EndRequest request) {
-        return end(request, transactions::commit);
+        return end(request, transactionRouter::commit);
     }
 
     private CompletableFuture<ExecuteResponse> rollback(EndRequest request) {
-        return end(request, transactions::rollback);
+        return end(request, transactionRouter::rollback);
     }
 
     private CompletableFuture<ExecuteResponse> end(
@@ -130,14 +130,14 @@
 
     private CompletableFuture<ExecuteResponse> run(ExecuteRequest request, Instant arrivedAt) {
         if (!request.getTransactionId().isEmpty()) {
-            return transactions.execute(request);
+            return transactionRouter.execute(request);
         }
         StatementRequest validated =
                 StatementRequest.of(request, publisher.current().view(), arrivedAt);
         if (validated.kind() == StatementKind.READ) {
-            return retries.run(validated, reads.read(validated)::attempt);
+            return retryLoop.run(validated, readPath.read(validated)::attempt);
         }
-        return retries.run(validated, () -> writes.attempt(validated));
+        return retryLoop.run(validated, () -> writePath.attempt(validated));
     }
 
     /**
--- a/proxy/src/main/java/org/hornbeamspread/proxy/TransactionManager.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TransactionManager.java
@@ -43,8 +43,8 @@
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
-    private final HeldDatabases held;
-    private final WritePath writes;
+    private final HeldDatabases heldDatabases;
+    private final WritePath writePath;
     private final String proxyId;
     private final long incarnation;
     private final Duration idleTimeout;
@@ -59,8 +59,8 @@
             long incarnation) {
         this.dispatcher = dispatcher;
         this.publisher = publisher;
-        this.held = held;
-        this.writes = writes;
+        this.heldDatabases = held;
+        this.writePath = writes;
         this.proxyId = settings.proxyId();
         this.incarnation = incarnation;
         this.idleTimeout = Duration.ofMillis(settings.idleTransactionMs());
@@ -78,7 +78,7 @@
     /** The primary that a transaction would run on. Fails with the same types as a write before it is sent. */
     DatabaseEntry primary(BeginRequest request) {
         LeasedView leased = publisher.current();
-        return writes.primary(leased.view(), writableGroup(leased, request));
+        return writePath.primary(leased.view(), writableGroup(leased, request));
     }
 
     /**
@@ -90,8 +90,9 @@
         ServiceDefinition service = StatementRequest.service(leased.view(), request.getService());
         StatementRequest.checkRank(leased.view(), request.getRank());
         GroupView group = writableGroup(leased, request);
-        DatabaseEntry primary = writes.primary(leased.view(), group);
-        HeldDatabase database = held.findUsable(primary.getDatabaseId(), primary.getHolderEpoch(), false)
+        DatabaseEntry primary = writePath.primary(leased.view(), group);
+        HeldDatabase database = heldDatabases
+                .findUsable(primary.getDatabaseId(), primary.getHolderEpoch(), false)
                 .orElseThrow(() -> new FailureException(FailureType.WRONG_HOLDER, primary.getDatabaseId()));
         if (openTransactionsOn(database) >= Math.max(1, primary.getConnectionLimit() - primary.getSlots())) {
             throw new FailureException(FailureType.CONNECTION_LIMIT, "too many open transactions");
@@ -131,7 +132,7 @@
     CompletableFuture<ExecuteResponse> commit(TransactionId id, EndRequest request) {
         OpenTransaction transaction = findIdle(id, FailureType.TRANSACTION_LOST);
         if (!transaction.readOnly()) {
-            writes.writableGroup(publisher.current(), transaction.group().getGroup());
+            writePath.writableGroup(publisher.current(), transaction.group().getGroup());
         }
         RequestContext order = transaction.beginRequest(dispatcher.clock().instant(), 0);
         Envelope commit = Envelope.newBuilder()
@@ -159,7 +160,7 @@
     private GroupView writableGroup(LeasedView leased, BeginRequest request) {
         ServiceDefinition service = StatementRequest.service(leased.view(), request.getService());
         String name = GroupRouting.groupOf(service.getGroupsList(), request.getRoutingKey());
-        return writes.writableGroup(leased, name);
+        return writePath.writableGroup(leased, name);
     }
 
     private CompletableFuture<TransactionId> beginOn(
@@ -272,7 +273,8 @@
                 .setPosition(ended.getPosition())
                 .setTerm(ended.getTerm())
                 .build();
-        return writes.acknowledge(transaction.group(), executed, order)
+        return writePath
+                .acknowledge(transaction.group(), executed, order)
                 .thenApply(acknowledged -> response.setSessionToken(
                                 token.withWrite(group, acknowledged).encode())
                         .build());
--- a/proxy/src/main/java/org/hornbeamspread/proxy/TransactionRouter.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TransactionRouter.java
@@ -30,7 +30,7 @@
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
-    private final TransactionManager transactions;
+    private final TransactionManager transactionManager;
     private final ProxySettings settings;
     private final long incarnation;
     private final RpcClient client = new RpcClient();
@@ -43,17 +43,17 @@
             long incarnation) {
         this.dispatcher = dispatcher;
         this.publisher = publisher;
-        this.transactions = transactions;
+        this.transactionManager = transactions;
         this.settings = settings;
         this.incarnation = incarnation;
     }
 
     /** Begins a transaction on this proxy or on the holder of the primary. */
     CompletableFuture<BeginResponse> begin(BeginRequest request, Instant arrivedAt) {
-        DatabaseEntry primary = transactions.primary(request);
+        DatabaseEntry primary = transactionManager.primary(request);
         String holder = primary.getHolderProxyId();
         if (holder.equals(settings.proxyId())) {
-            return transactions
+            return transactionManager
                     .begin(request, arrivedAt)
                     .thenApply(id -> BeginResponse.newBuilder()
                             .setTransactionId(id.encode())
@@ -85,7 +85,7 @@
                 FailureType.UNKNOWN_TRANSACTION,
                 "Execute",
                 request,
-                id -> transactions.execute(id, request));
+                id -> transactionManager.execute(id, request));
     }
 
     /** Commits a transaction. */
@@ -95,7 +95,7 @@
                 FailureType.TRANSACTION_LOST,
                 "Commit",
                 request,
-                id -> transactions.commit(id, request));
+                id -> transactionManager.commit(id, request));
     }
 
     /** Rolls a transaction back. */
@@ -105,7 +105,7 @@
                 FailureType.UNKNOWN_TRANSACTION,
                 "Rollback",
                 request,
-                id -> transactions.rollback(id, request));
+                id -> transactionManager.rollback(id, request));
     }
 
     private <Q extends Message> CompletableFuture<ExecuteResponse> runAtOwner(
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ViewPublisher.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ViewPublisher.java
@@ -22,7 +22,7 @@
     }
 
     /** Whether the lease on the view is valid now. */
-    boolean isFresh() {
+    boolean isLeaseValid() {
         return current.isLeaseValidAt(clock.instant());
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
@@ -35,7 +35,7 @@
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
-    private final ClusterMonitor databases;
+    private final ClusterMonitor clusterMonitor;
     private final DatabaseExecutor executor;
     private final InFlightAttempts inFlight;
 
@@ -50,13 +50,13 @@
             InFlightAttempts inFlight) {
         this.dispatcher = dispatcher;
         this.publisher = publisher;
-        this.databases = databases;
+        this.clusterMonitor = databases;
         this.executor = executor;
         this.inFlight = inFlight;
     }
 
     /** Updates the departure times from a new view. */
-    void applyView(ViewSnapshot view) {
+    void updateView(ViewSnapshot view) {
         for (DatabaseEntry database : view.databases()) {
             if (database.getDeparting()) {
                 departingSince.putIfAbsent(
@@ -121,7 +121,7 @@
                     FailureType.TERM_CHANGED_AFTER_SEND, "executed at term " + executed.getTerm()));
             return result;
         }
-        GroupReplicationState state = databases.groupState(group.getGroup());
+        GroupReplicationState state = clusterMonitor.groupState(group.getGroup());
         CompletableFuture<Void> quorumReached =
                 state.quorum().awaitQuorum(group.getTerm(), position, group.getPrimaryId());
         Dispatcher.Timer timer = dispatcher.schedule(remaining(context), () -> {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/AutocommitStatement.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/AutocommitStatement.java
@@ -50,7 +50,7 @@
 
     @Override
     public void start() {
-        context.placement().route(connectionRequest);
+        context.router().route(connectionRequest);
     }
 
     @Override
@@ -141,7 +141,7 @@
             granted.discard();
             return false;
         }
-        if (isWrite() && !granted.link().isReachable()) {
+        if (isWrite() && !granted.pool().isReachable()) {
             granted.discard();
             lease = Optional.empty();
             onConnectionLost(
@@ -152,16 +152,13 @@
         sentMs = context.nowMs();
         sentEpoch = context.clockEpoch();
         if (isWrite()) {
-            context.placement()
-                    .serviceState(route.service())
-                    .pendingWriteSentAtMs
-                    .put(connectionRequest.id, sentMs);
+            context.router().serviceState(route.service()).pendingWriteSentAtMs.put(connectionRequest.id, sentMs);
         }
         return true;
     }
 
     private void onResult(ConnectionLease granted, SqlResult result, Throwable error) {
-        context.placement().serviceState(route.service()).pendingWriteSentAtMs.remove(connectionRequest.id);
+        context.router().serviceState(route.service()).pendingWriteSentAtMs.remove(connectionRequest.id);
         lease = Optional.empty();
         String instanceId = granted.instance().instanceId();
         if (error != null) {
@@ -175,7 +172,7 @@
         } else {
             granted.discard();
         }
-        granted.link().recordServiceTime(context.nowMs() - sentMs);
+        granted.pool().recordServiceTime(context.nowMs() - sentMs);
         if (result.isSuccess()) {
             onSuccess(granted, result);
         } else {
@@ -193,21 +190,21 @@
 
     private void onProof(ConnectionLease granted, SqlResult result) {
         LogPosition position = result.position().orElse(LogPosition.NONE);
-        context.placement().onPrimaryProof(granted.instance(), sentMs, sentEpoch, position);
+        context.router().onPrimaryProof(granted.instance(), sentMs, sentEpoch, position);
     }
 
     private void onError(ConnectionLease granted, SqlResult result) {
         SqlError error = result.error().orElseThrow();
         String instanceId = granted.instance().instanceId();
         if (error == SqlError.READ_ONLY) {
-            context.placement().onNotPrimary(instanceId);
+            context.router().onNotPrimary(instanceId);
         } else if (error == SqlError.REPLICA_LAGGING) {
-            granted.link().onLagging(Math.max(1, route.maxStalenessMs() / 4));
+            granted.pool().onLagging(Math.max(1, route.maxStalenessMs() / 4));
         }
         connectionRequest.triedInstanceIds.add(instanceId);
         boolean retryable = error.isNotRun() || !isWrite();
         if (retryable && error != SqlError.MALFORMED && !timedOut && !completed) {
-            context.placement().retry(connectionRequest, RetryReason.of(error));
+            context.router().retry(connectionRequest, RetryReason.of(error));
         } else {
             complete(result.withState(TransactionState.IDLE), instanceId, result.detail());
         }
@@ -216,7 +213,7 @@
     private void onConnectionLost(String instanceId, FailureException failure) {
         connectionRequest.triedInstanceIds.add(instanceId);
         if ((!isWrite() || !sent) && !timedOut && !completed) {
-            context.placement().retry(connectionRequest, RetryReason.CONNECTION_LOST);
+            context.router().retry(connectionRequest, RetryReason.CONNECTION_LOST);
             return;
         }
         SqlError connectionError = isWrite() ? SqlError.IN_DOUBT : SqlError.TIMEOUT;
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionLease.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionLease.java
@@ -4,24 +4,24 @@
 
 /** Exclusive use of a pooled connection by one statement or one transaction. */
 final class ConnectionLease {
-    private final InstanceConnectionPool link;
+    private final InstanceConnectionPool pool;
     private final long slotRequestId;
     private final PooledConnection connection;
     private boolean released;
     private boolean retryable;
 
     ConnectionLease(InstanceConnectionPool link, long slotRequestId, PooledConnection connection) {
-        this.link = link;
+        this.pool = link;
         this.slotRequestId = slotRequestId;
         this.connection = connection;
     }
 
-    InstanceConnectionPool link() {
-        return link;
+    InstanceConnectionPool pool() {
+        return pool;
     }
 
     DatabaseInstance instance() {
-        return link.instance();
+        return pool.instance();
     }
 
     PooledConnection connection() {
@@ -50,7 +50,7 @@
     private void returnConnection(boolean reusable) {
         if (!released) {
             released = true;
-            link.release(slotRequestId, connection, reusable);
+            pool.release(slotRequestId, connection, reusable);
         }
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnectionPool.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnectionPool.java
@@ -35,16 +35,16 @@
     private final InstanceConnections connections;
 
     /** Queued units by ticket. A unit gets a new ticket each time it joins the queue of this pool. */
-    private final Map<Long, ConnectionRequest> waitingUnits = new LinkedHashMap<>();
+    private final Map<Long, ConnectionRequest> waitingRequests = new LinkedHashMap<>();
 
     /** Units for which a connection is being opened, by ticket. */
-    private final Map<Long, ConnectionRequest> connectingUnits = new LinkedHashMap<>();
+    private final Map<Long, ConnectionRequest> connectingRequests = new LinkedHashMap<>();
 
-    private final Map<Long, SlotRequest> runningRequests = new HashMap<>();
+    private final Map<Long, SlotRequest> runningSlotRequests = new HashMap<>();
     private final Map<Long, ConnectionLease> leases = new HashMap<>();
     private final StatementLimiter limiter;
     private final RankScheduler scheduler;
-    private long nextTicket;
+    private long nextSlotRequestId;
     private double serviceMs = INITIAL_SERVICE_TIME_MS;
     private long laggingUntilMs;
 
@@ -82,7 +82,7 @@
 
     /** Number of statements that wait or are in flight, plus the queued units that have no connection yet. */
     int outstanding() {
-        return waitingUnits.size() + limiter.outstanding();
+        return waitingRequests.size() + limiter.outstanding();
     }
 
     double serviceMs() {
@@ -104,7 +104,7 @@
 
     /** Whether {@link #check} must be called again. */
     boolean needsCheck() {
-        return !waitingUnits.isEmpty() || !runningRequests.isEmpty() || connections.needsCheck();
+        return !waitingRequests.isEmpty() || !runningSlotRequests.isEmpty() || connections.needsCheck();
     }
 
     /**
@@ -121,7 +121,7 @@
             onSilenceTimeout();
         }
         removeExpired();
-        connections.check(!waitingUnits.isEmpty());
+        connections.check(!waitingRequests.isEmpty());
     }
 
     /** Remaining time during which the instance is expected to lag behind the positions that reads require. */
@@ -186,7 +186,7 @@
     }
 
     private void freeSlot(long ticket, boolean completed) {
-        SlotRequest request = runningRequests.remove(ticket);
+        SlotRequest request = runningSlotRequests.remove(ticket);
         if (request == null) {
             return;
         }
@@ -198,7 +198,7 @@
     }
 
     private void enqueue(ConnectionRequest unit) {
-        long ticket = nextTicket++;
+        long ticket = nextSlotRequestId++;
         SlotRequest request = new SlotRequest(
                 ticket,
                 unit.rank(),
@@ -210,9 +210,9 @@
             refuseOrReroute(unit, full ? RefusalReason.QUEUE_FULL : RefusalReason.WAIT_TOO_LONG);
             return;
         }
-        waitingUnits.put(ticket, unit);
+        waitingRequests.put(ticket, unit);
         unit.cancelHandler = cancelled -> {
-            waitingUnits.remove(ticket);
+            waitingRequests.remove(ticket);
             scheduler.cancel(request);
         };
     }
@@ -230,7 +230,7 @@
 
     private void removeExpired() {
         for (SlotRequest expired : scheduler.removeExpired(clock.instant())) {
-            ConnectionRequest unit = waitingUnits.remove(expired.requestId());
+            ConnectionRequest unit = waitingRequests.remove(expired.requestId());
             if (unit != null) {
                 unit.cancelHandler = null;
                 refuseOrReroute(unit, RefusalReason.WAIT_TOO_LONG);
@@ -244,24 +244,24 @@
             if (next.isEmpty()) {
                 return;
             }
-            ConnectionRequest unit = waitingUnits.remove(next.get().requestId());
+            ConnectionRequest unit = waitingRequests.remove(next.get().requestId());
             if (unit == null || unit.ended) {
                 scheduler.complete(next.get(), clock.instant());
                 continue;
             }
             unit.cancelHandler = null;
-            runningRequests.put(next.get().requestId(), next.get());
-            startUnit(next.get().requestId(), unit);
+            runningSlotRequests.put(next.get().requestId(), next.get());
+            startRequest(next.get().requestId(), unit);
         }
     }
 
-    private void startUnit(long ticket, ConnectionRequest unit) {
+    private void startRequest(long ticket, ConnectionRequest unit) {
         PooledConnection connection = connections.takeIdle(unit.values);
         if (connection != null) {
             grant(ticket, unit, connection);
             return;
         }
-        connectingUnits.put(ticket, unit);
+        connectingRequests.put(ticket, unit);
         connections.open((opened, error) -> onConnected(ticket, opened, error));
     }
 
@@ -276,7 +276,7 @@
     }
 
     private void onConnected(long ticket, PooledConnection opened, Throwable error) {
-        ConnectionRequest unit = connectingUnits.remove(ticket);
+        ConnectionRequest unit = connectingRequests.remove(ticket);
         if (error == null && unit != null) {
             scheduler.resize(connections.usableConnections());
             grant(ticket, unit, opened);
@@ -302,9 +302,9 @@
 
     /** Reroutes all units that are queued or for which a connection is being opened. */
     private void rerouteWaiting() {
-        List<ConnectionRequest> rerouted = new ArrayList<>(connectingUnits.values());
-        connectingUnits.clear();
-        List<ConnectionRequest> queued = List.copyOf(waitingUnits.values());
+        List<ConnectionRequest> rerouted = new ArrayList<>(connectingRequests.values());
+        connectingRequests.clear();
+        List<ConnectionRequest> queued = List.copyOf(waitingRequests.values());
         queued.forEach(unit -> {
             unit.cancelHandler.accept(unit);
             unit.cancelHandler = null;
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ServiceState.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ServiceState.java
@@ -17,7 +17,7 @@
     boolean probing;
 
     /** Whether reads wait for a position that this proxy cannot request itself. */
-    boolean positionsWanted;
+    boolean needsSharedPosition;
 
     private long unreachableSinceMs;
 
@@ -52,7 +52,7 @@
     void addSample(long requestedAtMs, long requestEpoch, LogPosition position) {
         if (requestEpoch == clockEpoch) {
             positionSamples.add(new Sample(requestedAtMs, position));
-            positionsWanted = false;
+            needsSharedPosition = false;
         }
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
@@ -16,7 +16,7 @@
 
     private static final long MIN_CONNECTION_WAIT_MS = 50;
 
-    private final StatementRouter placement;
+    private final StatementRouter router;
     private final Clock clock;
     private final ClockJumpDetector clockJumpDetector;
     private final ScheduledExecutorService executor;
@@ -33,7 +33,7 @@
             EventLog events,
             SessionMetrics metrics,
             java.util.function.Consumer<ClientSession> sessionRemover) {
-        this.placement = placement;
+        this.router = placement;
         this.clock = clock;
         this.clockJumpDetector = clockJumpDetector;
         this.executor = executor;
@@ -42,12 +42,12 @@
         this.sessionRemover = sessionRemover;
     }
 
-    StatementRouter placement() {
-        return placement;
+    StatementRouter router() {
+        return router;
     }
 
     SystemView view() {
-        return placement.view();
+        return router.view();
     }
 
     EventLog events() {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
@@ -58,7 +58,7 @@
     private final ClockJumpDetector clockJumpDetector;
     private final ScheduledExecutorService executor;
     private final EventLog events;
-    private final StatementRouter placement;
+    private final StatementRouter router;
     private final SessionContext context;
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
     private boolean draining;
@@ -95,16 +95,16 @@
         this.executor = executor;
         this.events = events;
         SessionMetrics metrics = new SessionMetrics(registry);
-        this.placement = new StatementRouter(
+        this.router = new StatementRouter(
                 failureDomain, regionByDomain, connector, clock, clockJumpDetector, executor, events, metrics);
         this.context =
-                new SessionContext(placement, clock, clockJumpDetector, executor, events, metrics, sessions::remove);
+                new SessionContext(router, clock, clockJumpDetector, executor, events, metrics, sessions::remove);
         GaugeWithCallback.builder()
                 .name("hornbeamspread_sessions")
                 .help("Open sessions")
                 .callback(gauge -> gauge.call(sessions.size()))
                 .register(registry);
-        placement.setPrimaryProbe(this::probePrimaryPosition);
+        router.setPrimaryProbe(this::probePrimaryPosition);
         executor.schedule(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -124,12 +124,12 @@
 
     /** Whether this proxy can serve sessions. */
     public boolean isReady() {
-        return placement.view().isLoaded() && !draining && !isIsolated();
+        return router.view().isLoaded() && !draining && !isIsolated();
     }
 
     /** Updates whether control is reachable. */
-    public void onControlReachability(boolean reachable) {
-        placement.onControlReachable(reachable);
+    public void setControlReachable(boolean reachable) {
+        router.setControlReachable(reachable);
         if (reachable) {
             controlLostSinceMs = 0;
         } else if (controlLostSinceMs == 0) {
@@ -144,17 +144,17 @@
      */
     private boolean isIsolated() {
         boolean controlLost = controlLostSinceMs > 0 && clock.millis() - controlLostSinceMs > ISOLATION_THRESHOLD_MS;
-        return controlLost && placement.lacksPrimary(ISOLATION_THRESHOLD_MS);
+        return controlLost && router.lacksPrimary(ISOLATION_THRESHOLD_MS);
     }
 
     /** Applies a newer view of the system. */
     public void onView(SystemView view) {
-        placement.onView(view);
+        router.onView(view);
     }
 
     /** The current view of the system. */
     public SystemView view() {
-        return placement.view();
+        return router.view();
     }
 
     /** The health of each service's primary as observed by this proxy. */
@@ -162,8 +162,8 @@
         long nowMs = clock.millis();
         List<PrimaryHealth> primaries = new ArrayList<>();
         for (String service : services()) {
-            ServiceState state = placement.serviceState(service);
-            Optional<String> primaryId = placement.view().primary(service).map(DatabaseInstance::instanceId);
+            ServiceState state = router.serviceState(service);
+            Optional<String> primaryId = router.view().primary(service).map(DatabaseInstance::instanceId);
             if (primaryId.isPresent()) {
                 long provenMs = state.provenPrimaryId().equals(primaryId.get())
                         ? state.lastProofAtMs()
@@ -195,7 +195,7 @@
 
     /** Whether reads wait for positions that this proxy cannot request from the primary itself. */
     public boolean needsSharedPositions() {
-        return placement.wantsPositions();
+        return router.needsSharedPositions();
     }
 
     /** The epoch of the monotonic clock; ages are valid only within one epoch. */
@@ -210,7 +210,7 @@
      * @param requestEpoch the clock's epoch at that time
      */
     public void onSharedPosition(String service, long requestedAtMs, long requestEpoch, LogPosition position) {
-        placement.onSharedPosition(service, requestedAtMs, requestEpoch, position);
+        router.onSharedPosition(service, requestedAtMs, requestEpoch, position);
     }
 
     /**
@@ -255,12 +255,12 @@
     private void open(String database, ClientConnection client, OpenListener listener, long deadlineMs) {
         if (draining && clock.millis() > acceptUntilMs) {
             refuse(database, client, SqlError.BUSY, RefusalReason.SHUTTING_DOWN);
-        } else if (placement.view().route(database).isPresent()) {
+        } else if (router.view().route(database).isPresent()) {
             ClientSession session = new ClientSession(context, database, client);
             sessions.add(session);
             listener.onOpen(session);
             client.accept();
-        } else if (placement.view().isLoaded()) {
+        } else if (router.view().isLoaded()) {
             refuse(database, client, SqlError.UNKNOWN_DATABASE, RefusalReason.NO_ROUTE);
         } else if (clock.millis() < deadlineMs) {
             executor.schedule(() -> open(database, client, listener, deadlineMs), OPEN_RETRY_MS, TimeUnit.MILLISECONDS);
@@ -271,7 +271,7 @@
 
     private void refuse(String database, ClientConnection client, SqlError error, RefusalReason reason) {
         context.onRefused(reason);
-        long version = placement.view().configuration().version();
+        long version = router.view().configuration().version();
         events.record("session_refused", "database", database, "reason", reason, "configuration", version);
         client.refuse(error, reason.name());
     }
@@ -292,7 +292,7 @@
     /** Checks for isolation, and aborts transactions that have been idle for too long. */
     private void sweep() {
         checkIsolation();
-        long limitMs = placement.view().configuration().idleTransactionMs();
+        long limitMs = router.view().configuration().idleTransactionMs();
         if (limitMs > 0) {
             for (ClientSession session : List.copyOf(sessions)) {
                 if (session.idleInTransactionMs() > limitMs) {
@@ -304,7 +304,7 @@
     }
 
     private List<String> services() {
-        return placement.view().instances().stream()
+        return router.view().instances().stream()
                 .map(DatabaseInstance::service)
                 .distinct()
                 .toList();
@@ -312,7 +312,7 @@
 
     /** Requests the position of a service's primary, unless such a probe is in flight. */
     private void probePrimaryPosition(String service) {
-        ServiceState state = placement.serviceState(service);
+        ServiceState state = router.serviceState(service);
         if (state.probing) {
             return;
         }
@@ -328,7 +328,7 @@
                 clock.millis(),
                 clock.millis() + OPEN_TIMEOUT_MS,
                 new PositionProbe(state));
-        placement.route(connectionRequest);
+        router.route(connectionRequest);
     }
 
     /** Begins and rolls back a read-write transaction on the primary, whose response to BEGIN contains its position. */
@@ -356,7 +356,7 @@
             executor.schedule(
                     () -> {
                         if (!results.get(1).isDone()) {
-                            lease.link().onSilenceTimeout();
+                            lease.pool().onSilenceTimeout();
                             state.onPrimaryUnreachable(clock.millis());
                             lease.discard();
                         }
@@ -372,14 +372,14 @@
                 SqlResult begun = results.get(0).join();
                 if (begun.isSuccess() && end.isSuccess()) {
                     lease.release();
-                    placement.onPrimaryProof(
+                    router.onPrimaryProof(
                             lease.instance(),
                             requestedAtMs,
                             requestEpoch,
                             begun.position().orElse(LogPosition.NONE));
                 } else {
                     lease.discard();
-                    placement.onNotPrimary(lease.instance().instanceId());
+                    router.onNotPrimary(lease.instance().instanceId());
                 }
             });
         }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionTransaction.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionTransaction.java
@@ -114,7 +114,7 @@
             } else if (lease.isPresent()) {
                 send(lease.get());
             } else {
-                context.placement().route(connectionRequest);
+                context.router().route(connectionRequest);
             }
         }
 
@@ -185,14 +185,14 @@
                 granted.release();
             }
             if (error == null && result.hasError(SqlError.READ_ONLY)) {
-                context.placement().onNotPrimary(granted.instance().instanceId());
+                context.router().onNotPrimary(granted.instance().instanceId());
             } else if (error == null && result.hasError(SqlError.REPLICA_LAGGING)) {
-                granted.link().onLagging(Math.max(1, route.maxStalenessMs() / 4));
+                granted.pool().onLagging(Math.max(1, route.maxStalenessMs() / 4));
             }
             if (timedOut) {
                 fail(SqlError.ABORTED, granted.instance().instanceId(), "no response to BEGIN in time");
             } else if (!completed && !ended) {
-                context.placement()
+                context.router()
                         .retry(
                                 connectionRequest,
                                 error == null
@@ -221,7 +221,7 @@
             sentMs = context.nowMs();
             sentEpoch = context.clockEpoch();
             if (statement.kind() != ForwardedStatement.Kind.READ) {
-                context.placement()
+                context.router()
                         .serviceState(route.service())
                         .pendingWriteSentAtMs
                         .put(connectionRequest.id, sentMs);
@@ -230,10 +230,7 @@
         }
 
         private void onResult(ConnectionLease heldLease, SqlResult result, Throwable error) {
-            context.placement()
-                    .serviceState(route.service())
-                    .pendingWriteSentAtMs
-                    .remove(connectionRequest.id);
+            context.router().serviceState(route.service()).pendingWriteSentAtMs.remove(connectionRequest.id);
             String instanceId = heldLease.instance().instanceId();
             boolean commit = statement.kind() == ForwardedStatement.Kind.COMMIT;
             if (error != null) {
@@ -248,7 +245,7 @@
                 fail(commit && sent ? SqlError.IN_DOUBT : SqlError.ABORTED, instanceId, reason);
                 return;
             }
-            heldLease.link().recordServiceTime(context.nowMs() - sentMs);
+            heldLease.pool().recordServiceTime(context.nowMs() - sentMs);
             if (completed && !commit) {
                 return;
             }
@@ -289,7 +286,7 @@
             heldLease.discard();
             SqlError error = result.error().orElseThrow();
             if (error == SqlError.READ_ONLY) {
-                context.placement().onNotPrimary(heldLease.instance().instanceId());
+                context.router().onNotPrimary(heldLease.instance().instanceId());
             }
             boolean knownNotCommitted = error.isNotRun() || !commit;
             fail(
@@ -312,7 +309,7 @@
 
         private void onProof(ConnectionLease heldLease, SqlResult result) {
             LogPosition position = result.position().orElse(LogPosition.NONE);
-            context.placement().onPrimaryProof(heldLease.instance(), sentMs, sentEpoch, position);
+            context.router().onPrimaryProof(heldLease.instance(), sentMs, sentEpoch, position);
         }
 
         private void fail(SqlError error, String instanceId, String reason) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRouter.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRouter.java
@@ -159,7 +159,7 @@
     }
 
     /** Records whether control is reachable, and the view therefore up to date. */
-    void onControlReachable(boolean reachable) {
+    void setControlReachable(boolean reachable) {
         controlReachable = reachable;
         if (reachable) {
             serviceStates.values().forEach(ServiceState::clearNotPrimary);
@@ -252,8 +252,8 @@
     }
 
     /** Whether reads wait for positions that this proxy cannot request itself. */
-    boolean wantsPositions() {
-        return serviceStates.values().stream().anyMatch(state -> state.positionsWanted);
+    boolean needsSharedPositions() {
+        return serviceStates.values().stream().anyMatch(state -> state.needsSharedPosition);
     }
 
     private boolean mayBePrimary(DatabaseInstance instance) {
@@ -274,7 +274,7 @@
                 || clock.millis() - latest.get().requestedAtMs() > SAMPLE_REFRESH_FRACTION * allowanceMs;
         if (refreshDue) {
             probe.requestPosition(service);
-            state.positionsWanted |= state.unreachableSinceMs() > 0;
+            state.needsSharedPosition |= state.unreachableSinceMs() > 0;
         }
         if (sample.isEmpty()) {
             unit.requiredPosition = Optional.empty();
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementSender.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementSender.java
@@ -32,7 +32,7 @@
             int priority,
             BooleanSupplier beforeSend,
             BiConsumer<SqlResult, Throwable> callback) {
-        StatementLimiter gate = lease.link().limiter();
+        StatementLimiter gate = lease.pool().limiter();
         gate.submit(priority, () -> {
             if (!beforeSend.getAsBoolean()) {
                 gate.release(false);
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemWatch.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemWatch.java
@@ -168,7 +168,7 @@
                     new FailureException(FailureType.NOT_LEADER, ""));
             return;
         }
-        engine.onControlReachability(true);
+        engine.setControlReachable(true);
         if (!controlReachable) {
             controlReachable = true;
             events.record("control_regained", "leader_term", update.getLeaderTerm());
@@ -238,7 +238,7 @@
         boolean redirected = failure.type() == FailureType.NOT_LEADER
                 && !failure.detail().isEmpty()
                 && failure.detail().contains(":");
-        engine.onControlReachability(false);
+        engine.setControlReachable(false);
         connection.ifPresent(PeerConnection::close);
         connection = Optional.empty();
         Optional<Endpoint> previous = leader;
--- a/proxy/src/test/java/org/hornbeamspread/proxy/PartitionTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/PartitionTest.java
@@ -24,27 +24,27 @@
     private static final LogPosition LOG_END = new LogPosition(1, 5);
 
     private final ManualClock clock = new ManualClock();
-    private final TestBed bed = new TestBed(clock);
+    private final ProxyHarness harness = new ProxyHarness(clock);
 
     @BeforeEach
     void isolateFromControlUntilLeaseExpires() {
-        TestBed.awaitReadableAt(bed.first, "b", LOG_END);
-        bed.control.setGrantsLeases(false);
+        ProxyHarness.awaitReadableAt(harness.first, "b", LOG_END);
+        harness.control.setGrantsLeases(false);
         clock.advance(LEASE);
-        bed.sameRegionReplica.advanceLogTo(1, 6);
-        bed.first.awaitApplied(TestViews.GROUP, "b", new LogPosition(1, 6)).join();
+        harness.sameRegionReplica.advanceLogTo(1, 6);
+        harness.first.awaitApplied(TestViews.GROUP, "b", new LogPosition(1, 6)).join();
     }
 
     @AfterEach
     void close() {
-        bed.close();
+        harness.close();
     }
 
     @Test
     void readsWithinTheStalenessAllowanceAreServedFromAReplica() {
         CompletableFuture<ExecuteResponse> read =
-                bed.execute("p1", TestBed.read().build());
-        bed.sameRegionReplica.nextCall().respondExecuted(1, 6, "old");
+                harness.execute("p1", ProxyHarness.read().build());
+        harness.sameRegionReplica.nextCall().respondExecuted(1, 6, "old");
         assertThat(read.join().getEffect()).isEqualTo(Effect.DONE);
         assertThat(read.join().getAgeBoundMs()).isEqualTo(LEASE.toMillis());
     }
@@ -52,33 +52,34 @@
     @ParameterizedTest
     @CsvSource({"a write, false, VIEW_EXPIRED", "a read by id without a token, true, VIEW_EXPIRED"})
     void requestsThatNeedAValidLeaseAreRejectedWithoutRunning(String name, boolean readOnly, String type) {
-        ExecuteRequest request = TestBed.write("key-1").toBuilder()
+        ExecuteRequest request = ProxyHarness.write("key-1").toBuilder()
                 .setReadOnly(readOnly)
                 .setSessionId("agent-7")
                 .setTimeoutMs(4)
                 .build();
-        ExecuteResponse answer = bed.execute("p1", request).join();
+        ExecuteResponse answer = harness.execute("p1", request).join();
         assertThat(answer.getFailure().getType()).isEqualTo(type);
         assertThat(answer.getEffect()).isEqualTo(Effect.NOT_RUN);
     }
 
     @Test
     void readBeyondTheStalenessAllowanceIsRejectedEvenAtTheFormerPrimary() {
-        bed.primary.advanceLogTo(1, 6);
-        bed.first.awaitApplied(TestViews.GROUP, "a", new LogPosition(1, 6)).join();
+        harness.primary.advanceLogTo(1, 6);
+        harness.first.awaitApplied(TestViews.GROUP, "a", new LogPosition(1, 6)).join();
         ExecuteRequest request =
-                TestBed.read().setStalenessAllowanceMs(999).setTimeoutMs(4).build();
-        ExecuteResponse answer = bed.execute("p1", request).join();
+                ProxyHarness.read().setStalenessAllowanceMs(999).setTimeoutMs(4).build();
+        ExecuteResponse answer = harness.execute("p1", request).join();
         assertThat(answer.getFailure().getType()).isEqualTo("NO_REPLICA_IN_TIME");
     }
 
     @Test
     void replacedHolderStartsNoWork() {
-        bed.sameRegionReplica.reportConnections(9);
-        bed.sameRegionReplica.advanceLogTo(1, 7);
-        bed.first.awaitApplied(TestViews.GROUP, "b", new LogPosition(1, 7)).join();
-        ExecuteResponse answer =
-                bed.execute("p1", TestBed.read().setTimeoutMs(4).build()).join();
+        harness.sameRegionReplica.reportConnections(9);
+        harness.sameRegionReplica.advanceLogTo(1, 7);
+        harness.first.awaitApplied(TestViews.GROUP, "b", new LogPosition(1, 7)).join();
+        ExecuteResponse answer = harness.execute(
+                        "p1", ProxyHarness.read().setTimeoutMs(4).build())
+                .join();
         assertThat(answer.getFailure().getType()).isEqualTo("NO_REPLICA_IN_TIME");
         assertThat(answer.getEffect()).isEqualTo(Effect.NOT_RUN);
     }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/TestBed.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ProxyHarness.java
@@ -19,7 +19,7 @@
  * Two complete proxies, p1 in failure domain bole and p2 in failure domain sabian, with a fake control and three fake
  * databases.
  */
-final class TestBed implements AutoCloseable {
+final class ProxyHarness implements AutoCloseable {
     static final int IDLE_TRANSACTION_MS = 60_000;
     private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
@@ -33,7 +33,7 @@
     private final RpcClient client = new RpcClient();
 
     /** Starts with all logs at position (term 1, index 5) and p1 as the holder of every database. */
-    TestBed(Clock clock) {
+    ProxyHarness(Clock clock) {
         first = proxy("p1", "bole", "addis", clock);
         second = proxy("p2", "sabian", "dire-dawa", clock);
         primary.advanceLogTo(1, 5);
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ProxyServerTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ProxyServerTest.java
@@ -17,20 +17,20 @@
  * holds them, and against reads that miss the session's own writes.
  */
 final class ProxyServerTest {
-    private final TestBed bed = new TestBed(new MonotonicClock());
+    private final ProxyHarness harness = new ProxyHarness(new MonotonicClock());
 
     @AfterEach
     void close() {
-        bed.close();
+        harness.close();
     }
 
     @ParameterizedTest
     @CsvSource({"at the holder, p1", "relayed to the holder, p2"})
     void aWriteIsAcknowledgedOnceAReplicaHoldsIt(String name, String proxyId) {
-        CompletableFuture<ExecuteResponse> write = bed.execute(proxyId, TestBed.write("key-1"));
-        bed.primary.nextCall().respondExecuted(1, 6, "done");
+        CompletableFuture<ExecuteResponse> write = harness.execute(proxyId, ProxyHarness.write("key-1"));
+        harness.primary.nextCall().respondExecuted(1, 6, "done");
         assertThat(write.isDone()).isFalse();
-        bed.sameRegionReplica.advanceLogTo(1, 6);
+        harness.sameRegionReplica.advanceLogTo(1, 6);
         ExecuteResponse answer = write.join();
         assertThat(answer.getEffect()).isEqualTo(Effect.DONE);
         assertThat(answer.getProxyId()).isEqualTo(proxyId);
@@ -39,64 +39,68 @@
 
     @Test
     void sessionReadsItsOwnWriteThroughAnotherProxyAtAReplica() {
-        CompletableFuture<ExecuteResponse> write = bed.execute("p1", TestBed.write("key-1"));
-        bed.primary.nextCall().respondExecuted(1, 6, "done");
-        bed.primary.advanceLogTo(1, 6);
-        bed.otherRegionReplica.advanceLogTo(1, 6);
-        TestBed.awaitReadableAt(bed.second, "c", new LogPosition(1, 6));
-        CompletableFuture<ExecuteResponse> read = bed.execute(
+        CompletableFuture<ExecuteResponse> write = harness.execute("p1", ProxyHarness.write("key-1"));
+        harness.primary.nextCall().respondExecuted(1, 6, "done");
+        harness.primary.advanceLogTo(1, 6);
+        harness.otherRegionReplica.advanceLogTo(1, 6);
+        ProxyHarness.awaitReadableAt(harness.second, "c", new LogPosition(1, 6));
+        CompletableFuture<ExecuteResponse> read = harness.execute(
                 "p2",
-                TestBed.read().setSessionToken(write.join().getSessionToken()).build());
-        bed.otherRegionReplica.nextCall().respondExecuted(1, 6, "seen");
+                ProxyHarness.read()
+                        .setSessionToken(write.join().getSessionToken())
+                        .build());
+        harness.otherRegionReplica.nextCall().respondExecuted(1, 6, "seen");
         assertThat(read.join().getFromReplica()).isTrue();
         assertThat(read.join().getDatabaseId()).isEqualTo("c");
     }
 
     @Test
     void readResultBehindTheSessionPositionIsDiscarded() {
-        TestBed.awaitReadableAt(bed.second, "c", new LogPosition(1, 5));
-        CompletableFuture<ExecuteResponse> write = bed.execute("p1", TestBed.write("key-1"));
-        bed.primary.nextCall().respondExecuted(1, 6, "done");
-        bed.primary.advanceLogTo(1, 6);
-        bed.otherRegionReplica.advanceLogTo(1, 6);
-        TestBed.awaitReadableAt(bed.second, "c", new LogPosition(1, 6));
-        CompletableFuture<ExecuteResponse> read = bed.execute(
+        ProxyHarness.awaitReadableAt(harness.second, "c", new LogPosition(1, 5));
+        CompletableFuture<ExecuteResponse> write = harness.execute("p1", ProxyHarness.write("key-1"));
+        harness.primary.nextCall().respondExecuted(1, 6, "done");
+        harness.primary.advanceLogTo(1, 6);
+        harness.otherRegionReplica.advanceLogTo(1, 6);
+        ProxyHarness.awaitReadableAt(harness.second, "c", new LogPosition(1, 6));
+        CompletableFuture<ExecuteResponse> read = harness.execute(
                 "p2",
-                TestBed.read().setSessionToken(write.join().getSessionToken()).build());
-        bed.otherRegionReplica.nextCall().respondExecuted(1, 5, "stale");
-        bed.primary.nextCall().respondExecuted(1, 6, "fresh");
+                ProxyHarness.read()
+                        .setSessionToken(write.join().getSessionToken())
+                        .build());
+        harness.otherRegionReplica.nextCall().respondExecuted(1, 5, "stale");
+        harness.primary.nextCall().respondExecuted(1, 6, "fresh");
         assertThat(read.join().getResults(0).getRows(0).getColumns(0)).isEqualTo("fresh");
     }
 
     @Test
     void departingReplicaReceivesNoReads() {
-        TestBed.awaitReadableAt(bed.first, "b", new LogPosition(1, 5));
-        bed.publish(1, "p1", 1, "b");
+        ProxyHarness.awaitReadableAt(harness.first, "b", new LogPosition(1, 5));
+        harness.publish(1, "p1", 1, "b");
         CompletableFuture<ExecuteResponse> read =
-                bed.execute("p1", TestBed.read().build());
-        bed.primary.nextCall().respondExecuted(1, 5, "at the primary");
+                harness.execute("p1", ProxyHarness.read().build());
+        harness.primary.nextCall().respondExecuted(1, 5, "at the primary");
         assertThat(read.join().getDatabaseId()).isEqualTo("a");
     }
 
     @Test
     void sessionWithoutTokenReadsAtThePrimarysCurrentPosition() {
-        bed.primary.advanceLogTo(1, 9);
-        CompletableFuture<ExecuteResponse> read =
-                bed.execute("p1", TestBed.read().setSessionId("agent-7").build());
-        bed.primary.nextCall().respondExecuted(1, 9, "fresh");
+        harness.primary.advanceLogTo(1, 9);
+        CompletableFuture<ExecuteResponse> read = harness.execute(
+                "p1", ProxyHarness.read().setSessionId("agent-7").build());
+        harness.primary.nextCall().respondExecuted(1, 9, "fresh");
         assertThat(read.join().getDatabaseId()).isEqualTo("a");
     }
 
     @Test
     void keyedWriteIsRetriedAtTheNewHolder() {
-        CompletableFuture<ExecuteResponse> write = bed.execute("p2", TestBed.write("key-1"));
-        FakeDatabase.Call firstCall = bed.primary.nextCall();
-        bed.publish(1, "p2", 2);
-        FakeDatabase.Call retry = bed.primary.nextCall();
+        CompletableFuture<ExecuteResponse> write = harness.execute("p2", ProxyHarness.write("key-1"));
+        FakeDatabase.Call firstCall = harness.primary.nextCall();
+        harness.publish(1, "p2", 2);
+        FakeDatabase.Call retry = harness.primary.nextCall();
         assertThat(retry.request().getExecuteStatements())
                 .isEqualTo(firstCall.request().getExecuteStatements());
         retry.respondExecuted(1, 6, "done");
-        bed.sameRegionReplica.advanceLogTo(1, 6);
+        harness.sameRegionReplica.advanceLogTo(1, 6);
         assertThat(write.join().getEffect()).isEqualTo(Effect.DONE);
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/TransactionTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/TransactionTest.java
@@ -23,11 +23,11 @@
  */
 final class TransactionTest {
     private final ManualClock clock = new ManualClock();
-    private final TestBed bed = new TestBed(clock);
+    private final ProxyHarness harness = new ProxyHarness(clock);
 
     @AfterEach
     void close() {
-        bed.close();
+        harness.close();
     }
 
     /** While a transaction is open, statements outside the transaction run on other connections. */
@@ -35,14 +35,14 @@
     @ValueSource(strings = {"p1", "p2"})
     void transactionHasAnExclusiveConnectionFromBeginToCommit(String proxyId) {
         CompletableFuture<BeginResponse> begin = begin(proxyId, 0);
-        FakeDatabase.Call begun = bed.primary.nextCall();
+        FakeDatabase.Call begun = harness.primary.nextCall();
         begun.respondBegun();
         String id = begin.join().getTransactionId();
 
-        CompletableFuture<ExecuteResponse> other = bed.execute(proxyId, TestBed.write("key-1"));
-        FakeDatabase.Call otherCall = bed.primary.nextCall();
+        CompletableFuture<ExecuteResponse> other = harness.execute(proxyId, ProxyHarness.write("key-1"));
+        FakeDatabase.Call otherCall = harness.primary.nextCall();
         CompletableFuture<ExecuteResponse> inside = execute(proxyId, id);
-        FakeDatabase.Call insideCall = bed.primary.nextCall();
+        FakeDatabase.Call insideCall = harness.primary.nextCall();
         assertThat(otherCall.connection()).isNotSameInstanceAs(begun.connection());
         assertThat(insideCall.connection()).isSameInstanceAs(begun.connection());
         insideCall.respondExecuted(1, 5, "inside");
@@ -50,11 +50,11 @@
         assertThat(inside.join().getResults(0).getRows(0).getColumns(0)).isEqualTo("inside");
 
         CompletableFuture<ExecuteResponse> commit = end(proxyId, "Commit", id);
-        FakeDatabase.Call committed = bed.primary.nextCall();
+        FakeDatabase.Call committed = harness.primary.nextCall();
         assertThat(committed.connection()).isSameInstanceAs(begun.connection());
         committed.respondEnded(1, 7);
         assertThat(commit.isDone()).isFalse();
-        bed.sameRegionReplica.advanceLogTo(1, 7);
+        harness.sameRegionReplica.advanceLogTo(1, 7);
         assertThat(commit.join().getEffect()).isEqualTo(Effect.DONE);
         assertThat(commit.join().getProxyId()).isEqualTo("p1");
         assertThat(other.join().getResults(0).getRows(0).getColumns(0)).isEqualTo("other");
@@ -63,11 +63,11 @@
     @Test
     void idleTransactionIsClosedWithItsConnection() {
         CompletableFuture<BeginResponse> begin = begin("p1", 0);
-        FakeDatabase.Call begun = bed.primary.nextCall();
+        FakeDatabase.Call begun = harness.primary.nextCall();
         begun.respondBegun();
         String id = begin.join().getTransactionId();
-        clock.advance(Duration.ofMillis(TestBed.IDLE_TRANSACTION_MS));
-        bed.primary.closeFuture(begun.connection()).join();
+        clock.advance(Duration.ofMillis(ProxyHarness.IDLE_TRANSACTION_MS));
+        harness.primary.closeFuture(begun.connection()).join();
         assertFailed(execute("p1", id), "UNKNOWN_TRANSACTION", Effect.NOT_RUN);
         assertFailed(end("p2", "Commit", id), "TRANSACTION_LOST", Effect.UNKNOWN);
     }
@@ -75,17 +75,17 @@
     /** The first statement times out; its late response must not reach the second statement. */
     @Test
     void lateResponseNeverReachesAnotherStatementAndItsConnectionIsNotReused() {
-        CompletableFuture<ExecuteResponse> slow = bed.execute(
-                "p1", TestBed.write("").toBuilder().setTimeoutMs(300).build());
-        FakeDatabase.Call late = bed.primary.nextCall();
+        CompletableFuture<ExecuteResponse> slow = harness.execute(
+                "p1", ProxyHarness.write("").toBuilder().setTimeoutMs(300).build());
+        FakeDatabase.Call late = harness.primary.nextCall();
         assertThat(slow.join().getFailure().getType()).isEqualTo("TIMEOUT_AFTER_SEND");
         assertThat(slow.join().getEffect()).isEqualTo(Effect.UNKNOWN);
-        CompletableFuture<ExecuteResponse> next = bed.execute("p1", TestBed.write("key-2"));
-        FakeDatabase.Call second = bed.primary.nextCall();
+        CompletableFuture<ExecuteResponse> next = harness.execute("p1", ProxyHarness.write("key-2"));
+        FakeDatabase.Call second = harness.primary.nextCall();
         assertThat(second.connection()).isNotSameInstanceAs(late.connection());
         late.respondExecuted(1, 6, "of the first");
         second.respondExecuted(1, 7, "of the second");
-        bed.sameRegionReplica.advanceLogTo(1, 7);
+        harness.sameRegionReplica.advanceLogTo(1, 7);
         assertThat(next.join().getResults(0).getRows(0).getColumns(0)).isEqualTo("of the second");
     }
 
@@ -94,12 +94,12 @@
     @CsvSource({"Execute, TRANSACTION_LOST", "Commit, TIMEOUT_AFTER_SEND"})
     void missingResponseEndsTheTransaction(String method, String type) {
         CompletableFuture<BeginResponse> begin = begin("p1", 3_000);
-        FakeDatabase.Call begun = bed.primary.nextCall();
+        FakeDatabase.Call begun = harness.primary.nextCall();
         begun.respondBegun();
         String id = begin.join().getTransactionId();
         CompletableFuture<ExecuteResponse> late = "Execute".equals(method) ? execute("p1", id) : end("p1", method, id);
-        bed.primary.nextCall();
-        bed.primary.closeFuture(begun.connection()).join();
+        harness.primary.nextCall();
+        harness.primary.closeFuture(begun.connection()).join();
         assertFailed(late, type, Effect.UNKNOWN);
         assertFailed(execute("p1", id), "UNKNOWN_TRANSACTION", Effect.NOT_RUN);
     }
@@ -130,16 +130,16 @@
                 .setRoutingKey("club-1")
                 .setTimeoutMs(timeoutMs)
                 .build();
-        return bed.call(proxyId, "Begin", request, BeginResponse.getDefaultInstance());
+        return harness.call(proxyId, "Begin", request, BeginResponse.getDefaultInstance());
     }
 
     private CompletableFuture<ExecuteResponse> execute(String proxyId, String id) {
-        return bed.execute(
-                proxyId, TestBed.write("").toBuilder().setTransactionId(id).build());
+        return harness.execute(
+                proxyId, ProxyHarness.write("").toBuilder().setTransactionId(id).build());
     }
 
     private CompletableFuture<ExecuteResponse> end(String proxyId, String method, String id) {
         EndRequest request = EndRequest.newBuilder().setTransactionId(id).build();
-        return bed.call(proxyId, method, request, ExecuteResponse.getDefaultInstance());
+        return harness.call(proxyId, method, request, ExecuteResponse.getDefaultInstance());
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ViewPublisherTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ViewPublisherTest.java
@@ -21,7 +21,7 @@
         clock.advance(Duration.ofSeconds(1));
         assertThat(publisher.apply(lease(1, 9, 4).build(), clock.instant())).isFalse();
         assertThat(term()).isEqualTo(3);
-        assertThat(publisher.isFresh()).isFalse();
+        assertThat(publisher.isLeaseValid()).isFalse();
     }
 
     @Test
--- a/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
@@ -38,12 +38,13 @@
     private final ManualDispatcher dispatcher = new ManualDispatcher();
     private final ViewPublisher publisher = new ViewPublisher(dispatcher.clock());
     private final PeerTransport transport = new PeerTransport(1);
-    private final ClusterMonitor databases =
+    private final ClusterMonitor clusterMonitor =
             new ClusterMonitor(dispatcher, transport, publisher, new ProxyMetrics(new PrometheusRegistry()), "addis");
     private final InFlightAttempts inFlight = new InFlightAttempts();
     private final List<ExecuteStatements> sentStatements = new ArrayList<>();
     private final List<CompletableFuture<StatementsExecuted>> databaseResponses = new ArrayList<>();
-    private final WritePath writes = new WritePath(dispatcher, publisher, databases, this::executeAtDatabase, inFlight);
+    private final WritePath writePath =
+            new WritePath(dispatcher, publisher, clusterMonitor, this::executeAtDatabase, inFlight);
     private long version;
     private boolean departing;
 
@@ -168,7 +169,8 @@
                 .addStatements(Statement.newBuilder().setName("row.add"))
                 .build();
         Instant now = dispatcher.clock().instant();
-        return writes.attempt(StatementRequest.of(request, publisher.current().view(), now));
+        return writePath.attempt(
+                StatementRequest.of(request, publisher.current().view(), now));
     }
 
     private CompletableFuture<StatementsExecuted> executeAtDatabase(
@@ -189,15 +191,15 @@
                 TestViews.lease(version, TestViews.group(term, writable, entries), List.of()),
                 dispatcher.clock().instant());
         ViewSnapshot view = publisher.current().view();
-        databases
+        clusterMonitor
                 .groupState(TestViews.GROUP)
                 .updateView(view.group(TestViews.GROUP).orElseThrow(), 3);
-        writes.applyView(view);
+        writePath.updateView(view);
     }
 
     private void report(String id, long index) {
         Position position = Position.newBuilder().setTerm(2).setIndex(index).build();
-        databases
+        clusterMonitor
                 .groupState(TestViews.GROUP)
                 .onReport(
                         PositionReport.newBuilder()
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
@@ -383,7 +383,7 @@
     @ValueSource(booleans = {true, false})
     void aProxyWithNeitherControlNorAPrimaryIsNotReadyAndClosesItsSessions(boolean reachable) {
         Client client = harness.open(EngineHarness.PRIMARY_ROUTE);
-        harness.engine.onControlReachability(false);
+        harness.engine.setControlReachable(false);
         harness.primary.reachable = reachable;
         harness.primary.primary = !reachable;
         client.send("w0", new Write("item", "5"));
@@ -401,7 +401,7 @@
     @Test
     void withoutControlAProxyFindsThePromotedInstanceByItself() {
         Client client = harness.open(EngineHarness.PRIMARY_ROUTE);
-        harness.engine.onControlReachability(false);
+        harness.engine.setControlReachable(false);
         harness.primary.primary = false;
         harness.farReplica.primary = true;
         client.send("w1", new Write("item", "5"));
@@ -433,7 +433,7 @@
 
     @Test
     void aProxyKeepsServingWhileOnlyControlIsUnreachable() {
-        harness.engine.onControlReachability(false);
+        harness.engine.setControlReachable(false);
         harness.run(60_000);
 
         assertThat(harness.engine.isReady()).isTrue();
