--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabase.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabase.java
@@ -85,7 +85,7 @@
         }
         return connection.request(request, remaining).handle((response, error) -> {
             if (error != null) {
-                throw new CompletionException(toAfterSendFailure(FailureException.of(error)));
+                throw new CompletionException(toFailureAfterSend(FailureException.of(error)));
             }
             return response;
         });
@@ -162,7 +162,7 @@
         result.completeExceptionally(failure);
     }
 
-    private FailureException toAfterSendFailure(FailureException failure) {
+    private FailureException toFailureAfterSend(FailureException failure) {
         return switch (failure.type()) {
             case REQUEST_TIMEOUT -> new FailureException(FailureType.TIMEOUT_AFTER_SEND, entry.getDatabaseId());
             case CONNECTION_LOST -> new FailureException(FailureType.CONNECTION_LOST_AFTER_SEND, entry.getDatabaseId());
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
@@ -108,7 +108,7 @@
             clusterMonitor.start();
             heldDatabases.start();
             transactionManager.start();
-            observe();
+            updateObservations();
             updateGauges();
         });
         leaseRenewer.start();
@@ -211,10 +211,10 @@
         });
     }
 
-    private void observe() {
+    private void updateObservations() {
         observations = clusterMonitor.observations(appliedView);
         openTransactions = transactionManager.openTransactionCount();
-        requestDispatcher.schedule(OBSERVATION_INTERVAL, this::observe);
+        requestDispatcher.schedule(OBSERVATION_INTERVAL, this::updateObservations);
     }
 
     private void updateGauges() {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
@@ -94,7 +94,7 @@
     /** Counts the result of a request and logs it; successful requests are sampled for the log. */
     void record(String requestId, Route route, String instanceId, long arrivedMs, SqlResult result, String reason) {
         long elapsedMs = nowMs() - arrivedMs;
-        metrics.onAnswer(route, result, elapsedMs);
+        metrics.onResponse(route, result, elapsedMs);
         if (result.isSuccess() && !metrics.sampleNext()) {
             return;
         }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionMetrics.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionMetrics.java
@@ -14,14 +14,14 @@
     /** One of this many successful statements is logged. */
     private static final long SAMPLING_INTERVAL = 64;
 
-    private final Counter answers;
+    private final Counter responses;
     private final Counter refusals;
     private final Counter retries;
     private final Histogram durations;
     private long served;
 
     SessionMetrics(PrometheusRegistry registry) {
-        answers = Counter.builder()
+        responses = Counter.builder()
                 .name("hornbeamspread_session_statements_total")
                 .help("Statements answered, by rank and outcome")
                 .labelNames("rank", "outcome")
@@ -45,9 +45,11 @@
                 .register(registry);
     }
 
-    void onAnswer(Route route, SqlResult result, long elapsedMs) {
+    void onResponse(Route route, SqlResult result, long elapsedMs) {
         String rank = PriorityRanks.rankName(route.priority());
-        answers.labelValues(rank, result.error().map(Enum::name).orElse("DONE")).inc();
+        responses
+                .labelValues(rank, result.error().map(Enum::name).orElse("DONE"))
+                .inc();
         durations.labelValues(rank).observe(elapsedMs / MILLIS_PER_SECOND);
     }
 
--- a/proxy/src/test/java/org/hornbeamspread/proxy/RetryLoopTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/RetryLoopTest.java
@@ -22,7 +22,7 @@
 final class RetryLoopTest {
     private final ManualDispatcher dispatcher = new ManualDispatcher();
     private boolean isolatedFromControl;
-    private final RetryLoop retries =
+    private final RetryLoop retryLoop =
             new RetryLoop(dispatcher, new ProxyMetrics(new PrometheusRegistry()), () -> isolatedFromControl);
 
     @ParameterizedTest
@@ -41,7 +41,7 @@
     void unknownOutcomeIsNeverReportedAsNotRun(String attempts, StatementKind kind, String outcome, int attemptsMade) {
         Iterator<String> outcomes = Arrays.asList(attempts.split(" ", -1)).iterator();
         int[] attemptCount = {0};
-        CompletableFuture<String> result = retries.run(request(kind), () -> {
+        CompletableFuture<String> result = retryLoop.run(request(kind), () -> {
             attemptCount[0]++;
             return attemptOutcome(outcomes.next());
         });
