--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
@@ -35,7 +35,7 @@
     private final PeerTransport transport;
     private final ViewPublisher publisher;
     private final ClusterMonitor clusterMonitor;
-    private final SchedulerFactory schedulers;
+    private final SchedulerFactory schedulerFactory;
     private final String proxyId;
     private final Map<String, HeldDatabase> held = new HashMap<>();
 
@@ -53,7 +53,7 @@
         this.transport = transport;
         this.publisher = publisher;
         this.clusterMonitor = clusterMonitor;
-        this.schedulers = schedulers;
+        this.schedulerFactory = schedulers;
         this.proxyId = proxyId;
     }
 
@@ -139,7 +139,7 @@
     }
 
     private HeldDatabase createHeldDatabase(ViewSnapshot view, DatabaseEntry database) {
-        SlotScheduler scheduler = schedulers.create(view.configuration(), database);
+        SlotScheduler scheduler = schedulerFactory.create(view.configuration(), database);
         QueueLimits limits = QueueLimits.of(view.configuration());
         return new HeldDatabase(dispatcher, transport, database, scheduler, limits, proxyId);
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyMetrics.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyMetrics.java
@@ -67,20 +67,20 @@
         return Counter.builder().name(name).help(help).labelNames(labels).register(registry);
     }
 
-    void refused(FailureType type, String rank) {
+    void countRefusal(FailureType type, String rank) {
         refusals.labelValues(type.name(), rank).inc();
     }
 
-    void retried(FailureType type) {
+    void countRetry(FailureType type) {
         retries.labelValues(type.name()).inc();
     }
 
-    void answered(String kind, String rank, String effect, Duration elapsed) {
+    void countResponse(String kind, String rank, String effect, Duration elapsed) {
         responses.labelValues(kind, rank, effect).inc();
         latency.labelValues(rank).observe(elapsed.toNanos() / NANOS_PER_SECOND);
     }
 
-    void readServed(boolean fromReplica) {
+    void countRead(boolean fromReplica) {
         reads.labelValues(fromReplica ? "replica" : "primary").inc();
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
@@ -184,7 +184,7 @@
                         FailureType.NO_REPLICA_IN_TIME, databaseId + " may exceed the staleness allowance");
             }
             boolean fromReplica = !databaseId.equals(group.getPrimaryId());
-            metrics.readServed(fromReplica);
+            metrics.countRead(fromReplica);
             return ExecuteResponse.newBuilder()
                     .setEffect(Effect.DONE)
                     .addAllResults(executed.getResultsList())
--- a/proxy/src/main/java/org/hornbeamspread/proxy/RetryLoop.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/RetryLoop.java
@@ -97,7 +97,7 @@
                 fail(refusal.get());
                 return;
             }
-            metrics.retried(failure.type());
+            metrics.countRetry(failure.type());
             dispatcher.schedule(backoff.get(), this::startAttempt);
         }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
@@ -93,7 +93,7 @@
                             : failure(request.getSessionToken(), rank, FailureException.of(error));
                     Duration elapsed =
                             Duration.between(arrivedAt, dispatcher.clock().instant());
-                    metrics.answered(kind, rank, response.getEffect().name(), elapsed);
+                    metrics.countResponse(kind, rank, response.getEffect().name(), elapsed);
                     return withProxyId(response);
                 });
     }
@@ -106,7 +106,7 @@
                 return answer;
             }
             FailureException failure = FailureException.of(error);
-            metrics.refused(failure.type(), rankLabel(request.getRank()));
+            metrics.countRefusal(failure.type(), rankLabel(request.getRank()));
             return TransactionRouter.failureResponse(failure);
         });
     }
@@ -159,7 +159,7 @@
     }
 
     private ExecuteResponse failure(String token, String rank, FailureException failure) {
-        metrics.refused(failure.type(), rank);
+        metrics.countRefusal(failure.type(), rank);
         return ExecuteResponse.newBuilder()
                 .setEffect(Envelopes.effect(failure.type().effect()))
                 .setFailure(Envelopes.failure(failure))
