--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
@@ -47,13 +47,13 @@
             PeerTransport transport,
             ViewPublisher publisher,
             ClusterMonitor clusterMonitor,
-            SchedulerFactory schedulers,
+            SchedulerFactory schedulerFactory,
             String proxyId) {
         this.dispatcher = dispatcher;
         this.transport = transport;
         this.publisher = publisher;
         this.clusterMonitor = clusterMonitor;
-        this.schedulerFactory = schedulers;
+        this.schedulerFactory = schedulerFactory;
         this.proxyId = proxyId;
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/QueueLimits.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/QueueLimits.java
@@ -10,7 +10,7 @@
  * The longest time that a request of each rank may wait for a slot.
  *
  * <p>Under overload a queue always grows to its limit. With a limit equal to the request's timeout, every request would
- * be answered late. A limit equal to the rank's latency target would also be too long, because the execution of the
+ * get a late response. A limit equal to the rank's latency target would also be too long, because the execution of the
  * statement and its acknowledgement take additional time. The limit is therefore half of the target, which leaves the
  * other half for execution and acknowledgement. A request that can't start within the limit is refused without being
  * run, while the caller still has time to use another proxy.
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
@@ -138,9 +138,9 @@
             Instant sentAt = dispatcher.clock().instant();
             boolean primaryUnderLease = databaseId.equals(group.getPrimaryId())
                     && publisher.current().isLeaseValidAt(sentAt);
-            CompletableFuture<StatementsExecuted> answer =
+            CompletableFuture<StatementsExecuted> response =
                     executor.execute(view, database, attemptContext(sentAt), request.statements(0));
-            return inFlight.track(group.getGroup(), 0, database, answer).handle((executed, error) -> {
+            return inFlight.track(group.getGroup(), 0, database, response).handle((executed, error) -> {
                 if (error != null) {
                     failedDatabases.add(databaseId);
                     throw FailureException.of(error);
--- a/proxy/src/main/java/org/hornbeamspread/proxy/RelayClient.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/RelayClient.java
@@ -90,12 +90,12 @@
         CompletableFuture<Envelope> result = new CompletableFuture<>();
         peer.request(request, remaining)
                 .whenCompleteAsync(
-                        (answer, error) -> {
+                        (response, error) -> {
                             if (error != null) {
                                 result.completeExceptionally(toFailureAfterSend(FailureException.of(error)));
                             } else {
-                                metrics.countStatementBytes(otherRegion, answer.getSerializedSize());
-                                result.complete(answer);
+                                metrics.countStatementBytes(otherRegion, response.getSerializedSize());
+                                result.complete(response);
                             }
                         },
                         dispatcher);
@@ -129,8 +129,8 @@
                 || (!connection.isCompletedExceptionally() && connection.join().isOpen());
     }
 
-    private static StatementsExecuted executed(Envelope answer) {
-        RelayExecuted relayed = answer.getRelayExecuted();
+    private static StatementsExecuted executed(Envelope response) {
+        RelayExecuted relayed = response.getRelayExecuted();
         if (relayed.hasFailure()) {
             throw new CompletionException(Envelopes.exception(relayed.getFailure()));
         }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
@@ -87,9 +87,9 @@
         String rank = rankLabel(request.getRank());
         String kind = request.getReadOnly() ? "read" : "write";
         return admit(() -> run(request, arrivedAt), request.getTransactionId().isEmpty())
-                .handle((answer, error) -> {
+                .handle((value, error) -> {
                     ExecuteResponse response = error == null
-                            ? answer
+                            ? value
                             : failure(request.getSessionToken(), rank, FailureException.of(error));
                     Duration elapsed =
                             Duration.between(arrivedAt, dispatcher.clock().instant());
@@ -101,9 +101,9 @@
     /** Begins a transaction. Safe for any thread. */
     CompletableFuture<BeginResponse> begin(BeginRequest request) {
         Instant arrivedAt = dispatcher.clock().instant();
-        return admit(() -> transactionRouter.begin(request, arrivedAt), true).handle((answer, error) -> {
+        return admit(() -> transactionRouter.begin(request, arrivedAt), true).handle((value, error) -> {
             if (error == null) {
-                return answer;
+                return value;
             }
             FailureException failure = FailureException.of(error);
             metrics.countRefusal(failure.type(), rankLabel(request.getRank()));
@@ -122,9 +122,9 @@
     private CompletableFuture<ExecuteResponse> end(
             EndRequest request, Function<EndRequest, CompletableFuture<ExecuteResponse>> method) {
         return admit(() -> method.apply(request), false)
-                .handle((answer, error) -> withProxyId(
+                .handle((value, error) -> withProxyId(
                         error == null
-                                ? answer
+                                ? value
                                 : failure(request.getSessionToken(), UNKNOWN_RANK_LABEL, FailureException.of(error))));
     }
 
@@ -152,10 +152,10 @@
         } else if (inProgress.get() > settings.maxRequests()) {
             result.completeExceptionally(new FailureException(FailureType.RING_FULL, "too many requests in progress"));
         } else if (!dispatcher.tryExecute(
-                () -> Futures.start(work).whenComplete((answer, error) -> Futures.complete(result, answer, error)))) {
+                () -> Futures.start(work).whenComplete((value, error) -> Futures.complete(result, value, error)))) {
             result.completeExceptionally(new FailureException(FailureType.RING_FULL, "requests"));
         }
-        return result.whenComplete((answer, error) -> metrics.setRequestsInProgress(inProgress.decrementAndGet()));
+        return result.whenComplete((value, error) -> metrics.setRequestsInProgress(inProgress.decrementAndGet()));
     }
 
     private ExecuteResponse failure(String token, String rank, FailureException failure) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
@@ -78,11 +78,11 @@
         } catch (FailureException e) {
             return CompletableFuture.failedFuture(e);
         }
-        CompletableFuture<StatementsExecuted> answer =
+        CompletableFuture<StatementsExecuted> response =
                 executor.execute(leased.view(), primary, request.context(), request.statements(group.getTerm()));
         CompletableFuture<StatementsExecuted> executed = request.kind() == StatementKind.KEYED_WRITE
-                ? inFlight.track(group.getGroup(), group.getTerm(), primary, answer)
-                : answer;
+                ? inFlight.track(group.getGroup(), group.getTerm(), primary, response)
+                : response;
         return executed.thenCompose(result -> acknowledge(group, result, request.context())
                 .thenApply(position -> response(request, group, result, position)));
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/PooledConnection.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/PooledConnection.java
@@ -91,7 +91,7 @@
         List<CompletableFuture<SqlResult>> results = connection.send(requests);
         for (CompletableFuture<SqlResult> result : results) {
             reachability.onRequestSent(clock.millis());
-            result.whenComplete((answer, error) -> {
+            result.whenComplete((response, error) -> {
                 if (error == null) {
                     reachability.onResponse(clock.millis());
                 } else {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ServiceState.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ServiceState.java
@@ -22,7 +22,7 @@
     private long unreachableSinceMs;
 
     /**
-     * When an instance that was treated as the primary first answered that it is not, with no proof from a primary since; 0 for
+     * When an instance that was treated as the primary first responded that it is not, with no proof from a primary since; 0 for
      * none.
      */
     private long notPrimarySinceMs;
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRouter.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRouter.java
@@ -72,7 +72,7 @@
     private final Map<String, ServiceState> serviceStates = new HashMap<>();
     private final Map<String, Long> drainingSinceMs = new HashMap<>();
 
-    /** Until when an instance that answered that it is not the primary gets no further requests for the primary. */
+    /** Until when an instance that responded that it is not the primary gets no further requests for the primary. */
     private final Map<String, Long> notPrimaryUntilMs = new HashMap<>();
 
     private final Deque<ConnectionRequest> parked = new ArrayDeque<>();
@@ -222,7 +222,7 @@
     }
 
     /**
-     * While control is unreachable, any reachable instance that has not recently answered that it is not the primary: the proxy
+     * While control is unreachable, any reachable instance that has not recently responded that it is not the primary: the proxy
      * receives no promotions then. The instance proves to be the primary, or refuses the statement, which then did not run.
      */
     private Optional<DatabaseInstance> possiblePrimary(String service) {
--- a/proxy/src/test/java/org/hornbeamspread/proxy/PartitionTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/PartitionTest.java
@@ -57,9 +57,9 @@
                 .setSessionId("agent-7")
                 .setTimeoutMs(4)
                 .build();
-        ExecuteResponse answer = harness.execute("p1", request).join();
-        assertThat(answer.getFailure().getType()).isEqualTo(type);
-        assertThat(answer.getEffect()).isEqualTo(Effect.NOT_RUN);
+        ExecuteResponse response = harness.execute("p1", request).join();
+        assertThat(response.getFailure().getType()).isEqualTo(type);
+        assertThat(response.getEffect()).isEqualTo(Effect.NOT_RUN);
     }
 
     @Test
@@ -68,8 +68,8 @@
         harness.first.awaitApplied(TestViews.GROUP, "a", new LogPosition(1, 6)).join();
         ExecuteRequest request =
                 ProxyHarness.read().setStalenessAllowanceMs(999).setTimeoutMs(4).build();
-        ExecuteResponse answer = harness.execute("p1", request).join();
-        assertThat(answer.getFailure().getType()).isEqualTo("NO_REPLICA_IN_TIME");
+        ExecuteResponse response = harness.execute("p1", request).join();
+        assertThat(response.getFailure().getType()).isEqualTo("NO_REPLICA_IN_TIME");
     }
 
     @Test
@@ -77,11 +77,11 @@
         harness.sameRegionReplica.reportConnections(9);
         harness.sameRegionReplica.advanceLogTo(1, 7);
         harness.first.awaitApplied(TestViews.GROUP, "b", new LogPosition(1, 7)).join();
-        ExecuteResponse answer = harness.execute(
+        ExecuteResponse response = harness.execute(
                         "p1", ProxyHarness.read().setTimeoutMs(4).build())
                 .join();
-        assertThat(answer.getFailure().getType()).isEqualTo("NO_REPLICA_IN_TIME");
-        assertThat(answer.getEffect()).isEqualTo(Effect.NOT_RUN);
+        assertThat(response.getFailure().getType()).isEqualTo("NO_REPLICA_IN_TIME");
+        assertThat(response.getEffect()).isEqualTo(Effect.NOT_RUN);
     }
 
     @ParameterizedTest
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ProxyHarness.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ProxyHarness.java
@@ -72,12 +72,12 @@
         return call(proxyId, "Execute", request, ExecuteResponse.getDefaultInstance());
     }
 
-    <A extends Message> CompletableFuture<A> call(String proxyId, String method, Message request, A answer) {
+    <A extends Message> CompletableFuture<A> call(String proxyId, String method, Message request, A responseType) {
         Endpoint endpoint = Endpoint.newBuilder()
                 .setHost("127.0.0.1")
                 .setPort(("p1".equals(proxyId) ? first : second).httpPort())
                 .build();
-        return client.call(endpoint, "hornbeamspread.Statements/" + method, request, answer, TIMEOUT);
+        return client.call(endpoint, "hornbeamspread.Statements/" + method, request, responseType, TIMEOUT);
     }
 
     static ExecuteRequest write(String key) {
--- a/proxy/src/test/java/org/hornbeamspread/proxy/ProxyServerTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/ProxyServerTest.java
@@ -31,10 +31,10 @@
         harness.primary.nextCall().respondExecuted(1, 6, "done");
         assertThat(write.isDone()).isFalse();
         harness.sameRegionReplica.advanceLogTo(1, 6);
-        ExecuteResponse answer = write.join();
-        assertThat(answer.getEffect()).isEqualTo(Effect.DONE);
-        assertThat(answer.getProxyId()).isEqualTo(proxyId);
-        assertThat(answer.getResults(0).getRows(0).getColumns(0)).isEqualTo("done");
+        ExecuteResponse response = write.join();
+        assertThat(response.getEffect()).isEqualTo(Effect.DONE);
+        assertThat(response.getProxyId()).isEqualTo(proxyId);
+        assertThat(response.getResults(0).getRows(0).getColumns(0)).isEqualTo("done");
     }
 
     @Test
--- a/proxy/src/test/java/org/hornbeamspread/proxy/TransactionTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/TransactionTest.java
@@ -118,9 +118,9 @@
         }
     }
 
-    private static void assertFailed(CompletableFuture<ExecuteResponse> answer, String type, Effect effect) {
-        assertThat(answer.join().getFailure().getType()).isEqualTo(type);
-        assertThat(answer.join().getEffect()).isEqualTo(effect);
+    private static void assertFailed(CompletableFuture<ExecuteResponse> response, String type, Effect effect) {
+        assertThat(response.join().getFailure().getType()).isEqualTo(type);
+        assertThat(response.join().getEffect()).isEqualTo(effect);
     }
 
     private CompletableFuture<BeginResponse> begin(String proxyId, int timeoutMs) {
--- a/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/WritePathTest.java
@@ -75,13 +75,13 @@
 
     /** The proxy is paused during a write and resumes after its lease expired: it must not acknowledge the write. */
     @ParameterizedTest
-    @ValueSource(strings = {"before the answer", "before the majority", "between the majority and the answer"})
+    @ValueSource(strings = {"before the response", "before the majority", "between the majority and the response"})
     void pausedProxyDoesNotAcknowledgeAfterItsLeaseExpired(String pausePoint) {
         CompletableFuture<ExecuteResponse> write = write("key-1");
-        pauseIf(pausePoint.equals("before the answer"));
+        pauseIf(pausePoint.equals("before the response"));
         databaseResponses.get(0).complete(executed(2, 7));
         pauseIf(pausePoint.equals("before the majority"));
-        pauseIf(pausePoint.equals("between the majority and the answer"));
+        pauseIf(pausePoint.equals("between the majority and the response"));
         report("b", 7);
         dispatcher.runPending();
         assertThat(write.isDone()).isFalse();
@@ -222,7 +222,7 @@
     }
 
     private static FailureType failureOf(CompletableFuture<ExecuteResponse> write) {
-        return FailureException.of(write.handle((answer, error) -> error).join())
+        return FailureException.of(write.handle((response, error) -> error).join())
                 .type();
     }
 }
