--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
@@ -135,7 +135,7 @@
         if (task instanceof ConsensusTask.Event event) {
             onEvent(event.event());
         } else if (task instanceof ConsensusTask.Request request) {
-            node.step(new ConsensusEvent.Received(request.message(), addPendingReply(request.answer())));
+            node.step(new ConsensusEvent.Received(request.message(), addPendingReply(request.replyCallback())));
         } else if (task instanceof ConsensusTask.Propose propose) {
             ControlCommand command = withMemberState(withProposalTime(propose.command()));
             long id = pendingProposals.add(propose.outcome());
--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusTask.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusTask.java
@@ -14,7 +14,7 @@
     record Event(ConsensusEvent event) implements ConsensusTask {}
 
     /** A request from another member. */
-    record Request(Message message, Consumer<Envelope> answer) implements ConsensusTask {}
+    record Request(Message message, Consumer<Envelope> replyCallback) implements ConsensusTask {}
 
     /** A command to append to the log. */
     record Propose(ControlCommand command, CompletableFuture<CommandResult> outcome) implements ConsensusTask {}
--- a/control/src/main/java/org/hornbeamspread/control/failover/ControlEvent.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/ControlEvent.java
@@ -22,7 +22,11 @@
 
     /** A proxy requests a lease. */
     record Renewal(
-            RenewView request, LiveProxy proxy, Instant arrivedAt, PeerConnection connection, Consumer<Envelope> answer)
+            RenewView request,
+            LiveProxy proxy,
+            Instant arrivedAt,
+            PeerConnection connection,
+            Consumer<Envelope> replyCallback)
             implements ControlEvent {}
 
     /** A majority confirmed, or did not confirm, the leadership of this term after these renewals had arrived. */
@@ -64,9 +68,9 @@
     record AnnouncingConnectionClosed(String databaseId) implements ControlEvent {}
 
     /** An operator requests the topology. */
-    record TopologyRequested(CompletableFuture<Topology> answer) implements ControlEvent {}
+    record TopologyRequested(CompletableFuture<Topology> result) implements ControlEvent {}
 
     /** An operator requests a handover to another primary. */
-    record HandoverRequested(String group, Optional<String> databaseId, CompletableFuture<Void> answer)
+    record HandoverRequested(String group, Optional<String> databaseId, CompletableFuture<Void> result)
             implements ControlEvent {}
 }
--- a/control/src/main/java/org/hornbeamspread/control/failover/Coordinator.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/Coordinator.java
@@ -196,7 +196,7 @@
         } else if (event instanceof ControlEvent.LeadershipChanged changed) {
             handleLeadershipChange(changed.leadership());
         } else if (event instanceof ControlEvent.TopologyRequested requested) {
-            answerTopology(requested.answer());
+            completeTopology(requested.result());
         } else if (event instanceof ControlEvent.HandoverRequested requested) {
             requestHandover(requested);
         } else {
@@ -280,7 +280,7 @@
 
     private void handleRenewal(Renewal renewal) {
         if (session == null) {
-            refuseNotLeader(renewal.answer());
+            refuseNotLeader(renewal.replyCallback());
             return;
         }
         renewals.add(renewal);
@@ -291,7 +291,7 @@
         renewals.completeCheck();
         boolean stillLeading = session != null && check.leaderTerm() == leadership.term() && check.confirmed();
         if (!stillLeading) {
-            check.renewals().forEach(renewal -> refuseNotLeader(renewal.answer()));
+            check.renewals().forEach(renewal -> refuseNotLeader(renewal.replyCallback()));
             renewals.startCheck(leadership.term());
             return;
         }
@@ -313,7 +313,7 @@
         versionPusher.register(proxy.proxyId(), renewal.connection());
         long held = session.view().heldVersion(renewal.request());
         ViewLease lease = session.grant(renewal.request(), proxy, renewal.arrivedAt());
-        renewal.answer().accept(Envelope.newBuilder().setViewLease(lease).build());
+        renewal.replyCallback().accept(Envelope.newBuilder().setViewLease(lease).build());
         if (lease.getViewVersion() > held && session.hasPromotionInProgress()) {
             VersionPusher.push(renewal.connection(), lease.getViewVersion());
         }
@@ -333,7 +333,7 @@
             LOG.log(Level.INFO, "no longer leader of the control log, current term {0}", newLeadership.term());
             session = null;
             versionPusher.clear();
-            renewals.takeAll().forEach(renewal -> refuseNotLeader(renewal.answer()));
+            renewals.takeAll().forEach(renewal -> refuseNotLeader(renewal.replyCallback()));
             metrics.setLeaderState(false, 0, 0);
         }
     }
@@ -361,7 +361,7 @@
         }
     }
 
-    private void answerTopology(CompletableFuture<Topology> answer) {
+    private void completeTopology(CompletableFuture<Topology> answer) {
         if (session == null) {
             answer.completeExceptionally(notLeader());
             return;
@@ -378,14 +378,14 @@
     private void requestHandover(ControlEvent.HandoverRequested requested) {
         Optional<GroupState> group = session == null ? Optional.empty() : session.group(requested.group());
         if (session == null) {
-            requested.answer().completeExceptionally(notLeader());
+            requested.result().completeExceptionally(notLeader());
         } else if (group.isEmpty()) {
             requested
-                    .answer()
+                    .result()
                     .completeExceptionally(new FailureException(FailureType.UNKNOWN_GROUP, requested.group()));
         } else {
             group.get().failover().requestHandover(requested.databaseId());
-            requested.answer().complete(null);
+            requested.result().complete(null);
             step();
         }
     }
--- a/control/src/main/java/org/hornbeamspread/control/routes/ForwardingRouteOperations.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ForwardingRouteOperations.java
@@ -95,16 +95,16 @@
         switch (request.getBodyCase()) {
             case WATCH_SYSTEM ->
                 local.watch(request.getWatchSystem(), reply -> answer.accept(withLeaderEndpoint(reply)));
-            case SUBMIT_CHANGE -> sendAnswer(applyChange(request.getSubmitChange()), answer);
+            case SUBMIT_CHANGE -> sendReply(applyChange(request.getSubmitChange()), answer);
             case READ_CONFIGURATION ->
-                sendAnswer(
+                sendReply(
                         local.readRoutes()
                                 .thenApply(routes -> Envelope.newBuilder()
                                         .setConfigurationRead(routes)
                                         .build()),
                         answer);
             case JOIN_CONTROL ->
-                sendAnswer(
+                sendReply(
                         membership
                                 .join(request.getJoinControl())
                                 .thenApply(joined -> Envelope.newBuilder()
@@ -141,7 +141,7 @@
         return Envelope.newBuilder().setSubmitChange(change).build();
     }
 
-    private void sendAnswer(CompletableFuture<Envelope> outcome, Consumer<Envelope> answer) {
+    private void sendReply(CompletableFuture<Envelope> outcome, Consumer<Envelope> answer) {
         outcome.whenComplete((envelope, error) -> answer.accept(
                 error == null ? envelope : withLeaderEndpoint(Envelopes.failureEnvelope(FailureException.of(error)))));
     }
--- a/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
@@ -54,12 +54,12 @@
      */
     private final Map<String, Proof> proofs = new HashMap<>();
 
-    private final ClockJumpDetector clockGuard;
+    private final ClockJumpDetector clockJumpDetector;
     private long clockEpoch;
 
     WatchingProxies(Clock clock, ClockJumpDetector clockGuard) {
         this.clock = clock;
-        this.clockGuard = clockGuard;
+        this.clockJumpDetector = clockGuard;
     }
 
     /**
@@ -98,7 +98,7 @@
     }
 
     private void updateClockEpoch() {
-        long currentEpoch = clockGuard.epoch();
+        long currentEpoch = clockJumpDetector.epoch();
         if (currentEpoch != clockEpoch) {
             clockEpoch = currentEpoch;
             proofs.clear();
@@ -115,7 +115,7 @@
         Watcher watcher = watchers.computeIfAbsent(request.getProxyId(), id -> new Watcher());
         watcher.request = request;
         watcher.receivedAtMs = clock.millis();
-        watcher.pendingAnswer = Optional.of(answer);
+        watcher.replyCallback = Optional.of(answer);
         if (!isUpToDate(request) || request.getPositionsWanted()) {
             sendUpdate(watcher);
         }
@@ -149,7 +149,7 @@
             systemVersion++;
         }
         watchers.values().stream()
-                .filter(watcher -> watcher.pendingAnswer.isPresent() && !isUpToDate(watcher.request))
+                .filter(watcher -> watcher.replyCallback.isPresent() && !isUpToDate(watcher.request))
                 .forEach(this::sendUpdate);
     }
 
@@ -171,7 +171,7 @@
             Watcher watcher = iterator.next();
             if (nowMs - watcher.receivedAtMs > PROXY_EXPIRY_MS) {
                 iterator.remove();
-            } else if (watcher.pendingAnswer.isPresent() && nowMs - watcher.receivedAtMs >= holdMs()) {
+            } else if (watcher.replyCallback.isPresent() && nowMs - watcher.receivedAtMs >= holdMs()) {
                 sendUpdate(watcher);
             }
         }
@@ -183,7 +183,7 @@
 
     void refuseAll(FailureException failure) {
         watchers.values().forEach(watcher -> {
-            watcher.pendingAnswer.ifPresent(answer -> answer.accept(Envelopes.failureEnvelope(failure)));
+            watcher.replyCallback.ifPresent(answer -> answer.accept(Envelopes.failureEnvelope(failure)));
         });
         watchers.clear();
     }
@@ -242,8 +242,8 @@
         if (request.getConfigurationVersion() < state.getRoutes().getVersion()) {
             update.setConfiguration(state.getRoutes().toBuilder().clearSource());
         }
-        Optional<Consumer<Envelope>> pendingAnswer = watcher.pendingAnswer;
-        watcher.pendingAnswer = Optional.empty();
+        Optional<Consumer<Envelope>> pendingAnswer = watcher.replyCallback;
+        watcher.replyCallback = Optional.empty();
         pendingAnswer.ifPresent(answer ->
                 answer.accept(Envelope.newBuilder().setSystemUpdate(update).build()));
     }
@@ -265,6 +265,6 @@
         private long receivedAtMs;
 
         /** Receives the answer to the open watch request; empty once it is answered. */
-        private Optional<Consumer<Envelope>> pendingAnswer = Optional.empty();
+        private Optional<Consumer<Envelope>> replyCallback = Optional.empty();
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
@@ -22,14 +22,14 @@
  */
 final class Followers {
     private final PromotionRules rules;
-    private final CommandThrottle commands;
+    private final CommandThrottle throttle;
 
     /** The incarnation of each database that follows at the current term. */
     private final Map<String, Long> followingIncarnations = new HashMap<>();
 
     Followers(PromotionRules rules, CommandThrottle commands) {
         this.rules = rules;
-        this.commands = commands;
+        this.throttle = commands;
     }
 
     /** The registrations to append to the log next. */
@@ -73,7 +73,7 @@
                 continue;
             }
             nextCommand(input, status, primary.get())
-                    .flatMap(commands::sendIfDue)
+                    .flatMap(throttle::sendIfDue)
                     .ifPresent(effects::add);
         }
         return effects;
--- a/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
@@ -45,7 +45,7 @@
     private final PromotionRules rules;
     private final FailoverTimings timings;
     private final FailoverListener listener;
-    private final CommandThrottle commands;
+    private final CommandThrottle throttle;
     private final Followers followers;
     private final PrimarySelector selector;
 
@@ -85,8 +85,8 @@
         this.rules = rules;
         this.timings = timings;
         this.listener = listener;
-        this.commands = new CommandThrottle(clock, timings);
-        this.followers = new Followers(rules, commands);
+        this.throttle = new CommandThrottle(clock, timings);
+        this.followers = new Followers(rules, throttle);
         this.selector = new PrimarySelector(rules);
         this.termStartedAt = clock.instant();
     }
@@ -160,7 +160,7 @@
             writableReported = record.writable();
             notPrimarySince = null;
             primaryIncarnation = 0;
-            commands.clear();
+            throttle.clear();
             followers.clear();
         }
         if (record.writable() && !writableReported) {
@@ -230,7 +230,7 @@
         List<FailoverEffect> effects = new ArrayList<>();
         for (DatabaseStatus status : input.members()) {
             if (status.term() < term && followers.isTrustCommitted(input, status)) {
-                commands.sendIfDue(new Fence(status.databaseId(), term)).ifPresent(effects::add);
+                throttle.sendIfDue(new Fence(status.databaseId(), term)).ifPresent(effects::add);
             }
         }
         return effects;
@@ -274,7 +274,7 @@
         if (unavailable || restarted || promoteRefused || chosen.get().term() != term) {
             return List.of();
         }
-        return commands.sendIfDue(new Promote(chosen.get().databaseId(), term)).stream()
+        return throttle.sendIfDue(new Promote(chosen.get().databaseId(), term)).stream()
                 .toList();
     }
 
--- a/core/src/test/java/org/hornbeamspread/core/consensus/DiskModel.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/DiskModel.java
@@ -7,7 +7,7 @@
 /** A model of a disk that holds the persists written to it. */
 final class DiskModel {
     private final long incarnation;
-    private Optional<Membership> formed = Optional.empty();
+    private Optional<Membership> initialMembership = Optional.empty();
     private ConsensusEffect.StoredVote vote = new ConsensusEffect.StoredVote(0, Optional.empty());
     private Snapshot snapshot = Snapshot.NONE;
     private long baseIndex;
@@ -23,7 +23,7 @@
     }
 
     void write(ConsensusEffect.Persist persist) {
-        formed = persist.initialMembership().or(() -> formed);
+        initialMembership = persist.initialMembership().or(() -> initialMembership);
         vote = persist.vote().orElse(vote);
         persist.rewrite().ifPresent(rewrite -> {
             snapshot = rewrite.snapshot();
@@ -41,6 +41,6 @@
 
     StoredState stored() {
         return new StoredState(
-                incarnation, formed, vote.term(), vote.votedFor(), snapshot, baseIndex, baseTerm, records);
+                incarnation, initialMembership, vote.term(), vote.votedFor(), snapshot, baseIndex, baseTerm, records);
     }
 }
