--- a/control/src/main/java/org/hornbeamspread/control/ControlDaemon.java
+++ b/control/src/main/java/org/hornbeamspread/control/ControlDaemon.java
@@ -124,9 +124,9 @@
     /** Routes consensus requests to the log, and all other requests to the coordinator. */
     private record PeerRequestRouter(ConsensusService log, PeerHandler coordinator) implements PeerHandler {
         @Override
-        public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
-            if (!log.handle(connection, request, answer)) {
-                coordinator.onRequest(connection, request, answer);
+        public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> replyCallback) {
+            if (!log.handle(connection, request, replyCallback)) {
+                coordinator.onRequest(connection, request, replyCallback);
             }
         }
 
--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
@@ -196,9 +196,9 @@
         if (effect instanceof ConsensusEffect.Send send) {
             send(send.toMemberId(), send.message());
         } else if (effect instanceof ConsensusEffect.Reply reply) {
-            Consumer<Envelope> answer = pendingReplies.remove(reply.replyId());
-            if (answer != null) {
-                answer.accept(MessageCodec.envelope(reply.message(), directory.all()));
+            Consumer<Envelope> replyCallback = pendingReplies.remove(reply.replyId());
+            if (replyCallback != null) {
+                replyCallback.accept(MessageCodec.envelope(reply.message(), directory.all()));
             }
         } else if (effect instanceof ConsensusEffect.Persist persist) {
             diskWriter.persist(persist);
@@ -243,11 +243,11 @@
                         connections.send(member.getPeer(), MessageCodec.envelope(message, directory.all()), timeout));
     }
 
-    private long addPendingReply(Consumer<Envelope> answer) {
+    private long addPendingReply(Consumer<Envelope> replyCallback) {
         if (pendingReplies.size() >= MAX_PENDING_REPLIES) {
             pendingReplies.remove(pendingReplies.keySet().iterator().next());
         }
-        pendingReplies.put(nextReplyId, answer);
+        pendingReplies.put(nextReplyId, replyCallback);
         return nextReplyId++;
     }
 
--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusService.java
@@ -98,11 +98,11 @@
     }
 
     /** Enqueues a request of the consensus protocol from the shared peer port. Returns false for any other request. */
-    public boolean handle(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
+    public boolean handle(PeerConnection connection, Envelope request, Consumer<Envelope> replyCallback) {
         Optional<Message> message = MessageCodec.message(request);
         request.getAppend().getRecordsList().forEach(this::updateDirectory);
         directory.update(request.getInstallSnapshot().getMembersList());
-        message.ifPresent(received -> thread.offer(new ConsensusTask.Request(received, answer)));
+        message.ifPresent(received -> thread.offer(new ConsensusTask.Request(received, replyCallback)));
         return message.isPresent();
     }
 
@@ -207,8 +207,8 @@
         }
     }
 
-    private void onResponse(Envelope answer) {
-        MessageCodec.message(answer)
+    private void onResponse(Envelope response) {
+        MessageCodec.message(response)
                 .ifPresent(message -> thread.offer(new ConsensusTask.Event(new ConsensusEvent.Received(message, 0))));
     }
 
--- a/control/src/main/java/org/hornbeamspread/control/consensus/PeerConnections.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/PeerConnections.java
@@ -26,17 +26,17 @@
     /** The number of messages queued for each connection that is being opened. */
     private final Map<Endpoint, Integer> queuedMessages = new HashMap<>();
 
-    PeerConnections(PeerTransport transport, Duration connectTimeout, Consumer<Envelope> onAnswer) {
+    PeerConnections(PeerTransport transport, Duration connectTimeout, Consumer<Envelope> onResponse) {
         this.transport = transport;
         this.connectTimeout = connectTimeout;
-        this.onResponse = onAnswer;
+        this.onResponse = onResponse;
     }
 
     /** Sends a request once the connection is open. */
     void send(Endpoint endpoint, Envelope request, Duration timeout) {
         CompletableFuture<PeerConnection> connection = connections.get(endpoint);
         if (connection == null || isBroken(connection)) {
-            connection = transport.connect(endpoint, connectTimeout, (peer, unexpected, answer) -> peer.close());
+            connection = transport.connect(endpoint, connectTimeout, (peer, unexpected, replyCallback) -> peer.close());
             connections.put(endpoint, connection);
             queuedMessages.put(endpoint, 0);
         }
--- a/control/src/main/java/org/hornbeamspread/control/failover/ControlMetrics.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/ControlMetrics.java
@@ -87,32 +87,32 @@
     }
 
     @Override
-    public void onPrimaryChosen(String group, long term, String databaseId, long sinceStartMs) {
-        observeStep("fence", sinceStartMs);
+    public void onPrimaryChosen(String group, long term, String databaseId, long elapsedMs) {
+        observeStep("fence", elapsedMs);
         LOG.log(
                 Level.INFO,
                 "group {0}: database {1} chosen as primary of term {2} after {3} ms",
                 group,
                 databaseId,
                 term,
-                sinceStartMs);
+                elapsedMs);
     }
 
     @Override
-    public void onPrimaryPromoted(String group, long term, long sinceStartMs) {
-        observeStep("promote", sinceStartMs);
-        LOG.log(Level.INFO, "group {0}: primary promoted at term {1} after {2} ms", group, term, sinceStartMs);
+    public void onPrimaryPromoted(String group, long term, long elapsedMs) {
+        observeStep("promote", elapsedMs);
+        LOG.log(Level.INFO, "group {0}: primary promoted at term {1} after {2} ms", group, term, elapsedMs);
     }
 
     @Override
-    public void onOldLeasesExpired(String group, long term, long sinceStartMs) {
-        observeStep("lease wait", sinceStartMs);
+    public void onOldLeasesExpired(String group, long term, long elapsedMs) {
+        observeStep("lease wait", elapsedMs);
     }
 
     @Override
-    public void onWritable(String group, long term, long sinceStartMs) {
-        observeStep("open", sinceStartMs);
-        LOG.log(Level.INFO, "group {0}: writable at term {1} after {2} ms", group, term, sinceStartMs);
+    public void onWritable(String group, long term, long elapsedMs) {
+        observeStep("open", elapsedMs);
+        LOG.log(Level.INFO, "group {0}: writable at term {1} after {2} ms", group, term, elapsedMs);
     }
 
     void countCommand(String kind) {
@@ -133,8 +133,8 @@
         viewVersion.set((double) version);
     }
 
-    private void observeStep(String name, long sinceStartMs) {
-        stepSeconds.labelValues(name).observe(sinceStartMs / MILLIS_PER_SECOND);
+    private void observeStep(String name, long elapsedMs) {
+        stepSeconds.labelValues(name).observe(elapsedMs / MILLIS_PER_SECOND);
     }
 
     private static Gauge gauge(PrometheusRegistry registry, String name, String help) {
--- a/control/src/main/java/org/hornbeamspread/control/failover/Coordinator.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/Coordinator.java
@@ -39,7 +39,7 @@
 
 /**
  * The event loop of a control member. Every member receives the databases' announcements, so that a new leader has them
- * immediately; only the leader grants leases and orders promotions.
+ * immediately; only the leader grants leases and starts promotions.
  *
  * <p>A lease is granted only after a majority has confirmed the leadership since the renewal arrived. No other leader
  * therefore existed when the renewal arrived, and the lease is counted from then. A later leader waits for one full
@@ -123,9 +123,9 @@
 
     /** Returns the topology that this leader publishes, without the control members. Fails with NOT_LEADER. */
     public CompletableFuture<Topology> topology() {
-        CompletableFuture<Topology> answer = new CompletableFuture<>();
-        offer(new ControlEvent.TopologyRequested(answer), answer);
-        return answer;
+        CompletableFuture<Topology> result = new CompletableFuture<>();
+        offer(new ControlEvent.TopologyRequested(result), result);
+        return result;
     }
 
     /**
@@ -133,22 +133,25 @@
      * the request is accepted, before the promotion has ended. Fails with NOT_LEADER or UNKNOWN_GROUP.
      */
     public CompletableFuture<Void> requestHandover(String group, Optional<String> databaseId) {
-        CompletableFuture<Void> answer = new CompletableFuture<>();
-        offer(new ControlEvent.HandoverRequested(group, databaseId, answer), answer);
-        return answer;
+        CompletableFuture<Void> result = new CompletableFuture<>();
+        offer(new ControlEvent.HandoverRequested(group, databaseId, result), result);
+        return result;
     }
 
     @Override
-    public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
+    public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> replyCallback) {
         if (!request.hasRenewView()) {
-            refuse(answer, FailureType.INVALID_REQUEST, request.getBodyCase().name());
+            refuse(
+                    replyCallback,
+                    FailureType.INVALID_REQUEST,
+                    request.getBodyCase().name());
             return;
         }
         RenewView renewView = request.getRenewView();
         LiveProxy proxy = ViewMessages.proxy(renewView.getProxy());
-        Renewal renewal = new Renewal(renewView, proxy, clock.instant(), connection, answer);
+        Renewal renewal = new Renewal(renewView, proxy, clock.instant(), connection, replyCallback);
         if (!eventLoop.offer(renewal)) {
-            refuse(answer, FailureType.RING_FULL, "coordinator");
+            refuse(replyCallback, FailureType.RING_FULL, "coordinator");
         }
     }
 
@@ -180,9 +183,9 @@
         eventLoop.close();
     }
 
-    private void offer(ControlEvent event, CompletableFuture<?> answer) {
+    private void offer(ControlEvent event, CompletableFuture<?> result) {
         if (!eventLoop.offer(event)) {
-            answer.completeExceptionally(new FailureException(FailureType.RING_FULL, "coordinator"));
+            result.completeExceptionally(new FailureException(FailureType.RING_FULL, "coordinator"));
         }
     }
 
@@ -361,14 +364,14 @@
         }
     }
 
-    private void completeTopology(CompletableFuture<Topology> answer) {
+    private void completeTopology(CompletableFuture<Topology> result) {
         if (session == null) {
-            answer.completeExceptionally(notLeader());
+            result.completeExceptionally(notLeader());
             return;
         }
         session.update(state.get());
         session.publish();
-        answer.complete(Topology.newBuilder()
+        result.complete(Topology.newBuilder()
                 .setConfigurationVersion(state.get().getConfiguration().getVersion())
                 .addAllGroups(session.view().groups())
                 .addAllProxies(session.view().proxies())
@@ -396,13 +399,13 @@
                 leadership.leaderId().map(peerEndpointOf).orElse(""));
     }
 
-    private void refuseNotLeader(Consumer<Envelope> answer) {
+    private void refuseNotLeader(Consumer<Envelope> replyCallback) {
         metrics.countFailure(FailureType.NOT_LEADER);
-        answer.accept(Envelopes.failureEnvelope(notLeader()));
+        replyCallback.accept(Envelopes.failureEnvelope(notLeader()));
     }
 
-    private void refuse(Consumer<Envelope> answer, FailureType type, String detail) {
+    private void refuse(Consumer<Envelope> replyCallback, FailureType type, String detail) {
         metrics.countFailure(type);
-        answer.accept(Envelopes.failureEnvelope(new FailureException(type, detail)));
+        replyCallback.accept(Envelopes.failureEnvelope(new FailureException(type, detail)));
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/failover/DatabaseClients.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/DatabaseClients.java
@@ -49,10 +49,10 @@
     void fence(AnnouncedDatabase database, long term) {
         Envelope request =
                 Envelope.newBuilder().setFence(Fence.newBuilder().setTerm(term)).build();
-        send("fence", database, request).whenComplete((answer, error) -> {
+        send("fence", database, request).whenComplete((response, error) -> {
             if (error == null) {
                 events.accept(new ControlEvent.StatusReported(
-                        ViewMessages.status(answer.getFenced().getReport())));
+                        ViewMessages.status(response.getFenced().getReport())));
             } else if (recordFailure(database, error) == FailureType.WRONG_TERM) {
                 probe(database);
             }
@@ -64,13 +64,13 @@
         Envelope request = Envelope.newBuilder()
                 .setPromote(Promote.newBuilder().setTerm(term))
                 .build();
-        send("promote", database, request).whenComplete((answer, error) -> {
+        send("promote", database, request).whenComplete((response, error) -> {
             if (error == null) {
                 events.accept(new ControlEvent.BecamePrimary(
                         database.databaseId(),
                         database.status().incarnation(),
                         term,
-                        Envelopes.position(answer.getPromoted().getMarker())));
+                        Envelopes.position(response.getPromoted().getMarker())));
             } else if (recordFailure(database, error) == FailureType.WRONG_TERM) {
                 events.accept(new ControlEvent.PromoteRefused(database.group(), term));
             }
@@ -85,9 +85,9 @@
                         .setPrimaryId(primary.databaseId())
                         .setPrimary(ViewMessages.toWire(primary.address())))
                 .build();
-        send("follow", database, request).whenComplete((answer, error) -> {
+        send("follow", database, request).whenComplete((response, error) -> {
             if (error == null) {
-                Following following = answer.getFollowing();
+                Following following = response.getFollowing();
                 metrics.countEntriesSetAside(following.getEntriesSetAside());
                 events.accept(new ControlEvent.FollowConfirmed(
                         database.group(), ViewMessages.status(following.getReport()), term));
@@ -102,7 +102,7 @@
         Envelope request = Envelope.newBuilder()
                 .setReadmit(Readmit.newBuilder().setTerm(readmit.term()).setIncarnation(readmit.incarnation()))
                 .build();
-        send("readmit", database, request).whenComplete((answer, error) -> {
+        send("readmit", database, request).whenComplete((response, error) -> {
             if (error == null) {
                 probe(database);
             } else {
@@ -119,18 +119,18 @@
         Envelope request = Envelope.newBuilder()
                 .setSubscribe(Subscribe.newBuilder().setHeartbeatMs(NO_HEARTBEAT_MS))
                 .build();
-        PeerHandler handler = (connection, frame, answer) -> refuseRequest(answer);
+        PeerHandler handler = (connection, frame, replyCallback) -> refuseRequest(replyCallback);
         metrics.countCommand("probe");
         long connectStartNs = System.nanoTime();
         transport
                 .connect(ViewMessages.toWire(database.address()), CONNECT_TIMEOUT, handler)
                 .thenCompose(connection -> connection
                         .request(request, COMMAND_TIMEOUT)
-                        .whenComplete((answer, error) -> connection.close()))
-                .whenComplete((answer, error) -> {
+                        .whenComplete((response, error) -> connection.close()))
+                .whenComplete((response, error) -> {
                     if (error == null) {
                         events.accept(new ControlEvent.StatusReported(
-                                ViewMessages.status(answer.getSubscribed().getReport())));
+                                ViewMessages.status(response.getSubscribed().getReport())));
                     } else {
                         boolean beforeTimeout = System.nanoTime() - connectStartNs < CONNECT_TIMEOUT.toNanos();
                         if (recordFailure(database, error) == FailureType.CONNECTION_REFUSED && beforeTimeout) {
@@ -154,7 +154,7 @@
         if (usable) {
             return existing;
         }
-        PeerHandler handler = (connection, request, answer) -> refuseRequest(answer);
+        PeerHandler handler = (connection, request, replyCallback) -> refuseRequest(replyCallback);
         CompletableFuture<PeerConnection> opening = transport.connect(endpoint, CONNECT_TIMEOUT, handler);
         connections.put(endpoint, opening);
         return opening;
@@ -169,8 +169,8 @@
         return type;
     }
 
-    private static void refuseRequest(Consumer<Envelope> answer) {
-        answer.accept(Envelopes.failureEnvelope(
-                new FailureException(FailureType.INVALID_REQUEST, "control answers no requests on this connection")));
+    private static void refuseRequest(Consumer<Envelope> replyCallback) {
+        replyCallback.accept(Envelopes.failureEnvelope(
+                new FailureException(FailureType.INVALID_REQUEST, "control accepts no requests on this connection")));
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
@@ -181,10 +181,10 @@
     /** Grants a lease on the current view. */
     ViewLease grant(RenewView request, LiveProxy proxy, Instant arrivedAt) {
         Optional<LiveProxy> previous = view.leases().find(proxy.proxyId());
-        ViewLease answer = view.grant(proxy, request, arrivedAt);
-        metrics.countLease(answer.getFull());
+        ViewLease viewLease = view.grant(proxy, request, arrivedAt);
+        metrics.countLease(viewLease.getFull());
         proxiesChanged |= previous.filter(proxy::hasSameDescription).isEmpty();
-        return answer;
+        return viewLease;
     }
 
     /** Expires leases, publishes changes and steps the groups. Returns the effects to execute, by group. */
--- a/control/src/main/java/org/hornbeamspread/control/failover/ProposalBatcher.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/ProposalBatcher.java
@@ -16,7 +16,7 @@
 
 /**
  * Batches the appends of all groups in one step into one log record of each kind, so that the loss of a failure domain,
- * which affects many groups at once, needs few records. Confined to the coordinator's thread.
+ * which affects many groups simultaneously, needs few records. Confined to the coordinator's thread.
  */
 final class ProposalBatcher {
     private final ReplicatedLog log;
--- a/control/src/main/java/org/hornbeamspread/control/operations/Operations.java
+++ b/control/src/main/java/org/hornbeamspread/control/operations/Operations.java
@@ -123,20 +123,20 @@
                         .setExpectedVersion(request.getExpectedVersion()))
                 .build();
         return log.propose(command).thenApply(result -> {
-            ApplyConfigurationResponse.Builder answer = ApplyConfigurationResponse.newBuilder()
+            ApplyConfigurationResponse.Builder response = ApplyConfigurationResponse.newBuilder()
                     .setVersion(result.version())
                     .setReplayed(result.replayed());
             result.failure()
                     .ifPresentOrElse(
-                            failure -> answer.setFailure(Envelopes.failure(failure)),
-                            () -> answer.addAllChanges(result.replayed() ? List.of() : changes));
-            return answer.build();
+                            failure -> response.setFailure(Envelopes.failure(failure)),
+                            () -> response.addAllChanges(result.replayed() ? List.of() : changes));
+            return response.build();
         });
     }
 
     private ApplyConfigurationResponse dryRun(ApplyConfigurationRequest request, List<String> changes) {
         long version = state.get().getConfiguration().getVersion();
-        ApplyConfigurationResponse.Builder answer =
+        ApplyConfigurationResponse.Builder response =
                 ApplyConfigurationResponse.newBuilder().setVersion(version);
         Optional<FailureException> refusal = request.getExpectedVersion() == version
                 ? ConfigurationValidator.check(ConfigurationCodec.declared(request.getConfiguration()))
@@ -144,8 +144,8 @@
                         FailureType.VERSION_CONFLICT,
                         "expected " + request.getExpectedVersion() + ", current " + version));
         refusal.ifPresentOrElse(
-                failure -> answer.setFailure(Envelopes.failure(failure)), () -> answer.addAllChanges(changes));
-        return answer.build();
+                failure -> response.setFailure(Envelopes.failure(failure)), () -> response.addAllChanges(changes));
+        return response.build();
     }
 
     private CompletableFuture<Configuration> getConfiguration() {
@@ -207,9 +207,9 @@
     }
 
     private static OperationResponse toResponse(CommandResult result) {
-        OperationResponse.Builder answer = OperationResponse.newBuilder().setReplayed(result.replayed());
-        result.failure().ifPresent(failure -> answer.setFailure(Envelopes.failure(failure)));
-        return answer.build();
+        OperationResponse.Builder response = OperationResponse.newBuilder().setReplayed(result.replayed());
+        result.failure().ifPresent(failure -> response.setFailure(Envelopes.failure(failure)));
+        return response.build();
     }
 
     private ControlCommand.Builder command(String requestId) {
--- a/control/src/main/java/org/hornbeamspread/control/routes/ControlMembership.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ControlMembership.java
@@ -21,10 +21,10 @@
 import org.hornbeamspread.transport.PeerTransport;
 
 /**
- * Adds and removes control members without an operator. A process without a leader for a while sends a join request to
- * the seeds; the leader adds it as a learner, and the log makes it a voter once it has caught up. A silent voter is
- * removed once enough other voters are reachable, so that a machine that has failed for good does not weaken the
- * majority.
+ * Adds and removes control members without an operator. A process that has had no leader for
+ * {@link #LEADERLESS_TIMEOUT_MS} sends a join request to the seeds; the leader adds the process as a learner, and makes
+ * it a voter once its log has caught up. A silent voter is removed once enough other voters are reachable, so that a
+ * machine that has failed permanently does not weaken the majority.
  */
 public final class ControlMembership implements AutoCloseable {
     /**
@@ -172,10 +172,10 @@
 
     private void sendJoinRequest(Endpoint endpoint, Envelope request, boolean followRedirect) {
         transport
-                .connect(endpoint, REQUEST_TIMEOUT, (peer, unexpectedRequest, answer) -> peer.close())
+                .connect(endpoint, REQUEST_TIMEOUT, (peer, unexpectedRequest, replyCallback) -> peer.close())
                 .thenCompose(
-                        peer -> peer.request(request, REQUEST_TIMEOUT).whenComplete((answer, error) -> peer.close()))
-                .whenComplete((answer, error) -> {
+                        peer -> peer.request(request, REQUEST_TIMEOUT).whenComplete((response, error) -> peer.close()))
+                .whenComplete((response, error) -> {
                     FailureException failure = error == null ? null : FailureException.of(error);
                     events.record(
                             "control_join_asked",
--- a/control/src/main/java/org/hornbeamspread/control/routes/ForwardingRouteOperations.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ForwardingRouteOperations.java
@@ -61,7 +61,7 @@
         return orForwardToLeader(
                 local.replaceRoutes(configuration),
                 changeRequest(SubmitChange.newBuilder().setConfiguration(configuration)),
-                answer -> answer.getChangeAccepted().getConfigurationVersion());
+                response -> response.getChangeAccepted().getConfigurationVersion());
     }
 
     @Override
@@ -79,7 +79,7 @@
         return orForwardToLeader(
                 local.announce(instance),
                 changeRequest(SubmitChange.newBuilder().setAnnouncement(RouteMessages.wire(instance))),
-                answer -> null);
+                response -> null);
     }
 
     @Override
@@ -87,22 +87,22 @@
         return orForwardToLeader(
                 local.depart(departure),
                 changeRequest(SubmitChange.newBuilder().setDeparture(RouteMessages.wire(departure))),
-                answer -> null);
+                response -> null);
     }
 
     @Override
-    public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
+    public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> replyCallback) {
         switch (request.getBodyCase()) {
             case WATCH_SYSTEM ->
-                local.watch(request.getWatchSystem(), reply -> answer.accept(withLeaderEndpoint(reply)));
-            case SUBMIT_CHANGE -> sendReply(applyChange(request.getSubmitChange()), answer);
+                local.watch(request.getWatchSystem(), reply -> replyCallback.accept(withLeaderEndpoint(reply)));
+            case SUBMIT_CHANGE -> sendReply(applyChange(request.getSubmitChange()), replyCallback);
             case READ_CONFIGURATION ->
                 sendReply(
                         local.readRoutes()
                                 .thenApply(routes -> Envelope.newBuilder()
                                         .setConfigurationRead(routes)
                                         .build()),
-                        answer);
+                        replyCallback);
             case JOIN_CONTROL ->
                 sendReply(
                         membership
@@ -110,9 +110,9 @@
                                 .thenApply(joined -> Envelope.newBuilder()
                                         .setJoinAccepted(JoinAccepted.getDefaultInstance())
                                         .build()),
-                        answer);
+                        replyCallback);
             default ->
-                answer.accept(Envelopes.failureEnvelope(new FailureException(
+                replyCallback.accept(Envelopes.failureEnvelope(new FailureException(
                         FailureType.UNKNOWN_METHOD, request.getBodyCase().name())));
         }
     }
@@ -141,8 +141,8 @@
         return Envelope.newBuilder().setSubmitChange(change).build();
     }
 
-    private void sendReply(CompletableFuture<Envelope> outcome, Consumer<Envelope> answer) {
-        outcome.whenComplete((envelope, error) -> answer.accept(
+    private void sendReply(CompletableFuture<Envelope> outcome, Consumer<Envelope> replyCallback) {
+        outcome.whenComplete((envelope, error) -> replyCallback.accept(
                 error == null ? envelope : withLeaderEndpoint(Envelopes.failureEnvelope(FailureException.of(error)))));
     }
 
@@ -190,10 +190,10 @@
                 leader,
                 (endpoint, existing) -> existing == null || isBroken(existing)
                         ? transport.connect(
-                                endpoint, CONNECT_TIMEOUT, (peer, unexpectedRequest, answer) -> peer.close())
+                                endpoint, CONNECT_TIMEOUT, (peer, unexpectedRequest, replyCallback) -> peer.close())
                         : existing);
         return connection.thenCompose(peer -> peer.request(request, FORWARD_TIMEOUT)
-                .whenComplete((answer, error) -> {
+                .whenComplete((response, error) -> {
                     if (error != null && FailureException.of(error).type() == FailureType.REQUEST_TIMEOUT) {
                         peer.close();
                     }
--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
@@ -98,10 +98,10 @@
         thread.offer(this::applyState);
     }
 
-    /** Handles a proxy's watch request. The answer is held until there is a change, for a limited time. */
-    public void watch(WatchSystem request, Consumer<Envelope> answer) {
-        if (!thread.offer(() -> onWatch(request, answer))) {
-            answer.accept(Envelopes.failureEnvelope(new FailureException(FailureType.RING_FULL, "routes")));
+    /** Handles a proxy's watch request. The response is held until there is a change, for a limited time. */
+    public void watch(WatchSystem request, Consumer<Envelope> replyCallback) {
+        if (!thread.offer(() -> onWatch(request, replyCallback))) {
+            replyCallback.accept(Envelopes.failureEnvelope(new FailureException(FailureType.RING_FULL, "routes")));
         }
     }
 
@@ -331,11 +331,11 @@
         promotions.tick(publishedState, registry, liveness.lastAnnouncedAtMs());
     }
 
-    private void onWatch(WatchSystem request, Consumer<Envelope> answer) {
+    private void onWatch(WatchSystem request, Consumer<Envelope> replyCallback) {
         if (leadership.isLeader()) {
-            watchingProxies.watch(request, answer);
+            watchingProxies.watch(request, replyCallback);
         } else {
-            answer.accept(Envelopes.failureEnvelope(notLeader()));
+            replyCallback.accept(Envelopes.failureEnvelope(notLeader()));
         }
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteDaemon.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteDaemon.java
@@ -144,9 +144,9 @@
     private record SharedPortHandler(ConsensusService log, PeerHandler routes) implements PeerHandler {
         @Override
         public void onRequest(
-                PeerConnection connection, Envelope request, java.util.function.Consumer<Envelope> answer) {
-            if (!log.handle(connection, request, answer)) {
-                routes.onRequest(connection, request, answer);
+                PeerConnection connection, Envelope request, java.util.function.Consumer<Envelope> replyCallback) {
+            if (!log.handle(connection, request, replyCallback)) {
+                routes.onRequest(connection, request, replyCallback);
             }
         }
     }
--- a/control/src/main/java/org/hornbeamspread/control/routes/ServicePromotions.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ServicePromotions.java
@@ -188,30 +188,30 @@
             if (discarded) {
                 return;
             }
-            GroupSnapshot current = snapshotSupplier.get();
-            for (SyncFailoverEffect effect : failover.step(current)) {
-                apply(effect, current);
+            GroupSnapshot snapshot = snapshotSupplier.get();
+            for (SyncFailoverEffect effect : failover.step(snapshot)) {
+                apply(effect, snapshot);
             }
             if (!settled && clock.millis() - evidenceLoggedAtMs > EVIDENCE_LOG_INTERVAL_MS) {
-                logEvidence(current);
+                logEvidence(snapshot);
             }
         }
 
         /** Logs the evidence on which an instance is chosen, or that shows why none can be chosen yet. */
-        private void logEvidence(GroupSnapshot current) {
+        private void logEvidence(GroupSnapshot snapshot) {
             evidenceLoggedAtMs = clock.millis();
             events.record(
                     "promotion_evidence",
                     "service",
                     service,
                     "token",
-                    current.token(),
+                    snapshot.token(),
                     "copies",
-                    failover.copyCount(current),
+                    failover.copyCount(snapshot),
                     "lost_copies",
-                    current.lostCopies(),
+                    snapshot.lostCopies(),
                     "answers",
-                    failover.describeStatuses(current));
+                    failover.describeStatuses(snapshot));
         }
 
         private GroupSnapshot snapshot(ControlState state) {
@@ -294,7 +294,7 @@
                     }));
         }
 
-        private void apply(SyncFailoverEffect effect, GroupSnapshot current) {
+        private void apply(SyncFailoverEffect effect, GroupSnapshot snapshot) {
             metrics.onPromotionStep(effect);
             if (!(effect instanceof SyncFailoverEffect.Resume)) {
                 events.record(
@@ -306,15 +306,16 @@
                         "outage_ms",
                         failover.outageMs(),
                         "proof_age_ms",
-                        current.primaryProofAgeMs(),
+                        snapshot.primaryProofAgeMs(),
                         "stalled_write_ms",
-                        current.stalledWriteMs());
+                        snapshot.stalledWriteMs());
             }
             if (effect instanceof SyncFailoverEffect.RaiseToken raise) {
                 commitGroupTerm(raise.expectedToken(), raise.expectedToken() + 1, "", false, raise.unsettledChoices());
             } else if (effect instanceof SyncFailoverEffect.Choose choose) {
-                logEvidence(current);
-                commitGroupTerm(choose.token(), choose.token(), choose.instanceId(), false, current.unsettledChoices());
+                logEvidence(snapshot);
+                commitGroupTerm(
+                        choose.token(), choose.token(), choose.instanceId(), false, snapshot.unsettledChoices());
             } else if (effect instanceof SyncFailoverEffect.Conclude conclude) {
                 concludedAtMs = clock.millis();
                 commitGroupTerm(conclude.token(), conclude.token(), conclude.instanceId(), true, Set.of());
--- a/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
@@ -24,11 +24,11 @@
 
 /**
  * The proxies that watch the leader. Each keeps one watch request open, which is answered on a change or at the end of
- * its hold time. A change therefore reaches every proxy immediately, and a proxy that receives no answer detects that
- * the leader is gone.
+ * its hold time. A change therefore reaches every proxy immediately, and a proxy that receives no response detects that
+ * the leader is lost.
  */
 final class WatchingProxies {
-    /** Shorter than a proxy's timeout for the answer. */
+    /** Shorter than a proxy's timeout for the response. */
     private static final long MAX_HOLD_MS = 800;
 
     private static final long MIN_HOLD_MS = 250;
@@ -111,11 +111,11 @@
         latestUpdate = SystemUpdate.getDefaultInstance();
     }
 
-    void watch(WatchSystem request, Consumer<Envelope> answer) {
+    void watch(WatchSystem request, Consumer<Envelope> callback) {
         Watcher watcher = watchers.computeIfAbsent(request.getProxyId(), id -> new Watcher());
         watcher.request = request;
         watcher.receivedAtMs = clock.millis();
-        watcher.replyCallback = Optional.of(answer);
+        watcher.replyCallback = Optional.of(callback);
         if (!isUpToDate(request) || request.getPositionsWanted()) {
             sendUpdate(watcher);
         }
@@ -183,7 +183,7 @@
 
     void refuseAll(FailureException failure) {
         watchers.values().forEach(watcher -> {
-            watcher.replyCallback.ifPresent(answer -> answer.accept(Envelopes.failureEnvelope(failure)));
+            watcher.replyCallback.ifPresent(callback -> callback.accept(Envelopes.failureEnvelope(failure)));
         });
         watchers.clear();
     }
@@ -242,10 +242,10 @@
         if (request.getConfigurationVersion() < state.getRoutes().getVersion()) {
             update.setConfiguration(state.getRoutes().toBuilder().clearSource());
         }
-        Optional<Consumer<Envelope>> pendingAnswer = watcher.replyCallback;
+        Optional<Consumer<Envelope>> replyCallback = watcher.replyCallback;
         watcher.replyCallback = Optional.empty();
-        pendingAnswer.ifPresent(answer ->
-                answer.accept(Envelope.newBuilder().setSystemUpdate(update).build()));
+        replyCallback.ifPresent(callback ->
+                callback.accept(Envelope.newBuilder().setSystemUpdate(update).build()));
     }
 
     private void addPositions(SystemUpdate.Builder update) {
@@ -264,7 +264,7 @@
         private WatchSystem request = WatchSystem.getDefaultInstance();
         private long receivedAtMs;
 
-        /** Receives the answer to the open watch request; empty once it is answered. */
+        /** Receives the response to the open watch request; empty when no request is open. */
         private Optional<Consumer<Envelope>> replyCallback = Optional.empty();
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/view/ClusterGuard.java
+++ b/control/src/main/java/org/hornbeamspread/control/view/ClusterGuard.java
@@ -27,14 +27,14 @@
     }
 
     @Override
-    public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
+    public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> replyCallback) {
         if (request.hasRenewView() && isOtherCluster(request.getRenewView().getClusterId())) {
-            answer.accept(Envelopes.failureEnvelope(new FailureException(
+            replyCallback.accept(Envelopes.failureEnvelope(new FailureException(
                     FailureType.WRONG_CLUSTER,
                     request.getRenewView().getClusterId() + " is not the id of this cluster, " + clusterId)));
             return;
         }
-        delegate.onRequest(connection, request, answer);
+        delegate.onRequest(connection, request, replyCallback);
     }
 
     @Override
--- a/control/src/main/java/org/hornbeamspread/control/view/ViewPublisher.java
+++ b/control/src/main/java/org/hornbeamspread/control/view/ViewPublisher.java
@@ -118,22 +118,22 @@
     public ViewLease grant(LiveProxy proxy, RenewView request, Instant arrivedAt) {
         long heldVersion = heldVersion(request);
         leases.grant(proxy.proxyId(), proxy, version(), arrivedAt);
-        ViewLease.Builder answer = ViewLease.newBuilder()
+        ViewLease.Builder response = ViewLease.newBuilder()
                 .setLeaderTerm(leaderTerm)
                 .setViewVersion(version())
                 .setLeaseMs((int) lease.toMillis())
                 .setFull(heldVersion == 0)
                 .addAllGroups(groups.changesSince(heldVersion));
         if (heldVersion != 0) {
-            answer.addAllRemovedGroups(groups.removedSince(heldVersion));
+            response.addAllRemovedGroups(groups.removedSince(heldVersion));
         }
         if (configurationVersion > heldVersion || heldVersion == 0) {
-            answer.setConfiguration(configuration);
+            response.setConfiguration(configuration);
         }
         if (proxiesVersion > heldVersion || heldVersion == 0) {
-            answer.setProxiesChanged(true).addAllProxies(proxies());
+            response.setProxiesChanged(true).addAllProxies(proxies());
         }
-        return answer.build();
+        return response.build();
     }
 
     private static List<ProxyEntry> toWire(Collection<LiveProxy> proxies) {
--- a/control/src/test/java/org/hornbeamspread/control/consensus/LogCluster.java
+++ b/control/src/test/java/org/hornbeamspread/control/consensus/LogCluster.java
@@ -148,10 +148,10 @@
     ControlMember listen(String memberId) {
         AtomicReference<ConsensusService> handler = new AtomicReference<>();
         PeerServer server = transport
-                .listen(Endpoint.newBuilder().setHost("127.0.0.1").build(), (peer, request, answer) -> {
+                .listen(Endpoint.newBuilder().setHost("127.0.0.1").build(), (peer, request, replyCallback) -> {
                     ConsensusService log = handler.get();
                     if (log != null) {
-                        log.handle(peer, request, answer);
+                        log.handle(peer, request, replyCallback);
                     }
                 })
                 .join();
--- a/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/ControlFixture.java
@@ -166,9 +166,9 @@
             if (!proxy.partitioned && steps % ANNOUNCE_INTERVAL_STEPS == i) {
                 RenewView request = proxy.renewalRequest();
                 session.recordRenewal(request, ViewMessages.proxy(request.getProxy()));
-                ViewLease answer = session.grant(request, ViewMessages.proxy(request.getProxy()), clock.instant());
+                ViewLease viewLease = session.grant(request, ViewMessages.proxy(request.getProxy()), clock.instant());
                 if (!proxy.responsesLost) {
-                    proxy.receiveLease(answer, clock.instant());
+                    proxy.receiveLease(viewLease, clock.instant());
                 }
             }
         }
--- a/control/src/test/java/org/hornbeamspread/control/failover/CoordinatorTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/CoordinatorTest.java
@@ -75,13 +75,13 @@
         PeerServer server = transport.listen(LOOPBACK, coordinator).join();
         Endpoint endpoint = LOOPBACK.toBuilder().setPort(server.port()).build();
         PeerConnection connection = transport
-                .connect(endpoint, TIMEOUT, (peer, frame, answer) -> {})
+                .connect(endpoint, TIMEOUT, (peer, frame, replyCallback) -> {})
                 .join();
         return connection
                 .request(request, TIMEOUT)
-                .handle((answer, error) -> {
+                .handle((response, error) -> {
                     if (error == null) {
-                        return answer.hasViewLease() ? "lease" : "other";
+                        return response.hasViewLease() ? "lease" : "other";
                     }
                     FailureException failure = FailureException.of(error);
                     return failure.type() == FailureType.NOT_LEADER
--- a/control/src/test/java/org/hornbeamspread/control/failover/FakeProxy.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/FakeProxy.java
@@ -55,15 +55,15 @@
         return request.build();
     }
 
-    void receiveLease(ViewLease answer, Instant sentAt) {
-        if (answer.getFull()) {
+    void receiveLease(ViewLease viewLease, Instant sentAt) {
+        if (viewLease.getFull()) {
             groups.clear();
         }
-        answer.getRemovedGroupsList().forEach(groups::remove);
-        answer.getGroupsList().forEach(group -> groups.put(group.getGroup(), group));
-        leaderTerm = answer.getLeaderTerm();
-        viewVersion = answer.getViewVersion();
-        leaseExpiresAt = sentAt.plusMillis(answer.getLeaseMs());
+        viewLease.getRemovedGroupsList().forEach(groups::remove);
+        viewLease.getGroupsList().forEach(group -> groups.put(group.getGroup(), group));
+        leaderTerm = viewLease.getLeaderTerm();
+        viewVersion = viewLease.getViewVersion();
+        leaseExpiresAt = sentAt.plusMillis(viewLease.getLeaseMs());
     }
 
     boolean hasValidLease() {
--- a/control/src/test/java/org/hornbeamspread/control/failover/LeaderSessionBenchmark.java
+++ b/control/src/test/java/org/hornbeamspread/control/failover/LeaderSessionBenchmark.java
@@ -159,8 +159,8 @@
         RenewView renewal = Envelope.parseFrom(request).getRenewView();
         LiveProxy proxy = ViewMessages.proxy(renewal.getProxy());
         session.recordRenewal(renewal, proxy);
-        ViewLease answer = session.grant(renewal, proxy, clock.instant().plusSeconds(600));
-        encodedBytes += Envelope.newBuilder().setViewLease(answer).build().toByteArray().length;
+        ViewLease viewLease = session.grant(renewal, proxy, clock.instant().plusSeconds(600));
+        encodedBytes += Envelope.newBuilder().setViewLease(viewLease).build().toByteArray().length;
     }
 
     private double timeAnnouncements() throws InvalidProtocolBufferException {
--- a/control/src/test/java/org/hornbeamspread/control/routes/RouteControlTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/RouteControlTest.java
@@ -102,15 +102,15 @@
     /** Sends watch requests as a proxy does until exactly these instances are published. */
     private void awaitPublished(String... ids) {
         do {
-            CompletableFuture<Envelope> answer = new CompletableFuture<>();
+            CompletableFuture<Envelope> response = new CompletableFuture<>();
             control.watch(
                     WatchSystem.newBuilder()
                             .setProxyId("proxy")
                             .setLeaderTerm(latestUpdate.getLeaderTerm())
                             .setSystemVersion(latestUpdate.getSystemVersion())
                             .build(),
-                    answer::complete);
-            latestUpdate = answer.orTimeout(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+                    response::complete);
+            latestUpdate = response.orTimeout(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS)
                     .join()
                     .getSystemUpdate();
         } while (!publishedIds().equals(Set.of(ids)));
--- a/control/src/test/java/org/hornbeamspread/control/routes/RouteDaemonTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/RouteDaemonTest.java
@@ -156,7 +156,7 @@
     private int freePort() {
         Endpoint anyPort = Endpoint.newBuilder().setHost("127.0.0.1").build();
         try (org.hornbeamspread.transport.PeerServer server = transport
-                .listen(anyPort, (connection, request, answer) -> connection.close())
+                .listen(anyPort, (connection, request, replyCallback) -> connection.close())
                 .join()) {
             return server.port();
         }
@@ -203,10 +203,10 @@
                     .setWatchSystem(WatchSystem.newBuilder().setProxyId("p1"))
                     .build();
             return transport
-                    .connect(peer, ATTEMPT_TIMEOUT, (connection, request, answer) -> connection.close())
+                    .connect(peer, ATTEMPT_TIMEOUT, (connection, request, replyCallback) -> connection.close())
                     .thenCompose((PeerConnection connection) -> connection
                             .request(watchRequest, ATTEMPT_TIMEOUT)
-                            .whenComplete((answer, error) -> connection.close()))
+                            .whenComplete((response, error) -> connection.close()))
                     .thenApply(Envelope::getSystemUpdate)
                     .thenApply(update -> {
                         if (!condition.test(update)) {
--- a/control/src/test/java/org/hornbeamspread/control/routes/WatchingProxiesTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/routes/WatchingProxiesTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A change that is not sent to a proxy at once leaves it with an outdated primary, position or configuration; wrongly
+ * A change that is not sent to a proxy immediately leaves the proxy with an outdated primary, position or configuration; wrongly
  * counted observations let control replace a working primary, or keep one that proxies can't reach.
  */
 final class WatchingProxiesTest {
--- a/control/src/test/java/org/hornbeamspread/control/view/ClusterGuardTest.java
+++ b/control/src/test/java/org/hornbeamspread/control/view/ClusterGuardTest.java
@@ -34,8 +34,8 @@
     void onlyRenewalsOfThisClusterAreAccepted(String clusterId, boolean accepted) {
         try (PeerTransport transport = new PeerTransport(1)) {
             PeerConnection connection = connect(transport, new RecordingHandler());
-            CompletableFuture<Envelope> answer = connection.request(renewal(clusterId), TIMEOUT);
-            FailureType failure = answer.handle((lease, error) ->
+            CompletableFuture<Envelope> response = connection.request(renewal(clusterId), TIMEOUT);
+            FailureType failure = response.handle((lease, error) ->
                             error == null ? null : FailureException.of(error).type())
                     .join();
             assertThat(failure).isEqualTo(accepted ? null : FailureType.WRONG_CLUSTER);
@@ -78,8 +78,8 @@
         private final LinkedBlockingQueue<String> announced = new LinkedBlockingQueue<>();
 
         @Override
-        public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> answer) {
-            answer.accept(Envelope.newBuilder()
+        public void onRequest(PeerConnection connection, Envelope request, Consumer<Envelope> replyCallback) {
+            replyCallback.accept(Envelope.newBuilder()
                     .setViewLease(ViewLease.getDefaultInstance())
                     .build());
         }
--- a/core/src/main/java/org/hornbeamspread/core/acknowledgement/LogStatusReport.java
+++ b/core/src/main/java/org/hornbeamspread/core/acknowledgement/LogStatusReport.java
@@ -7,8 +7,8 @@
  *
  * @param databaseId the database's id
  * @param incarnation increased whenever the database may have lost its disk
- * @param term the highest term at which the database was fenced, promoted or told to follow
- * @param followedTerm the last term whose log the database accepted
+ * @param term the highest term at which the database was fenced, promoted or ordered to follow a primary
+ * @param followedTerm the latest term whose log the database accepted
  * @param trusted false from the loss of the disk until the database is readmitted
  * @param synced the position of the last synced log entry
  */
--- a/core/src/main/java/org/hornbeamspread/core/admission/AdaptiveConnectionLimit.java
+++ b/core/src/main/java/org/hornbeamspread/core/admission/AdaptiveConnectionLimit.java
@@ -4,13 +4,13 @@
  * Limits the connections that one proxy holds to a database that refuses further ones, because its connection limit is
  * reached.
  *
- * <p>Guards against the shortage of connections after several proxies lose power together and restart at once. The
+ * <p>Guards against the shortage of connections after several proxies lose power and restart simultaneously. The
  * database drops the connections of a failed machine only seconds later, and accepts few new ones until then. A proxy
  * that treated a refusal as an outage would leave the connections that it did open idle. A proxy that tried to open a
  * connection for each statement would make every statement wait for a refusal.
  *
  * <p>A refusal therefore lowers the effective limit to the number of open connections. While requests wait, the proxy
- * probes for one more connection from time to time, independently of any request, and probes again at once after a
+ * probes for one more connection at intervals, independently of any request, and probes again immediately after a
  * success. Confined to one thread.
  */
 public final class AdaptiveConnectionLimit {
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Bootstrap.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Bootstrap.java
@@ -8,16 +8,16 @@
 /**
  * Bootstraps a log, and prevents a member that lost its disk from bootstrapping it again or voting.
  *
- * <p>A member with an empty disk cannot tell a new log from the loss of its own votes and records. Each member
+ * <p>A member with an empty disk cannot distinguish a new log from the loss of its own votes and records. Each member
  * therefore draws an incarnation when its disk is empty and sends an introduction to the others. The bootstrap member,
- * the first of the initial members by name, forms the log once every other member has answered its present incarnation
+ * the first of the initial members by name, creates the log once every other member has replied to its current incarnation
  * that it has neither voted nor stored a record either: nothing can then have been committed, since a majority would
  * hold it. These members with their incarnations are the membership before the first record. The other members receive
  * it in the responses of members that have it.
  *
  * <p>A member votes only once the initial membership or its own log contains its incarnation, and votes and copies are
  * counted by incarnation. Neither contains a member that lost its disk: it follows as a learner until the log records
- * its new incarnation. There is only one bootstrap member because two members that formed the log independently, from
+ * its new incarnation. There is only one bootstrap member because two members that created the log independently, from
  * stale responses, could count two incarnations of a third member.
  */
 final class Bootstrap {
@@ -29,7 +29,7 @@
 
     private final Map<String, Long> blankIncarnations = new TreeMap<>();
 
-    /** The members that the log was bootstrapped with; present once they are known to contain this incarnation. */
+    /** The members that the log was bootstrapped with; present once they are proven to contain this incarnation. */
     private Optional<Membership> initialMembership;
 
     private long nextIntroduceMs;
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Election.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Election.java
@@ -56,7 +56,7 @@
         grants.clear();
     }
 
-    /** Starts a campaign. True when the member wins it at once, as a sole voter does. */
+    /** Starts a campaign. Returns true when the member wins it immediately, as a sole voter does. */
     boolean campaign() {
         if (!state.isEnabled(ConsensusRule.PRE_VOTE)) {
             return startVote();
--- a/core/src/main/java/org/hornbeamspread/core/consensus/Message.java
+++ b/core/src/main/java/org/hornbeamspread/core/consensus/Message.java
@@ -14,7 +14,7 @@
      * @param candidateId the candidate
      * @param lastIndex the index of the candidate's last record
      * @param lastTerm that record's term
-     * @param preVote whether this is a pre-vote, which only asks whether a vote would be granted
+     * @param preVote whether this is a pre-vote, which only checks whether a vote would be granted
      */
     record VoteRequest(long term, String candidateId, long lastIndex, long lastTerm, boolean preVote)
             implements Message {}
--- a/core/src/main/java/org/hornbeamspread/core/failover/FailureDetector.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FailureDetector.java
@@ -137,8 +137,8 @@
         private Instant lastContactAt;
         private boolean connectionFailed;
 
-        DatabaseHealth(Instant heardAt) {
-            this.lastContactAt = heardAt;
+        DatabaseHealth(Instant contactAt) {
+            this.lastContactAt = contactAt;
         }
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
@@ -27,9 +27,9 @@
     /** The incarnation of each database that follows at the current term. */
     private final Map<String, Long> followingIncarnations = new HashMap<>();
 
-    Followers(PromotionRules rules, CommandThrottle commands) {
+    Followers(PromotionRules rules, CommandThrottle throttle) {
         this.rules = rules;
-        this.throttle = commands;
+        this.throttle = throttle;
     }
 
     /** The registrations to append to the log next. */
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Registers the first databases that announce themselves as the members of the group. With nothing in control's log, trust
-     * follows from what the databases report: each is trusted if all are empty, else if it reports to be trusted at a term.
+     * Registers the first databases that announce themselves as the members of the group. Without registrations in the control log,
+     * trust is derived from the databases' reports: each is trusted if all are empty, else if it reports to be trusted at a term.
      */
     private Optional<FailoverEffect> registerInitialMembers(FailoverInput input) {
         if (input.statuses().size() < input.declaredDatabases()) {
--- a/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
@@ -16,7 +16,7 @@
 /**
  * Decides when the primary of one database group is replaced, and by which database.
  *
- * <p>Replication is asynchronous, and only this class orders promotions. Three faults can lose an acknowledged write: a
+ * <p>Replication is asynchronous, and only this class starts promotions. Three faults can lose an acknowledged write: a
  * new primary that lacks the write, an old primary that still collects acknowledgements, and a proxy that acknowledges
  * writes under an outdated view. The steps of a promotion exclude these faults in this order:
  *
--- a/core/src/main/java/org/hornbeamspread/core/failover/ReplicaCoverage.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/ReplicaCoverage.java
@@ -16,8 +16,8 @@
  * Determines up to which time every acknowledged commit is held by the primary and a present replica.
  *
  * <p>An acknowledged commit is held by the primary and at least one replica. When that replica's log is lost, or the replica is
- * unreachable and may be gone, the primary alone holds the commit, and a fencing quorum without the primary proves nothing. The
- * quorum is a proof again once another replica has received the position that the primary had after the loss. Confined to one
+ * unreachable and may have lost its log, the primary alone holds the commit, and a fencing quorum without the primary proves nothing.
+ * The quorum is a proof again once another replica has received the position that the primary had after the loss. Confined to one
  * thread.
  */
 final class ReplicaCoverage {
--- a/core/src/main/java/org/hornbeamspread/core/failover/SyncFailoverTimings.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/SyncFailoverTimings.java
@@ -12,9 +12,9 @@
  * @param commandRetryIntervalMs time between two attempts of one command
  * @param maxStatusAgeMs database statuses older than this do not count in the choice of a candidate
  * @param maxCandidateSilenceMs a database that has not announced itself for this long is not considered as a candidate
- * @param silenceMs a replica that has not announced itself for this long counts as gone, provided that other members hold
+ * @param silenceMs a replica that has not announced itself for this long counts as lost, provided that other members hold
  *     every commit that the replica may hold
- * @param coverageCheckIntervalMs interval at which that condition is checked while a replica counts as gone
+ * @param coverageCheckIntervalMs interval at which that condition is checked while a replica counts as lost
  */
 public record SyncFailoverTimings(
         long detectionMs,
--- a/core/src/main/java/org/hornbeamspread/core/failover/SyncGroupFailover.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/SyncGroupFailover.java
@@ -109,7 +109,7 @@
      * A member of the group.
      *
      * @param instanceId the member's id
-     * @param draining whether the member is about to leave
+     * @param draining whether the member is draining before it departs
      * @param primary whether the member reports that it is the primary
      * @param silentMs time since the member's last announcement to this leader
      * @param logUnproven whether another incarnation at the member's address was lost, possibly with acknowledged commits
--- a/core/src/main/java/org/hornbeamspread/core/membership/AnnouncedDatabase.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/AnnouncedDatabase.java
@@ -12,7 +12,7 @@
  * @param region the database's region
  * @param slots the number of statements that the database runs concurrently
  * @param connectionLimit the number of connections that the database accepts
- * @param departing whether the database has asked to receive no new work
+ * @param departing whether the database is departing, and must receive no new work
  * @param status the database's term, role and log positions
  */
 public record AnnouncedDatabase(
@@ -27,7 +27,7 @@
     /** Checks that the group's name is set. */
     public AnnouncedDatabase {
         if (group.isEmpty()) {
-            throw new FailureException(FailureType.INVALID_REQUEST, "a database without a group");
+            throw new FailureException(FailureType.INVALID_REQUEST, "database group is empty");
         }
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/membership/DatabaseRegistry.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/DatabaseRegistry.java
@@ -161,9 +161,9 @@
         private Instant lastContactAt;
         private boolean reachable = true;
 
-        Entry(AnnouncedDatabase database, Instant heardAt) {
+        Entry(AnnouncedDatabase database, Instant contactAt) {
             this.database = database;
-            this.lastContactAt = heardAt;
+            this.lastContactAt = contactAt;
         }
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/membership/DatabaseStatus.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/DatabaseStatus.java
@@ -26,10 +26,10 @@
         LogPosition synced,
         Optional<LogPosition> marker,
         boolean trusted) {
-    /** Checks that the name is set. */
+    /** Validates that the name is not empty. */
     public DatabaseStatus {
         if (databaseId.isEmpty()) {
-            throw new FailureException(FailureType.INVALID_REQUEST, "a database without a name");
+            throw new FailureException(FailureType.INVALID_REQUEST, "database name is empty");
         }
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/membership/LiveProxy.java
+++ b/core/src/main/java/org/hornbeamspread/core/membership/LiveProxy.java
@@ -24,10 +24,10 @@
         long configurationVersion,
         boolean draining,
         long incarnation) {
-    /** Checks that the name is set. */
+    /** Validates that the name is not empty. */
     public LiveProxy {
         if (proxyId.isEmpty()) {
-            throw new FailureException(FailureType.INVALID_REQUEST, "a proxy without a name");
+            throw new FailureException(FailureType.INVALID_REQUEST, "proxy name is empty");
         }
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/placement/InstanceSelector.java
+++ b/core/src/main/java/org/hornbeamspread/core/placement/InstanceSelector.java
@@ -26,7 +26,7 @@
      * @param roundTripMs network round-trip time
      * @param serviceMs recent service time of a statement, including the wait in the database's own queue
      * @param outstanding statements of this proxy that wait or run there
-     * @param concurrencyLimit statements of this proxy that may run there at once
+     * @param concurrencyLimit the number of statements of this proxy that may run there concurrently
      * @param silentMs time without a response while requests are pending
      * @param expectedFailureCostMs expected cost of a failed attempt
      */
--- a/core/src/main/java/org/hornbeamspread/core/placement/ProxyCountEstimate.java
+++ b/core/src/main/java/org/hornbeamspread/core/placement/ProxyCountEstimate.java
@@ -7,9 +7,9 @@
  * Estimates how many proxies share a database's connections, preferring an estimate that is too high.
  *
  * <p>Guards against the low count of a control leader that has just taken over and has received messages from few
- * proxies yet. A proxy that applied that count at once would open far more connections than its share, the databases
+ * proxies yet. A proxy that applied that count immediately would open far more connections than its share, the databases
  * would refuse connections to all proxies, and the statements of the other proxies would fail. So a higher count
- * applies at once, and a lower one only once the higher one has not been reported for a while. A proxy that has just
+ * applies immediately, and a lower one only once the higher one has not been reported for some time. A proxy that has just
  * started begins with an assumed count, since the leader may have just started, too. Confined to one thread.
  */
 public final class ProxyCountEstimate {
--- a/core/src/main/java/org/hornbeamspread/core/route/InstanceRegistry.java
+++ b/core/src/main/java/org/hornbeamspread/core/route/InstanceRegistry.java
@@ -23,7 +23,7 @@
  * recovered.
  */
 public final class InstanceRegistry {
-    /** Limit on retained departures: twice the number of databases that depart at once in the largest group. */
+    /** Limit on retained departures: twice the number of databases that depart simultaneously in the largest group. */
     private static final int MAX_RETAINED_DEPARTURES = 1_024;
 
     private final NavigableMap<String, DatabaseInstance> instances = new TreeMap<>();
--- a/core/src/main/java/org/hornbeamspread/core/routing/ReplicationLag.java
+++ b/core/src/main/java/org/hornbeamspread/core/routing/ReplicationLag.java
@@ -43,7 +43,7 @@
 
     /**
      * The usual lag, at least the time for which the oldest write still missing at the replica has waited; empty when
-     * nothing is known.
+     * there is no sample and no missing write.
      */
     public Optional<Duration> typicalLag(Instant now) {
         long waitedNs = pendingPositions.isEmpty()
--- a/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusNodeTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/consensus/ConsensusNodeTest.java
@@ -187,7 +187,7 @@
 
     /**
      * The restarted member may have acknowledged a leader just before it stopped, and that leader relies on having no
-     * successor for a while.
+     * successor for a limited time.
      */
     @Test
     void aRestartedMemberGrantsVotesOnlyAfterADelay() {
--- a/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
@@ -22,7 +22,7 @@
  * A random history of one group under changing control leaders. Databases crash, restart, drain, become unreachable and fall
  * behind; responses and announcements are lost; promotion requests are carried out late and take effect after a delay; the
  * leader changes at any point. If logs can be lost, databases also restart empty, under the same id or another, and the
- * log of a database that leaves is lost.
+ * log of a database that departs is lost.
  *
  * <p>Two cases are left out, because no order of steps can cover them. A replica restarts, which ends its pause, or joins, and
  * receives from an old primary that control cannot reach, while the promotion of another replica is still to be carried out or
@@ -233,7 +233,7 @@
         return databases.stream().filter(database -> database.primary).findFirst();
     }
 
-    /** Appends an entry at the primary. Receiving replicas catch up at once or some steps later; one of them is enough. */
+    /** Appends an entry at the primary. Receiving replicas catch up immediately or some steps later; one of them is enough. */
     private void appendAndReplicate() {
         Optional<SimulatedDatabase> primary = primary().filter(database -> database.up);
         if (primary.isEmpty()) {
--- a/core/src/test/java/org/hornbeamspread/core/failover/SyncGroupFailoverTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/SyncGroupFailoverTest.java
@@ -46,7 +46,7 @@
     private List<LostCopy> departedCopies = List.of();
     private Optional<PrimaryProof> proof = Optional.empty();
 
-    /** Answers the status request that a new leader sends to each replica once, to find paused ones. */
+    /** Answers the status request that a new leader sends to each replica once, to detect paused replicas. */
     @BeforeEach
     void reportReplicaStatuses() {
         failover.onStatus("a", replica(1, 1, 0));
@@ -343,7 +343,7 @@
         assertThat(hasChoice(step(1_100))).isEqualTo(expectedChoice);
     }
 
-    /** A database that leaves may acknowledge commits until its process ends, and its log is lost with it. */
+    /** A departing database may acknowledge commits until its process ends, and its log is lost with it. */
     @ParameterizedTest
     @CsvSource({"true, 1900, false", "true, 2400, true", "false, 400, true"})
     void lostCopyIsRecoveredOnceAReplicaCoversItsAcknowledgedCommits(
--- a/core/src/test/java/org/hornbeamspread/core/route/InstanceRegistryTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/route/InstanceRegistryTest.java
@@ -162,7 +162,7 @@
                         "a departure of an unregistered database", target -> target.depart(new Departure("c", 100))));
     }
 
-    /** The latest by start time, since a late announcement may register an earlier incarnation again for a while. */
+    /** The latest by start time, since a late announcement may temporarily register an earlier incarnation again. */
     @Test
     void onlyTheLatestLostCopyOfAnAddressIsKept() {
         registry.announce(REGISTERED);
