--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
@@ -335,7 +335,7 @@
 
     /**
      * Sets the incarnation and the right to vote of each member in a membership change, which the operator does not
-     * supply: present members keep both, a new member starts without a vote.
+     * supply: current members keep both, a new member starts without a vote.
      */
     private ControlCommand withMemberState(ControlCommand command) {
         if (!command.hasChangeMembers()) {
--- a/control/src/main/java/org/hornbeamspread/control/consensus/MemberDirectory.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/MemberDirectory.java
@@ -14,7 +14,7 @@
         update(members);
     }
 
-    /** Replaces the endpoints of the given members; a member without an endpoint keeps the present one. */
+    /** Replaces the endpoints of the given members; a member without an endpoint keeps the current one. */
     void update(List<ControlMember> updates) {
         updates.stream().filter(ControlMember::hasPeer).forEach(member -> members.put(member.getMemberId(), member));
     }
--- a/control/src/main/java/org/hornbeamspread/control/failover/DatabaseClients.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/DatabaseClients.java
@@ -171,6 +171,6 @@
 
     private static void refuseRequest(Consumer<Envelope> replyCallback) {
         replyCallback.accept(Envelopes.failureEnvelope(
-                new FailureException(FailureType.INVALID_REQUEST, "control accepts no requests on this connection")));
+                new FailureException(FailureType.INVALID_REQUEST, "control answers no requests on this connection")));
     }
 }
--- a/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
@@ -156,8 +156,8 @@
 
     /**
      * Records the contents of a renewal: the view version that the proxy holds, its observations of databases and,
-     * while leases of earlier leaders may still run, the databases that the proxy holds. Observations of another
-     * incarnation than the announced one are ignored.
+     * while leases of earlier leaders may still run, the databases that the proxy holds. Observations of an
+     * incarnation other than the announced one are ignored.
      */
     void recordRenewal(RenewView request, LiveProxy proxy) {
         view.leases().confirm(proxy.proxyId(), view.heldVersion(request));
--- a/control/src/main/java/org/hornbeamspread/control/operations/Operations.java
+++ b/control/src/main/java/org/hornbeamspread/control/operations/Operations.java
@@ -184,7 +184,7 @@
                 .thenApply(done -> OperationResponse.getDefaultInstance());
     }
 
-    /** Replaces a member by one that does not vote yet; the log makes the new member a voter once it has caught up. */
+    /** Replaces a member by one that does not vote yet; the leader makes it a voter once its log has caught up. */
     private CompletableFuture<OperationResponse> replaceControlMember(ReplaceControlMemberRequest request) {
         List<ControlMember> current = members.get();
         ChangeMembers.Builder changedMembers = ChangeMembers.newBuilder();
--- a/control/src/main/java/org/hornbeamspread/control/routes/DatabaseAdministration.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/DatabaseAdministration.java
@@ -23,6 +23,6 @@
     /** Returns the end of the instance's log if the instance proves to be the primary. */
     CompletableFuture<Optional<LogPosition>> probePrimary(DatabaseInstance instance);
 
-    /** Closes the connections to all other instances than the given ones. */
+    /** Closes the connections to all instances other than the given ones. */
     void retainConnections(java.util.Collection<DatabaseInstance> instances);
 }
--- a/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/RouteControl.java
@@ -278,8 +278,8 @@
     }
 
     /**
-     * Logs an event for each instance that joined, changed or left. Only the leader does, since they explain its
-     * decisions.
+     * Logs an event for each instance that joined, changed or departed. Only the leader logs these events, since they
+     * explain the leader's decisions.
      */
     private void logInstanceChanges(Collection<DatabaseInstance> before) {
         if (!leadership.isLeader()) {
--- a/control/src/main/java/org/hornbeamspread/control/routes/ServicePromotions.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ServicePromotions.java
@@ -93,7 +93,7 @@
         databases.retainConnections(List.of());
     }
 
-    /** Responses to requests of a discarded group may still arrive; they lead to no decision any more. */
+    /** Responses to requests of a discarded group may still arrive; they cause no further effects. */
     private void dropGroups() {
         groups.values().forEach(group -> group.discarded = true);
         groups.clear();
--- a/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
@@ -124,7 +124,7 @@
     /**
      * Replaces the published state, and answers the proxies that are not up to date.
      *
-     * @param visibleInstances those of its instances that are published to proxies
+     * @param visibleInstances the instances of the state that are published to proxies
      */
     void publish(ControlState newState, List<RegisteredInstance> visibleInstances, List<ControlMember> members) {
         state = newState;
--- a/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
+++ b/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
@@ -171,7 +171,7 @@
     }
 
     /**
-     * Whether a change expects the present term and keeps two rules: the term never decreases, and a term has at most
+     * Whether a change expects the current term and keeps two rules: the term never decreases, and a term has at most
      * one primary.
      */
     private static boolean isValidTransition(GroupTerm present, GroupTerm change) {
--- a/core/src/main/java/org/hornbeamspread/core/failover/FencingState.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FencingState.java
@@ -123,7 +123,7 @@
      * Returns an instance that certainly holds every acknowledged commit. The latest primary and one replica hold each of them.
      * Therefore any set of all members but one, whichever is missing, includes an instance that holds all of them, and a demoted
      * primary holds all of them too. The log of the candidate covers the logs of all members that responded, so that a demoted
-     * primary of an earlier term is not taken for the latest primary.
+     * primary of an earlier term is not mistaken for the latest primary.
      *
      * @param members current members
      * @param copies how many logs may hold an acknowledged commit: those of members, and lost ones
--- a/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
@@ -16,8 +16,8 @@
  *
  * <p>An old primary that returns reports a lower term; it is fenced, then follows. A database that lost its disk is first
  * registered as untrusted, and no command is sent to the database before that registration is committed. Otherwise the
- * database could restart with a term that it received in the meantime, and be taken for one that never lost its disk. It
- * follows like the other members, and is registered as trusted again once {@link PromotionRules#mayReadmit} holds. Confined
+ * database could restart with a term that it received in the meantime, and be mistaken for one that never lost its disk. The
+ * database follows like the other members, and is registered as trusted again once {@link PromotionRules#mayReadmit} holds. Confined
  * to one thread.
  */
 final class Followers {
@@ -112,8 +112,9 @@
     }
 
     /**
-     * Registers the first databases that announce themselves as the members of the group. Without registrations in the control log,
-     * trust is derived from the databases' reports: each is trusted if all are empty, else if it reports to be trusted at a term.
+     * Registers the first databases that announce themselves as the members of the group. Without registrations in the control
+     * log, trust is derived from the databases' reports: each database is trusted if all are empty, else if it reports to be
+     * trusted at a term.
      */
     private Optional<FailoverEffect> registerInitialMembers(FailoverInput input) {
         if (input.statuses().size() < input.declaredDatabases()) {
--- a/core/src/main/java/org/hornbeamspread/core/failover/ReplicaCoverage.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/ReplicaCoverage.java
@@ -16,9 +16,9 @@
  * Determines up to which time every acknowledged commit is held by the primary and a present replica.
  *
  * <p>An acknowledged commit is held by the primary and at least one replica. When that replica's log is lost, or the replica is
- * unreachable and may have lost its log, the primary alone holds the commit, and a fencing quorum without the primary proves nothing.
- * The quorum is a proof again once another replica has received the position that the primary had after the loss. Confined to one
- * thread.
+ * unreachable and may have lost its log, the primary alone holds the commit, and a fencing quorum without the primary proves
+ * nothing. The quorum is a proof again once another replica has received the position that the primary had after the loss.
+ * Confined to one thread.
  */
 final class ReplicaCoverage {
     /** A database that announced its departure acknowledges until its process ends: it may wait 1 s for a response, and retry. */
--- a/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
@@ -51,7 +51,7 @@
      * @param databases how many databases the group has
      * @param pauseTakesEffect false if replicas report that they are paused but continue to receive
      * @param promotionDelayMs how long an accepted promotion takes
-     * @param logsCanBeLost whether databases also restart empty, are replaced and leave
+     * @param logsCanBeLost whether databases also restart empty, are replaced and depart
      * @param newIdOnRestart whether a database that restarts with its log has a new id, as a new process
      */
     record Scenario(
