--- a/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/WatchingProxies.java
@@ -57,9 +57,9 @@
     private final ClockJumpDetector clockJumpDetector;
     private long clockEpoch;
 
-    WatchingProxies(Clock clock, ClockJumpDetector clockGuard) {
+    WatchingProxies(Clock clock, ClockJumpDetector clockJumpDetector) {
         this.clock = clock;
-        this.clockJumpDetector = clockGuard;
+        this.clockJumpDetector = clockJumpDetector;
     }
 
     /**
--- a/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
@@ -17,8 +17,8 @@
  * <p>An old primary that returns reports a lower term; it is fenced, then follows. A database that lost its disk is first
  * registered as untrusted, and no command is sent to the database before that registration is committed. Otherwise the
  * database could restart with a term that it received in the meantime, and be mistaken for one that never lost its disk. The
- * database follows like the other members, and is registered as trusted again once {@link PromotionRules#mayReadmit} holds. Confined
- * to one thread.
+ * database follows like the other members, and is registered as trusted again once {@link PromotionRules#mayReadmit} holds.
+ * Confined to one thread.
  */
 final class Followers {
     private final PromotionRules rules;
