--- a/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
+++ b/control/src/main/java/org/hornbeamspread/control/consensus/ConsensusLoop.java
@@ -135,7 +135,7 @@
         if (task instanceof ConsensusTask.Event event) {
             onEvent(event.event());
         } else if (task instanceof ConsensusTask.Request request) {
-            node.step(new ConsensusEvent.Received(request.message(), addPendingReply(request.answer())));
+            node.step(new ConsensusEvent.Received(request.message(), addPendingReply(request.replyCallback())));
         } else if (task instanceof ConsensusTask.Propose propose) {
             ControlCommand command = withMemberState(withProposalTime(propose.command()));
             long id = pendingProposals.add(propose.outcome());
@@ -196,9 +196,9 @@
         if (effect instanceof ConsensusEffect.Send send) {
             send(send.toMemberId(), send.message());
         } else if (effect instanceof ConsensusEffect.Reply reply) {
-            Consumer<Envelope> answer = pendingReplies.remove(reply.replyId());
-            if (answer != null) {
-                answer.accept(MessageCodec.envelope(reply.message(), directory.all()));
+            Consumer<Envelope> replyCallback = pendingReplies.remove(reply.replyId());
+            if (replyCallback != null) {
+                replyCallback.accept(MessageCodec.envelope(reply.message(), directory.all()));
             }
         } else if (effect instanceof ConsensusEffect.Persist persist) {
             diskWriter.persist(persist);
@@ -243,11 +243,11 @@
                         connections.send(member.getPeer(), MessageCodec.envelope(message, directory.all()), timeout));
     }
 
-    private long addPendingReply(Consumer<Envelope> answer) {
+    private long addPendingReply(Consumer<Envelope> replyCallback) {
         if (pendingReplies.size() >= MAX_PENDING_REPLIES) {
             pendingReplies.remove(pendingReplies.keySet().iterator().next());
         }
-        pendingReplies.put(nextReplyId, answer);
+        pendingReplies.put(nextReplyId, replyCallback);
         return nextReplyId++;
     }
 
@@ -335,7 +335,7 @@
 
     /**
      * Sets the incarnation and the right to vote of each member in a membership change, which the operator does not
-     * supply: present members keep both, a new member starts without a vote.
+     * supply: current members keep both, a new member starts without a vote.
      */
     private ControlCommand withMemberState(ControlCommand command) {
         if (!command.hasChangeMembers()) {
--- a/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
+++ b/control/src/main/java/org/hornbeamspread/control/failover/LeaderSession.java
@@ -156,8 +156,8 @@
 
     /**
      * Records the contents of a renewal: the view version that the proxy holds, its observations of databases and,
-     * while leases of earlier leaders may still run, the databases that the proxy holds. Observations of another
-     * incarnation than the announced one are ignored.
+     * while leases of earlier leaders may still run, the databases that the proxy holds. Observations of an
+     * incarnation other than the announced one are ignored.
      */
     void recordRenewal(RenewView request, LiveProxy proxy) {
         view.leases().confirm(proxy.proxyId(), view.heldVersion(request));
@@ -181,10 +181,10 @@
     /** Grants a lease on the current view. */
     ViewLease grant(RenewView request, LiveProxy proxy, Instant arrivedAt) {
         Optional<LiveProxy> previous = view.leases().find(proxy.proxyId());
-        ViewLease answer = view.grant(proxy, request, arrivedAt);
-        metrics.countLease(answer.getFull());
+        ViewLease viewLease = view.grant(proxy, request, arrivedAt);
+        metrics.countLease(viewLease.getFull());
         proxiesChanged |= previous.filter(proxy::hasSameDescription).isEmpty();
-        return answer;
+        return viewLease;
     }
 
     /** Expires leases, publishes changes and steps the groups. Returns the effects to execute, by group. */
--- a/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
@@ -16,20 +16,20 @@
  *
  * <p>An old primary that returns reports a lower term; it is fenced, then follows. A database that lost its disk is first
  * registered as untrusted, and no command is sent to the database before that registration is committed. Otherwise the
- * database could restart with a term that it received in the meantime, and be taken for one that never lost its disk. It
- * follows like the other members, and is registered as trusted again once {@link PromotionRules#mayReadmit} holds. Confined
- * to one thread.
+ * database could restart with a term that it received in the meantime, and be mistaken for one that never lost its disk. The
+ * database follows like the other members, and is registered as trusted again once {@link PromotionRules#mayReadmit} holds.
+ * Confined to one thread.
  */
 final class Followers {
     private final PromotionRules rules;
-    private final CommandThrottle commands;
+    private final CommandThrottle throttle;
 
     /** The incarnation of each database that follows at the current term. */
     private final Map<String, Long> followingIncarnations = new HashMap<>();
 
-    Followers(PromotionRules rules, CommandThrottle commands) {
+    Followers(PromotionRules rules, CommandThrottle throttle) {
         this.rules = rules;
-        this.commands = commands;
+        this.throttle = throttle;
     }
 
     /** The registrations to append to the log next. */
@@ -73,7 +73,7 @@
                 continue;
             }
             nextCommand(input, status, primary.get())
-                    .flatMap(commands::sendIfDue)
+                    .flatMap(throttle::sendIfDue)
                     .ifPresent(effects::add);
         }
         return effects;
@@ -112,8 +112,9 @@
     }
 
     /**
-     * Registers the first databases that announce themselves as the members of the group. With nothing in control's log, trust
-     * follows from what the databases report: each is trusted if all are empty, else if it reports to be trusted at a term.
+     * Registers the first databases that announce themselves as the members of the group. Without registrations in the control
+     * log, trust is derived from the databases' reports: each database is trusted if all are empty, else if it reports to be
+     * trusted at a term.
      */
     private Optional<FailoverEffect> registerInitialMembers(FailoverInput input) {
         if (input.statuses().size() < input.declaredDatabases()) {
