--- a/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
+++ b/control/src/main/java/org/hornbeamspread/control/state/ControlStateMachine.java
@@ -143,7 +143,7 @@
             case CHANGE_INSTANCES -> changeInstances(command.getChangeInstances());
             case NO_OPERATION -> Optional.empty();
             case COMMAND_NOT_SET ->
-                Optional.of(new FailureException(FailureType.INVALID_REQUEST, "unknown kind of command"));
+                Optional.of(new FailureException(FailureType.INVALID_REQUEST, "a command of no known kind"));
         };
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientSession.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientSession.java
@@ -60,7 +60,7 @@
             return;
         }
         if (pendingRequests.size() >= MAX_PENDING_REQUESTS) {
-            client.refuse(SqlError.TOO_LARGE, "too many requests without a response");
+            client.refuse(SqlError.TOO_LARGE, "too many requests without an answer");
             onClosed();
             return;
         }
@@ -205,7 +205,7 @@
 
     private void rollBack() {
         if (state == TransactionState.IDLE) {
-            reply(SqlResult.failure(SqlError.MALFORMED, "no transaction is open", state));
+            reply(SqlResult.failure(SqlError.MALFORMED, "no transaction", state));
             return;
         }
         endTransaction();
