--- a/core/src/main/java/org/hornbeamspread/core/placement/InstanceSelector.java
+++ b/core/src/main/java/org/hornbeamspread/core/placement/InstanceSelector.java
@@ -5,28 +5,30 @@
 import java.util.Optional;
 
 /**
- * Chooses the database for a statement by the time at which it is expected to end there.
+ * Selects the database instance for a statement by the earliest expected completion.
  *
- * <p>The load that it answers: a burst of reads, three databases of which one is slow, lagging or far. A fixed order of
- * preference fills the nearest while others idle; a random one sends a share across the region link for nothing. Here
- * each candidate is charged its network time, the statements that wait or run there by way of this proxy, and what
- * statements took there of late. One that owes answers and has given none for a while is charged that time once more: it may
- * have gone dark, and what hangs there does not raise what statements took. A candidate that is unlikely to hold the position that is asked for, or that refused of
- * late, is charged what trying it in vain would cost.
+ * <p>Spreads a burst of reads over, for example, three instances of which one is slow, lagging or in another region. A
+ * fixed order of preference fills the nearest instance while others are idle; a random order needlessly sends a part of
+ * the reads across regions. Here the expected completion at a candidate adds up its network time, the wait behind the
+ * statements of this proxy that wait or run there, and the recent service time of statements. A candidate that has
+ * pending requests, and has been silent for longer than a statement is expected to take, is charged the excess: the
+ * instance may be unresponsive, and statements that hang there do not raise the service time. A candidate that is
+ * unlikely to have applied the requested position, or that recently refused statements, is charged the expected cost of
+ * a failed attempt.
  */
 public final class InstanceSelector {
     private InstanceSelector() {}
 
     /**
-     * What is known of a candidate.
+     * An instance that may run the statement.
      *
-     * @param instanceId the database
-     * @param roundTripMs network time for one exchange
-     * @param serviceMs what a statement took there of late, with the database's own queue
+     * @param instanceId the id of the instance
+     * @param roundTripMs network round-trip time
+     * @param serviceMs recent service time of a statement, including the wait in the database's own queue
      * @param outstanding statements of this proxy that wait or run there
-     * @param parallel how many of them it runs at once
-     * @param silentMs for how long it has owed an answer without giving any
-     * @param penaltyMs expected cost of a vain attempt
+     * @param concurrencyLimit statements of this proxy that may run there at once
+     * @param silentMs time without a response while requests are pending
+     * @param expectedFailureCostMs expected cost of a failed attempt
      */
     public record Candidate(
             String instanceId,
@@ -36,15 +38,15 @@
             int concurrencyLimit,
             long silentMs,
             double expectedFailureCostMs) {
-        /** When a statement sent now is expected to end. */
+        /** Time until a statement sent now is expected to complete. */
         double expectedCompletionMs() {
             double waitMs = serviceMs * Math.max(0, outstanding - concurrencyLimit + 1) / Math.max(1, concurrencyLimit);
-            double darkMs = Math.max(0, silentMs - roundTripMs - serviceMs);
-            return roundTripMs + serviceMs + waitMs + darkMs + expectedFailureCostMs;
+            double excessSilenceMs = Math.max(0, silentMs - roundTripMs - serviceMs);
+            return roundTripMs + serviceMs + waitMs + excessSilenceMs + expectedFailureCostMs;
         }
     }
 
-    /** The candidate that is expected to end first; ties go to the earlier one. */
+    /** The candidate with the earliest expected completion; of equal candidates the first in the list. */
     public static Optional<Candidate> select(List<Candidate> candidates) {
         return candidates.stream().min(Comparator.comparingDouble(Candidate::expectedCompletionMs));
     }
--- a/core/src/main/java/org/hornbeamspread/core/placement/PositionSamples.java
+++ b/core/src/main/java/org/hornbeamspread/core/placement/PositionSamples.java
@@ -6,33 +6,34 @@
 import org.hornbeamspread.core.misc.LogPosition;
 
 /**
- * Bounds the age of replica reads.
+ * Bounds the staleness of reads at replicas.
  *
- * <p>A database that proves to be the primary while it answers tells its log's position. Every commit acknowledged before
- * that question was sent is at or before the position, so a log that holds it misses only later commits. A read that may
- * miss commits younger than an allowance thus asks for the position of a sample whose question is younger than that.
- * Of all such samples the oldest is asked for, since replicas are most likely to hold it.
+ * <p>A database that proves to be the primary while it responds reports the position of its log. Every commit
+ * acknowledged before that request was sent is at or before the position, so a log that contains the position lacks
+ * only later commits. A read that may miss commits younger than an allowance thus requires the position of a sample
+ * whose request is younger than the allowance. Of all such samples the oldest is required, since replicas are most
+ * likely to have applied it.
  *
- * <p>Ages are differences of one steady clock. A machine that was suspended or stepped its clock can't tell them any more
- * and forgets its samples: {@link #clear}. Confined to one thread.
+ * <p>Ages are differences of one steady clock. After a suspension of the machine or a step of its clock the differences
+ * are invalid, and the samples must be dropped: {@link #clear}. Confined to one thread.
  */
 public final class PositionSamples {
     private static final int MAX_SAMPLES = 64;
 
-    /** Samples closer together than this tell the same; 1/30 of the smallest allowance known of. */
+    /** Samples closer together than this are redundant; 1/30 of the smallest known allowance. */
     private static final long MIN_SPACING_MS = 50;
 
     private final Deque<Sample> samples = new ArrayDeque<>();
 
     /**
-     * A position that the primary told.
+     * A position that the primary reported.
      *
-     * @param askedAtMs when the question was sent, on a steady clock
-     * @param position of the primary's log while it answered
+     * @param requestedAtMs when the request was sent, on a steady clock
+     * @param position the position of the primary's log when it responded
      */
     public record Sample(long requestedAtMs, LogPosition position) {}
 
-    /** Takes a sample of a database that proved to be the primary while answering. */
+    /** Adds a sample of a database that proved to be the primary while it responded. */
     public void add(Sample sample) {
         samples.removeIf(kept -> kept.position().term() < sample.position().term());
         if (!samples.isEmpty()) {
@@ -50,7 +51,7 @@
         }
     }
 
-    /** The oldest sample that proves a read to be no older than the allowance. */
+    /** The oldest sample that proves a staleness below the allowance. */
     public Optional<Sample> oldestWithin(long nowMs, long allowanceMs) {
         return samples.stream()
                 .filter(sample -> nowMs - sample.requestedAtMs() < allowanceMs)
@@ -62,7 +63,7 @@
         return Optional.ofNullable(samples.peekLast());
     }
 
-    /** Drops every sample, as after a jump of the clock. */
+    /** Drops all samples, for example after a clock jump. */
     public void clear() {
         samples.clear();
     }
--- a/core/src/main/java/org/hornbeamspread/core/placement/ProxyCountEstimate.java
+++ b/core/src/main/java/org/hornbeamspread/core/placement/ProxyCountEstimate.java
@@ -4,36 +4,37 @@
 import java.util.Deque;
 
 /**
- * How many proxies share a database's connections, as far as it is safe to believe.
+ * Estimates how many proxies share a database's connections, preferring an estimate that is too high.
  *
- * <p>The load that it answers: a control leader that has just taken over has heard from few proxies yet. Whoever takes its
- * count at once opens far more than its part, the databases refuse connections to everybody, and the others' statements fail.
- * So a higher count holds at once, and a lower one only once the higher one has not held for a while. A proxy that has just
- * started assumes a count, since then the leader may have, too. Confined to one thread.
+ * <p>Guards against the low count of a control leader that has just taken over and has received messages from few
+ * proxies yet. A proxy that applied that count at once would open far more connections than its share, the databases
+ * would refuse connections to all proxies, and the statements of the other proxies would fail. So a higher count
+ * applies at once, and a lower one only once the higher one has not been reported for a while. A proxy that has just
+ * started begins with an assumed count, since the leader may have just started, too. Confined to one thread.
  */
 public final class ProxyCountEstimate {
-    /** Longer than a proxy takes to find a new leader. */
+    /** How long a higher count still applies: longer than a proxy takes to find a new leader. */
     private static final long DECREASE_DELAY_MS = 8_000;
 
     private final Deque<Observation> observations = new ArrayDeque<>();
 
-    /** Begins with a count that is assumed. */
+    /** Starts with an assumed count. */
     public ProxyCountEstimate(int assumed) {
         observations.addLast(new Observation(assumed, 0));
     }
 
-    /** Takes a count over, and gives the one to go by. */
+    /** Records a reported count, and returns the estimate. */
     public int observe(int count, long nowMs) {
-        Observation last = observations.removeLast();
-        if (last.count() > count) {
-            observations.addLast(new Observation(last.count(), nowMs));
+        Observation latest = observations.removeLast();
+        if (latest.count() > count) {
+            observations.addLast(new Observation(latest.count(), nowMs));
         }
-        observations.removeIf(earlier -> earlier.count() <= count);
+        observations.removeIf(observation -> observation.count() <= count);
         observations.addLast(new Observation(count, nowMs));
         return current(nowMs);
     }
 
-    /** The count to go by. */
+    /** The current estimate, at least 1. */
     public int current(long nowMs) {
         while (observations.size() > 1 && nowMs - observations.peekFirst().lastValidAtMs() > DECREASE_DELAY_MS) {
             observations.removeFirst();
@@ -42,9 +43,10 @@
     }
 
     /**
-     * A count.
+     * A reported or assumed count.
      *
-     * @param atMs when it was heard, and for one that a lower one followed, when that was
+     * @param count the number of proxies
+     * @param lastValidAtMs when the count was reported or, once a lower count has followed, when that one was reported
      */
     private record Observation(int count, long lastValidAtMs) {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/placement/Reachability.java
+++ b/core/src/main/java/org/hornbeamspread/core/placement/Reachability.java
@@ -1,96 +1,103 @@
 package org.hornbeamspread.core.placement;
 
 /**
- * Whether one instance answers this proxy, by the answers to what the proxy sends anyway.
+ * Detects whether one instance responds to this proxy, from the responses to the requests that the proxy sends anyway.
  *
- * <p>The load that it answers: an instance goes dark while work arrives by the hundred a second. Nothing tells so: an attempt to
- * connect hangs until its limit, a statement until its timeout, and both look like a queue that is a little longer than usual.
- * Until the first limit is reached the dark instance is the most attractive one, since nothing new ends there to raise its
- * measured times, and after each pause a handful of units would find out at its own cost that it is still dark.
+ * <p>Guards against an instance that stops responding while requests arrive at hundreds per second. No error reports
+ * the failure: a connection attempt hangs until its timeout, a statement until its own, and both look like a queue that
+ * is slightly longer than usual. Until the first timeout the unresponsive instance is the preferred one, since no new
+ * statement completes there and raises its measured service time. After each backoff, several requests would each wait
+ * for a timeout only to find the instance still unresponsive.
  *
- * <p>So the time since an instance last answered anything, while it owes an answer, is charged to it as an expected wait; past a
- * limit it counts as lost. A lost instance gets no work: single attempts to connect on nobody's behalf find out when it is back.
- * An attempt that began before the last news of it is no news when it fails. Confined to one thread.
+ * <p>So the time since the last response, while requests are pending, is charged to the instance as an expected wait;
+ * past a timeout the instance is unreachable. An unreachable instance receives no work: probes, which are single
+ * connection attempts that no request waits for, detect its return. The failure of an attempt that started before the
+ * last recorded outcome gives no new information and is ignored. Confined to one thread.
  */
 public final class Reachability {
-    /** Twenty round trips between regions; a database with a queue answers something much more often. */
+    /** Twenty round trips between regions; even a database with a queue responds to some request much more often. */
     private static final long SILENCE_TIMEOUT_MS = 400;
 
     private static final long INITIAL_BACKOFF_MS = 100;
 
-    /** The limit of an attempt to connect: a dark instance is asked about half of the time. */
+    /** The timeout of a connection attempt: an unresponsive instance is being probed about half of the time. */
     private static final long MAX_BACKOFF_MS = 500;
 
-    /** Questions without an answer. */
+    /** Requests without a response. */
     private int pendingRequests;
 
-    /** The last answer, or the question that ended a time in which nothing was owed. */
+    /** Time of the last response, or of the first request after a time without pending requests. */
     private long silentSinceMs;
 
     private long backoffMs;
     private long nextProbeAtMs;
 
-    /** When it was last known to be lost, or to be there. */
+    /** When a failure or a response to a connection attempt was last recorded. */
     private long lastOutcomeAtMs = Long.MIN_VALUE;
 
     private boolean probing;
 
-    /** Something was sent that must be answered. */
+    /** Records a request that must be responded to. */
     public void onRequestSent(long nowMs) {
         if (pendingRequests++ == 0) {
             silentSinceMs = nowMs;
         }
     }
 
-    /** An answer came, whatever it says. */
+    /** Records a response, whether a success or an error. */
     public void onResponse(long nowMs) {
         pendingRequests--;
         silentSinceMs = nowMs;
     }
 
-    /** An answer is not waited for any more. */
+    /** Records that a response is no longer awaited. */
     public void onRequestAbandoned() {
         pendingRequests--;
     }
 
-    /** This proxy itself stood still: answers may have come that it has not read yet. */
+    /** Records a pause of this proxy itself: responses may have arrived that are not read yet. */
     public void onLocalPause(long nowMs) {
         silentSinceMs = nowMs;
     }
 
-    /** For how long the instance has owed an answer without giving any. */
+    /** Time without a response while requests are pending; 0 without pending requests. */
     public long silentMs(long nowMs) {
         return pendingRequests > 0 ? Math.max(0, nowMs - silentSinceMs) : 0;
     }
 
-    /** Whether the instance has just become silent for so long that it counts as lost. */
+    /** Whether a reachable instance has been silent for longer than the timeout. */
     public boolean isSilenceTimeoutExceeded(long nowMs) {
         return isReachable() && silentMs(nowMs) > SILENCE_TIMEOUT_MS;
     }
 
-    /** Whether work may be sent there. */
+    /** Whether work may be sent to the instance. */
     public boolean isReachable() {
         return backoffMs == 0;
     }
 
-    /** Whether an attempt to connect on nobody's behalf is due. */
+    /** Whether a probe is due. */
     public boolean isProbeDue(long nowMs) {
         return !isReachable() && !probing && nowMs >= nextProbeAtMs;
     }
 
-    /** Such an attempt begins. */
+    /** Records the start of a probe. */
     public void onProbeStarted() {
         probing = true;
     }
 
-    /** Such an attempt has ended. */
+    /** Records the end of a probe. */
     public void onProbeEnded() {
         probing = false;
     }
 
-    /** An attempt or a question that began at a time has failed; false when that was known. */
-    public boolean onFailed(long beganMs, long nowMs) {
-        if (beganMs < lastOutcomeAtMs) {
+    /**
+     * Records that a connection attempt or a request failed.
+     *
+     * @param startedAtMs when the attempt or request started
+     * @return false when the start was before the last recorded outcome, and the failure was ignored
+     */
+    public boolean onFailed(long startedAtMs, long nowMs) {
+        if (startedAtMs < lastOutcomeAtMs) {
             return false;
         }
         lastOutcomeAtMs = nowMs;
@@ -99,15 +106,15 @@
         return true;
     }
 
-    /** An attempt to connect was answered; true when the instance counted as lost. */
+    /** Records a response to a connection attempt; true when the instance was unreachable until now. */
     public boolean onReached(long nowMs) {
-        boolean regained = !isReachable();
+        boolean wasUnreachable = !isReachable();
         lastOutcomeAtMs = nowMs;
         backoffMs = 0;
-        return regained;
+        return wasUnreachable;
     }
 
-    /** The pause before the next attempt; 0 while the instance is reachable. */
+    /** The backoff before the next probe; 0 while the instance is reachable. */
     public long backoffMs() {
         return backoffMs;
     }
--- a/core/src/main/java/org/hornbeamspread/core/retry/RetryPolicy.java
+++ b/core/src/main/java/org/hornbeamspread/core/retry/RetryPolicy.java
@@ -8,20 +8,20 @@
 import org.hornbeamspread.core.misc.FailureType;
 
 /**
- * Decides whether a failed attempt is sent again, and after what pause.
+ * Decides whether a failed attempt is retried, and after which backoff.
  *
  * <p>A failure that proves the statement did not run may be retried for every kind of statement. After an unknown
- * outcome a read or a keyed write may be retried, a write without a key never. Failures that another attempt can't mend,
- * such as a malformed request or a conflict, are final. The pause doubles with each attempt up to a limit, and an attempt
- * that could not start before the deadline is not made.
+ * outcome a read or a keyed write may be retried, a write without a key never. Failures that another attempt can't
+ * resolve, such as a malformed request or a conflict, are final. The backoff doubles with each attempt up to a maximum,
+ * and an attempt that could not start before the deadline is not made.
  *
- * @param firstBackoff the pause before the second attempt
- * @param maxBackoff the longest pause
+ * @param initialBackoff the backoff before the second attempt
+ * @param maxBackoff the longest backoff
  */
 public record RetryPolicy(Duration initialBackoff, Duration maxBackoff) {
     private static final int MAX_DOUBLINGS = 16;
 
-    /** Not run, and another attempt may find another state. */
+    /** The statement did not run, and the state that caused the failure may have changed at another attempt. */
     private static final Set<FailureType> TRANSIENT = EnumSet.of(
             FailureType.NO_VIEW,
             FailureType.VIEW_EXPIRED,
@@ -35,7 +35,7 @@
             FailureType.CONNECTION_LIMIT,
             FailureType.CONNECTION_REFUSED);
 
-    /** Unknown, and the statement's own key or its lack of effect makes another attempt safe. */
+    /** The outcome is unknown; a retry is safe for a read, and for a write with an idempotency key. */
     private static final Set<FailureType> UNKNOWN_OUTCOME = EnumSet.of(
             FailureType.TIMEOUT_AFTER_SEND,
             FailureType.CONNECTION_LOST_AFTER_SEND,
@@ -54,8 +54,9 @@
     }
 
     /**
-     * Whether another attempt counts against the retry budget: the failed one may have cost a database work. An attempt
-     * that a new term overtook does not count: that happens once for each term, however loaded the databases are.
+     * Whether another attempt counts against the retry budget, because the failed one may have caused work at a
+     * database. An attempt that failed because of a new term does not count: that happens once for each term, however
+     * loaded the databases are.
      */
     public static boolean consumesRetryBudget(FailureType type) {
         return type == FailureType.CONNECTION_LIMIT
@@ -63,7 +64,7 @@
     }
 
     /**
-     * The pause before the next attempt; empty when there is none.
+     * The backoff before the next attempt; empty when no further attempt is made.
      *
      * @param type the failure of the last attempt
      * @param kind the statement's kind
@@ -74,8 +75,8 @@
         if (!isRetryable(type, kind)) {
             return Optional.empty();
         }
-        Duration pause = initialBackoff.multipliedBy(1L << Math.min(attempts - 1, MAX_DOUBLINGS));
-        pause = pause.compareTo(maxBackoff) <= 0 ? pause : maxBackoff;
-        return pause.compareTo(remaining) < 0 ? Optional.of(pause) : Optional.empty();
+        Duration backoff = initialBackoff.multipliedBy(1L << Math.min(attempts - 1, MAX_DOUBLINGS));
+        backoff = backoff.compareTo(maxBackoff) <= 0 ? backoff : maxBackoff;
+        return backoff.compareTo(remaining) < 0 ? Optional.of(backoff) : Optional.empty();
     }
 }
--- a/core/src/main/java/org/hornbeamspread/core/retry/StatementKind.java
+++ b/core/src/main/java/org/hornbeamspread/core/retry/StatementKind.java
@@ -1,11 +1,11 @@
 package org.hornbeamspread.core.retry;
 
-/** What a second execution of a statement would do. */
+/** Kinds of statements, by the effect of a second execution. */
 public enum StatementKind {
-    /** Changes nothing; may run any number of times. */
+    /** A statement that changes nothing and may run any number of times. */
     READ,
-    /** A write with an idempotency key: a resend returns the first answer. */
+    /** A write with an idempotency key: a retry returns the first result. */
     KEYED_WRITE,
-    /** A write without a key: a second run is a second effect. */
+    /** A write without a key: a second execution applies the change again. */
     UNKEYED_WRITE
 }
--- a/core/src/main/java/org/hornbeamspread/core/retry/package-info.java
+++ b/core/src/main/java/org/hornbeamspread/core/retry/package-info.java
@@ -1,2 +1,2 @@
-/** When a failed attempt may be sent again. */
+/** When a failed attempt may be retried. */
 package org.hornbeamspread.core.retry;
--- a/core/src/main/java/org/hornbeamspread/core/routing/GroupRouting.java
+++ b/core/src/main/java/org/hornbeamspread/core/routing/GroupRouting.java
@@ -6,13 +6,13 @@
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** Maps routing keys to groups. */
+/** Maps routing keys to database groups by hash. */
 public final class GroupRouting {
     private GroupRouting() {}
 
     /**
-     * The group of a routing key among a service's groups, in configuration order. Every proxy gives the same answer.
-     * Fails with UNKNOWN_GROUP when there are no groups.
+     * The group of a routing key among a service's groups, in configuration order; the same on every proxy. Fails with
+     * UNKNOWN_GROUP when there are no groups.
      */
     public static String groupOf(List<String> groups, String routingKey) {
         if (groups.isEmpty()) {
--- a/core/src/main/java/org/hornbeamspread/core/routing/Proximity.java
+++ b/core/src/main/java/org/hornbeamspread/core/routing/Proximity.java
@@ -1,15 +1,15 @@
 package org.hornbeamspread.core.routing;
 
-/** How far a database is from this proxy, nearest first. */
+/** Network distance of a database from this proxy, nearest first. */
 public enum Proximity {
     /** In this proxy's failure domain. */
     SAME_FAILURE_DOMAIN,
     /** In another failure domain of this proxy's region. */
     SAME_REGION,
-    /** Behind the link between regions, which is billed by volume. */
+    /** In another region; traffic between regions is billed by volume. */
     OTHER_REGION;
 
-    /** The proximity of a place to another. */
+    /** The proximity of two endpoints, given the failure domain and region of each. */
     public static Proximity of(String failureDomain, String region, String otherFailureDomain, String otherRegion) {
         if (!region.equals(otherRegion)) {
             return OTHER_REGION;
--- a/core/src/main/java/org/hornbeamspread/core/routing/ReadDecision.java
+++ b/core/src/main/java/org/hornbeamspread/core/routing/ReadDecision.java
@@ -3,34 +3,34 @@
 import java.time.Duration;
 import org.hornbeamspread.core.misc.FailureType;
 
-/** Where a read goes. */
+/** Which database serves a read. */
 public sealed interface ReadDecision {
     /**
-     * Run it at a replica.
+     * Run the read at a replica.
      *
      * @param databaseId the replica
      */
     record Replica(String databaseId) implements ReadDecision {}
 
     /**
-     * Run it at the primary.
+     * Run the read at the primary.
      *
      * @param databaseId the primary
      */
     record Primary(String databaseId) implements ReadDecision {}
 
     /**
-     * Decide again when a replica has caught up, at the latest after a pause.
+     * Decide again when a replica has caught up, at the latest after a maximum wait.
      *
      * @param databaseId the replica that is expected to catch up
-     * @param atMost the longest pause
+     * @param maxWait the longest wait
      */
     record WaitForReplica(String databaseId, Duration maxWait) implements ReadDecision {}
 
     /**
-     * Nothing may serve it now.
+     * Refuse the read, because no database may serve it now.
      *
-     * @param type why
+     * @param type the reason for the refusal
      */
     record Refuse(FailureType type) implements ReadDecision {}
 }
--- a/core/src/main/java/org/hornbeamspread/core/routing/ReadRouter.java
+++ b/core/src/main/java/org/hornbeamspread/core/routing/ReadRouter.java
@@ -10,17 +10,18 @@
 /**
  * Decides which database serves a read.
  *
- * <p>A replica may serve when it has applied the session's position and its proven age is within the allowance. Of
- * those, the nearest wins: own failure domain, own region, other region; equals share by the statements that wait
- * there. The primary serves when no replica may, or when the only eligible replica is behind the link between regions
- * and the primary is not.
+ * <p>A replica is eligible when it has applied the session's position and its proven staleness is within the allowance.
+ * Of the eligible replicas the nearest is selected: own failure domain, own region, other region. Equally near replicas
+ * are balanced by the statements that wait there. The primary serves when no replica is eligible, or when the only
+ * eligible replica is in another region and the primary is not.
  *
- * <p>A session that reads right after it wrote finds all replicas a little behind. When a near replica usually
- * catches up within the waiting limit, and sooner than a round trip to a farther primary takes, the read waits for it
- * instead; the primary then keeps its slots for writes. The wait happens once; after it the primary serves.
+ * <p>A session that reads right after a write finds all replicas slightly behind. When a near replica usually catches up
+ * within the maximum wait, and sooner than a round trip to a primary in another region takes, the read waits for
+ * that replica, which leaves the primary's slots to writes. A read waits at most once; after the wait the primary
+ * serves it.
  *
- * @param catchUpWait the longest wait for a replica
- * @param regionRoundTrip what a primary in another region costs more than a near replica
+ * @param maxCatchUpWait the longest wait for a replica to catch up
+ * @param crossRegionRoundTrip the additional latency of a primary in another region over a near replica
  */
 public record ReadRouter(Duration maxCatchUpWait, Duration crossRegionRoundTrip) {
     private static final Comparator<ReadCandidate> NEAREST = Comparator.comparing(ReadCandidate::proximity)
@@ -28,27 +29,29 @@
             .thenComparing(ReadCandidate::databaseId);
 
     /**
-     * Decides for one read.
+     * Selects the database for one read.
      *
      * @param candidates the group's databases
-     * @param floor the position that must have been applied
-     * @param allowance how old the state may be; zero allows only the primary
-     * @param mayWait false once the read has waited
+     * @param minPosition the position that a replica must have applied
+     * @param allowance the maximum staleness; zero allows only the primary
+     * @param mayWait whether the read may wait for a replica; false once it has waited
      */
-    public ReadDecision decide(List<ReadCandidate> candidates, LogPosition floor, Duration allowance, boolean mayWait) {
+    public ReadDecision decide(
+            List<ReadCandidate> candidates, LogPosition minPosition, Duration allowance, boolean mayWait) {
         Optional<ReadCandidate> primary = candidates.stream()
                 .filter(candidate -> candidate.primary() && candidate.usable())
                 .findFirst();
         Optional<ReadCandidate> replica = candidates.stream()
                 .filter(candidate -> isFreshEnough(candidate, allowance))
-                .filter(candidate -> candidate.applied().covers(floor))
+                .filter(candidate -> candidate.applied().covers(minPosition))
                 .min(NEAREST);
         if (replica.isPresent() && !isPrimaryNearer(primary, replica.get())) {
             return new ReadDecision.Replica(replica.get().databaseId());
         }
-        Optional<ReadCandidate> behind = mayWait ? replicaToWaitFor(candidates, allowance, primary) : Optional.empty();
-        if (behind.isPresent()) {
-            return new ReadDecision.WaitForReplica(behind.get().databaseId(), maxCatchUpWait);
+        Optional<ReadCandidate> laggingReplica =
+                mayWait ? replicaToWaitFor(candidates, allowance, primary) : Optional.empty();
+        if (laggingReplica.isPresent()) {
+            return new ReadDecision.WaitForReplica(laggingReplica.get().databaseId(), maxCatchUpWait);
         }
         if (primary.isPresent()) {
             return new ReadDecision.Primary(primary.get().databaseId());
--- a/core/src/main/java/org/hornbeamspread/core/routing/ReplicaStaleness.java
+++ b/core/src/main/java/org/hornbeamspread/core/routing/ReplicaStaleness.java
@@ -9,50 +9,51 @@
 import org.hornbeamspread.core.misc.LogPosition;
 
 /**
- * Proves an upper bound for the age of a replica's state.
+ * Proves an upper bound for the staleness of a replica's state.
  *
- * <p>A replica can't say how old its state is: when it hears nothing, it may be current or may miss an hour of writes.
- * And a report that the primary pushed says only that the primary was there before the report arrived, however long it
- * was on its way. So the proxy asks the primary, and notes its own clock <em>before</em> it asks. When the answer says
- * position P, then everything committed up to that moment is at or before P; a replica that has applied P is no older
- * than the moment of the question.
+ * <p>A replica can't determine the staleness of its own state: when it receives nothing, it may be current or may lack
+ * an hour of writes. A report pushed by the primary only proves that the primary had reached the position before the
+ * report arrived, and the report may have been in transit for any time. So the proxy requests the primary's position,
+ * and reads its own clock <em>before</em> it sends the request. When the response contains position P, then everything
+ * committed up to that moment is at or before P; the state of a replica that has applied P is no older than the moment
+ * of the request.
  *
- * <p>The bound for a state is thus the time since the latest question whose answer that state covers. It shrinks only
- * when a new answer arrives, and grows with the clock otherwise: silence of the primary, of the network or of the
- * replica makes the replica older, never younger.
+ * <p>The bound for a state is thus the time since the latest request whose response position that state covers. The
+ * bound shrinks only when a new response arrives, and grows with the clock otherwise: missing messages from the
+ * primary or the replica, or a network failure, raise the bound and never lower it.
  *
- * <p>The question must have been asked while the proxy's view lease was fresh: only then was the database asked still
- * the primary at that moment. The caller of {@link #addSample} sees to that. Not safe for use by several threads.
+ * <p>The request must have been sent while the proxy's view lease was fresh: only then was the responding database
+ * still the primary at that moment. The caller of {@link #addSample} must ensure this. Not thread-safe.
  */
 public final class ReplicaStaleness {
     private final int maxSamples;
 
-    /** In order of time; both parts never fall. */
+    /** In order of time; neither the request times nor the positions ever decrease. */
     private final Deque<Sample> samples = new ArrayDeque<>();
 
-    /** Keeps at most a number of samples; the oldest are dropped, which can only raise a bound. */
+    /** Keeps at most {@code maxSamples} samples; the oldest are dropped, which can only raise a bound. */
     public ReplicaStaleness(int maxSamples) {
         this.maxSamples = maxSamples;
     }
 
     /**
-     * Adds an answer of the primary.
+     * Adds a response of the primary. A sample with an earlier request time or position than the last one is ignored.
      *
-     * @param askedAt this proxy's clock before the question was sent
-     * @param position the primary's position in its answer
+     * @param requestedAt this proxy's clock before the request was sent
+     * @param position the primary's position in its response
      */
-    public void addSample(Instant askedAt, LogPosition position) {
+    public void addSample(Instant requestedAt, LogPosition position) {
         Sample last = samples.peekLast();
-        if (last != null && (askedAt.isBefore(last.requestedAt) || !position.covers(last.position))) {
+        if (last != null && (requestedAt.isBefore(last.requestedAt) || !position.covers(last.position))) {
             return;
         }
-        samples.addLast(new Sample(askedAt, position));
+        samples.addLast(new Sample(requestedAt, position));
         if (samples.size() > maxSamples) {
             samples.removeFirst();
         }
     }
 
-    /** The proven upper bound of a state's age; empty when nothing is proven. */
+    /** The proven upper bound of the staleness of a state; empty when no sample is covered by the state. */
     public Optional<Duration> upperBound(LogPosition applied, Instant now) {
         for (Iterator<Sample> newestFirst = samples.descendingIterator(); newestFirst.hasNext(); ) {
             Sample sample = newestFirst.next();
--- a/core/src/main/java/org/hornbeamspread/core/routing/ReplicationLag.java
+++ b/core/src/main/java/org/hornbeamspread/core/routing/ReplicationLag.java
@@ -8,8 +8,9 @@
 import org.hornbeamspread.core.misc.LogPosition;
 
 /**
- * Estimates how long a write takes from the primary to one replica: the time between the primary's report of a position
- * and the replica's, smoothed. An estimate for choosing, never a proof of age. Not safe for use by several threads.
+ * Estimates the replication lag of one replica: the time between the primary's report of a position and the replica's
+ * report that it has applied that position, smoothed. The estimate serves to select a database and never proves a
+ * staleness. Not thread-safe.
  */
 public final class ReplicationLag {
     private static final int MAX_PENDING_POSITIONS = 64;
@@ -17,10 +18,10 @@
 
     private final Deque<PrimaryPosition> pendingPositions = new ArrayDeque<>();
 
-    /** Smoothed, negative until the first measurement. */
+    /** Exponentially smoothed lag; negative until the first sample. */
     private double smoothedNs = -1;
 
-    /** The primary reported a position. */
+    /** Records a position that the primary reported. */
     public void recordPrimaryPosition(LogPosition position, Instant now) {
         PrimaryPosition last = pendingPositions.peekLast();
         if (last != null && last.position.covers(position)) {
@@ -31,7 +32,7 @@
         }
     }
 
-    /** The replica reported what it has applied. */
+    /** Records the position that the replica reported as applied. */
     public void recordReplicaPosition(LogPosition applied, Instant now) {
         while (!pendingPositions.isEmpty() && applied.covers(pendingPositions.peekFirst().position)) {
             long lagNs = Duration.between(pendingPositions.removeFirst().reportedAt, now)
@@ -40,7 +41,10 @@
         }
     }
 
-    /** The usual lag: at least what the oldest write that is still missing has waited; empty when nothing is known. */
+    /**
+     * The usual lag, at least the time for which the oldest write still missing at the replica has waited; empty when
+     * nothing is known.
+     */
     public Optional<Duration> typicalLag(Instant now) {
         long waitedNs = pendingPositions.isEmpty()
                 ? 0
--- a/core/src/test/java/org/hornbeamspread/core/placement/InstanceSelectorTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/placement/InstanceSelectorTest.java
@@ -22,15 +22,15 @@
     static Stream<Arguments> loads() {
         return Stream.of(
                 Arguments.of("idle", near(10, 0, 0), far(10, 0), "near"),
-                Arguments.of("a queue at the near one", near(10, 12, 0), far(10, 0), "far"),
-                Arguments.of("a short queue is no reason to cross regions", near(10, 4, 0), far(10, 0), "near"),
-                Arguments.of("the near one is slow", near(60, 0, 0), far(10, 0), "far"),
-                Arguments.of("the near one may have gone dark", silent(60), far(10, 0), "far"),
-                Arguments.of("the near one is at work", silent(20), far(10, 0), "near"),
-                Arguments.of("the near one lags", near(10, 0, 40), far(10, 0), "far"));
+                Arguments.of("a queue at the near instance", near(10, 12, 0), far(10, 0), "far"),
+                Arguments.of("a short queue does not justify another region", near(10, 4, 0), far(10, 0), "near"),
+                Arguments.of("the near instance is slow", near(60, 0, 0), far(10, 0), "far"),
+                Arguments.of("the near instance may be unresponsive", silent(60), far(10, 0), "far"),
+                Arguments.of("the near instance is executing", silent(20), far(10, 0), "near"),
+                Arguments.of("the near instance lags", near(10, 0, 40), far(10, 0), "far"));
     }
 
-    /** A burst of reads, each placed when it comes: spread by expected end, it is over sooner than in a fixed order. */
+    /** A burst of reads, each placed on arrival: by expected completion the burst ends sooner than by a fixed order. */
     @Test
     void burstCompletesSoonerThanWithAFixedOrder() {
         double[] serviceMs = {10, 10, 40};
@@ -54,19 +54,19 @@
                             InstanceSelector.select(candidates).orElseThrow().instanceId());
             outstanding[chosen]++;
         }
-        double last = 0;
+        double makespanMs = 0;
         for (int i = 0; i < serviceMs.length; i++) {
-            last = Math.max(last, outstanding[i] * serviceMs[i] / 2 + roundTripMs[i]);
+            makespanMs = Math.max(makespanMs, outstanding[i] * serviceMs[i] / 2 + roundTripMs[i]);
         }
-        return last;
+        return makespanMs;
     }
 
     private static Candidate candidate(String id, double roundTripMs, double serviceMs, int outstanding) {
         return new Candidate(id, roundTripMs, serviceMs, outstanding, 2, 0, 0);
     }
 
-    private static Candidate near(double serviceMs, int outstanding, double penaltyMs) {
-        return new Candidate("near", 0.5, serviceMs, outstanding, 2, 0, penaltyMs);
+    private static Candidate near(double serviceMs, int outstanding, double expectedFailureCostMs) {
+        return new Candidate("near", 0.5, serviceMs, outstanding, 2, 0, expectedFailureCostMs);
     }
 
     private static Candidate silent(long silentMs) {
--- a/core/src/test/java/org/hornbeamspread/core/placement/PositionSamplesTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/placement/PositionSamplesTest.java
@@ -42,39 +42,39 @@
         assertThat(samples.oldestWithin(1, 1_500)).isEqualTo(Optional.empty());
     }
 
-    /** Whatever was sampled, what is asked for covers every commit acknowledged before the allowance. */
+    /** For any samples, the required position covers every commit acknowledged before the allowance. */
     @Property
     void noCommitOlderThanTheAllowanceIsMissed(
             @ForAll @Size(max = 200) java.util.List<@IntRange(max = 300) Integer> gapsMs) {
-        PositionSamples taken = new PositionSamples();
+        PositionSamples sampled = new PositionSamples();
         long nowMs = 0;
         long commits = 0;
         for (int gapMs : gapsMs) {
             nowMs += gapMs;
             commits++;
-            taken.add(sample(nowMs, 1, commits));
-            long allowedMs = nowMs - 1_000;
-            long acknowledged = acknowledgedBefore(gapsMs, allowedMs);
-            Optional<Sample> asked = taken.oldestWithin(nowMs, 1_000);
-            asked.ifPresent(
+            sampled.add(sample(nowMs, 1, commits));
+            long coveredUntilMs = nowMs - 1_000;
+            long acknowledged = acknowledgedBefore(gapsMs, coveredUntilMs);
+            Optional<Sample> required = sampled.oldestWithin(nowMs, 1_000);
+            required.ifPresent(
                     sample -> assertThat(sample.position().indexEntries()).isAtLeast(acknowledged));
         }
     }
 
     /** Commit n is acknowledged at the time of sample n. */
     private static long acknowledgedBefore(java.util.List<Integer> gapsMs, long timeMs) {
-        long atMs = 0;
+        long acknowledgedAtMs = 0;
         long count = 0;
         for (int gapMs : gapsMs) {
-            atMs += gapMs;
-            if (atMs <= timeMs) {
+            acknowledgedAtMs += gapMs;
+            if (acknowledgedAtMs <= timeMs) {
                 count++;
             }
         }
         return count;
     }
 
-    private static Sample sample(long askedAtMs, long term, long entries) {
-        return new Sample(askedAtMs, new LogPosition(term, entries));
+    private static Sample sample(long requestedAtMs, long term, long entries) {
+        return new Sample(requestedAtMs, new LogPosition(term, entries));
     }
 }
--- a/core/src/test/java/org/hornbeamspread/core/placement/ProxyCountEstimateTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/placement/ProxyCountEstimateTest.java
@@ -7,7 +7,7 @@
 final class ProxyCountEstimateTest {
     private final ProxyCountEstimate estimate = new ProxyCountEstimate(1);
 
-    /** A control leader that has just taken over counts 1, 2, 3 proxies where there are 6. */
+    /** A control leader that has just taken over counts 1, 2 and 3 proxies before it counts all 6. */
     @Test
     void lowCountsOfANewLeaderDoNotLowerTheEstimate() {
         estimate.observe(6, 0);
@@ -18,7 +18,10 @@
         assertThat(estimate.current(60_000)).isEqualTo(6);
     }
 
-    /** Found by fleetbench run ujaas-core trouble-1: the count had held since the start when a new leader's first came. */
+    /**
+     * Found by fleetbench run ujaas-core trouble-1: the high count had been reported only at the start, long before
+     * the first low count of a new leader. The decrease delay must start at the low count.
+     */
     @Test
     void decreaseDelayStartsWhenALowerCountArrives() {
         estimate.observe(6, 0);
--- a/core/src/test/java/org/hornbeamspread/core/placement/ReachabilityTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/placement/ReachabilityTest.java
@@ -38,7 +38,7 @@
         assertThat(reachability.onReached(960)).isFalse();
     }
 
-    /** Four attempts that hang at the same time are one failure. */
+    /** Attempts that hang at the same time, here three, count as one failure; a fourth, later one counts again. */
     @Test
     void attemptsStartedBeforeAFailureDoNotRaiseTheBackoff() {
         assertThat(reachability.onFailed(0, 500)).isTrue();
--- a/core/src/test/java/org/hornbeamspread/core/retry/RetryPolicyTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/retry/RetryPolicyTest.java
@@ -41,13 +41,13 @@
 
     @ParameterizedTest
     @CsvSource({"1, 1000, 5", "2, 1000, 10", "5, 1000, 80", "6, 1000, 100", "90, 1000, 100", "3, 20, -1", "3, 21, 20"})
-    void backoffDoublesUpToALimitAndEndsBeforeTheDeadline(int attempts, long remainingMs, long pauseMs) {
-        Optional<Duration> pause = POLICY.nextBackoff(
+    void backoffDoublesUpToALimitAndEndsBeforeTheDeadline(int attempts, long remainingMs, long backoffMs) {
+        Optional<Duration> backoff = POLICY.nextBackoff(
                 FailureType.NO_PRIMARY, StatementKind.READ, attempts, Duration.ofMillis(remainingMs));
-        assertThat(pause.map(Duration::toMillis).orElse(-1L)).isEqualTo(pauseMs);
+        assertThat(backoff.map(Duration::toMillis).orElse(-1L)).isEqualTo(backoffMs);
     }
 
-    /** What a replaced primary or a proxy's own view causes adds no load; what may have run at a database does. */
+    /** Failures caused by a replaced primary or by the proxy's own view add no load; attempts that may have run do. */
     @ParameterizedTest
     @CsvSource({
         "TIMEOUT_AFTER_SEND, true",
@@ -57,7 +57,7 @@
         "WRONG_TERM, false",
         "NO_PRIMARY, false",
     })
-    void retryBudgetCountsAttemptsThatMayHaveLoadedADatabase(FailureType type, boolean charged) {
-        assertThat(RetryPolicy.consumesRetryBudget(type)).isEqualTo(charged);
+    void retryBudgetCountsAttemptsThatMayHaveLoadedADatabase(FailureType type, boolean consumesBudget) {
+        assertThat(RetryPolicy.consumesRetryBudget(type)).isEqualTo(consumesBudget);
     }
 }
--- a/core/src/test/java/org/hornbeamspread/core/routing/ReadRouterTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/routing/ReadRouterTest.java
@@ -39,7 +39,7 @@
                         "at the allowance", List.of(replica("r", SAME_REGION, MIN_POSITION, 2000, 5)), "Replica r"),
                 Arguments.of("past the allowance", List.of(replica("r", SAME_REGION, MIN_POSITION, 2001, 5)), "Refuse"),
                 Arguments.of(
-                        "of unknown age",
+                        "unknown staleness",
                         List.of(candidate("r", false, true, SAME_REGION, MIN_POSITION, -1, 5), nearPrimary),
                         "Primary primary"),
                 Arguments.of(
@@ -47,11 +47,11 @@
                         List.of(candidate("r", false, false, SAME_REGION, MIN_POSITION, 1, 5), nearPrimary),
                         "Primary primary"),
                 Arguments.of(
-                        "behind, but soon there",
+                        "behind, but usually caught up within the maximum wait",
                         List.of(replica("r", SAME_REGION, LAGGING_POSITION, 100, 5), nearPrimary),
                         "WaitForReplica r"),
                 Arguments.of(
-                        "behind, and slow",
+                        "behind, and slower than the maximum wait",
                         List.of(replica("r", SAME_REGION, LAGGING_POSITION, 100, 21), nearPrimary),
                         "Primary primary"),
                 Arguments.of(
@@ -59,10 +59,10 @@
                         List.of(replica("r", SAME_REGION, LAGGING_POSITION, 100, 17), farPrimary),
                         "Primary primary"),
                 Arguments.of(
-                        "behind, and no primary",
+                        "behind, slower than the maximum wait, and no primary",
                         List.of(replica("r", SAME_REGION, LAGGING_POSITION, 100, 21)),
                         "Refuse"),
-                Arguments.of("nobody", List.of(), "Refuse"));
+                Arguments.of("no database", List.of(), "Refuse"));
     }
 
     @ParameterizedTest(name = "{0}")
--- a/core/src/test/java/org/hornbeamspread/core/routing/ReplicaStalenessTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/routing/ReplicaStalenessTest.java
@@ -13,39 +13,40 @@
 final class ReplicaStalenessTest {
     private final PausedClock clock = new PausedClock();
 
-    /** The primary is asked at 0, 100 and 200 ms and is at (1,5), (1,8) and (2,9); now is 250 ms. */
+    /** The primary's position is requested at 0, 100 and 200 ms and is (1,5), (1,8) and (2,9); now is 250 ms. */
     @ParameterizedTest
     @CsvSource({"1, 5, 250", "1, 7, 250", "1, 8, 150", "2, 9, 50", "2, 30, 50"})
-    void boundIsTheTimeSinceTheLatestCoveredSample(long term, long index, long ageMs) {
-        ReplicaStaleness age = withSamples(8);
-        assertThat(age.upperBound(new LogPosition(term, index), clock.instant()))
-                .hasValue(Duration.ofMillis(ageMs));
+    void boundIsTheTimeSinceTheLatestCoveredSample(long term, long index, long stalenessMs) {
+        ReplicaStaleness staleness = withSamples(8);
+        assertThat(staleness.upperBound(new LogPosition(term, index), clock.instant()))
+                .hasValue(Duration.ofMillis(stalenessMs));
     }
 
     @Test
     void boundGrowsWithoutNewSamplesAndIsEmptyWithoutACoveredSample() {
-        ReplicaStaleness age = withSamples(8);
+        ReplicaStaleness staleness = withSamples(8);
         clock.advance(Duration.ofSeconds(9));
-        assertThat(age.upperBound(new LogPosition(2, 9), clock.instant())).hasValue(Duration.ofMillis(9050));
-        assertThat(age.upperBound(new LogPosition(1, 4), clock.instant()).isPresent())
+        assertThat(staleness.upperBound(new LogPosition(2, 9), clock.instant())).hasValue(Duration.ofMillis(9050));
+        assertThat(staleness.upperBound(new LogPosition(1, 4), clock.instant()).isPresent())
                 .isFalse();
     }
 
     @Test
     void samplesOfAnEarlierTermOrOutOfOrderAreIgnored() {
-        ReplicaStaleness age = withSamples(8);
+        ReplicaStaleness staleness = withSamples(8);
         Instant start = clock.instant().minusMillis(250);
-        age.addSample(clock.instant(), new LogPosition(1, 20));
-        age.addSample(start, new LogPosition(3, 1));
-        assertThat(age.upperBound(new LogPosition(1, 20), clock.instant())).hasValue(Duration.ofMillis(150));
+        staleness.addSample(clock.instant(), new LogPosition(1, 20));
+        staleness.addSample(start, new LogPosition(3, 1));
+        assertThat(staleness.upperBound(new LogPosition(1, 20), clock.instant()))
+                .hasValue(Duration.ofMillis(150));
     }
 
     @Test
     void droppedSamplesOnlyRaiseTheBound() {
-        ReplicaStaleness age = withSamples(2);
-        assertThat(age.upperBound(new LogPosition(1, 7), clock.instant()).isPresent())
+        ReplicaStaleness staleness = withSamples(2);
+        assertThat(staleness.upperBound(new LogPosition(1, 7), clock.instant()).isPresent())
                 .isFalse();
-        assertThat(age.upperBound(new LogPosition(1, 8), clock.instant())).hasValue(Duration.ofMillis(150));
+        assertThat(staleness.upperBound(new LogPosition(1, 8), clock.instant())).hasValue(Duration.ofMillis(150));
     }
 
     @Test
@@ -62,13 +63,13 @@
     }
 
     private ReplicaStaleness withSamples(int maxSamples) {
-        ReplicaStaleness age = new ReplicaStaleness(maxSamples);
-        age.addSample(clock.instant(), new LogPosition(1, 5));
+        ReplicaStaleness staleness = new ReplicaStaleness(maxSamples);
+        staleness.addSample(clock.instant(), new LogPosition(1, 5));
         clock.advance(Duration.ofMillis(100));
-        age.addSample(clock.instant(), new LogPosition(1, 8));
+        staleness.addSample(clock.instant(), new LogPosition(1, 8));
         clock.advance(Duration.ofMillis(100));
-        age.addSample(clock.instant(), new LogPosition(2, 9));
+        staleness.addSample(clock.instant(), new LogPosition(2, 9));
         clock.advance(Duration.ofMillis(50));
-        return age;
+        return staleness;
     }
 }
