--- a/control/src/main/java/org/hornbeamspread/control/routes/ServicePromotions.java
+++ b/control/src/main/java/org/hornbeamspread/control/routes/ServicePromotions.java
@@ -16,8 +16,8 @@
 import org.hornbeamspread.core.failover.SyncFailoverEffect;
 import org.hornbeamspread.core.failover.SyncFailoverTimings;
 import org.hornbeamspread.core.failover.SyncGroupFailover;
+import org.hornbeamspread.core.failover.SyncGroupFailover.GroupSnapshot;
 import org.hornbeamspread.core.failover.SyncGroupFailover.MemberView;
-import org.hornbeamspread.core.failover.SyncGroupFailover.Situation;
 import org.hornbeamspread.core.misc.EventLog;
 import org.hornbeamspread.core.misc.FailureException;
 import org.hornbeamspread.core.misc.FailureType;
@@ -144,7 +144,7 @@
         /** Empty when none was, or a promotion is under way. */
         private String promotedId = "";
 
-        private Supplier<Situation> situation = () -> new Situation(
+        private Supplier<GroupSnapshot> situation = () -> new GroupSnapshot(
                 0,
                 Optional.empty(),
                 Set.of(),
@@ -187,7 +187,7 @@
             if (ended) {
                 return;
             }
-            Situation present = situation.get();
+            GroupSnapshot present = situation.get();
             for (SyncFailoverEffect effect : failover.step(present)) {
                 carryOut(effect, present);
             }
@@ -197,7 +197,7 @@
         }
 
         /** What a choice goes by, or why there is none yet. */
-        private void recordEvidence(Situation present) {
+        private void recordEvidence(GroupSnapshot present) {
             evidenceRecordedAtMs = clock.millis();
             events.record(
                     "promotion_evidence",
@@ -206,14 +206,14 @@
                     "token",
                     present.token(),
                     "copies",
-                    failover.copies(present),
+                    failover.copyCount(present),
                     "lost_copies",
                     present.lostCopies(),
                     "answers",
-                    failover.answers(present));
+                    failover.describeStatuses(present));
         }
 
-        private Situation situation(ControlState state) {
+        private GroupSnapshot situation(ControlState state) {
             long nowMs = clock.millis();
             GroupTerm record = state.getGroupsList().stream()
                     .filter(group -> group.getGroup().equals(service))
@@ -234,7 +234,7 @@
             long proofAgeMs = Math.min(
                     provenItself ? nowMs - provenAtMs : Long.MAX_VALUE / 4,
                     primaryId.map(watchers::proofAgeMs).orElse(Long.MAX_VALUE / 4));
-            return new Situation(
+            return new GroupSnapshot(
                     record.getTerm(),
                     record.getPrimaryId().isEmpty() ? Optional.empty() : Optional.of(record.getPrimaryId()),
                     Set.copyOf(record.getUnsettledIdsList()),
@@ -289,7 +289,7 @@
                     }));
         }
 
-        private void carryOut(SyncFailoverEffect effect, Situation seen) {
+        private void carryOut(SyncFailoverEffect effect, GroupSnapshot seen) {
             metrics.onStep(effect);
             if (!(effect instanceof SyncFailoverEffect.Resume)) {
                 events.record(
@@ -346,7 +346,7 @@
                                 token,
                                 "cause",
                                 cause.getMessage()));
-                        failover.logDone(failure.isEmpty());
+                        failover.onLogCommitEnded(failure.isEmpty());
                         if (failure.isEmpty()) {
                             step();
                         }
@@ -387,7 +387,7 @@
                                         : FailureException.of(error).getMessage());
                         if (error == null) {
                             metrics.onOrdered(failover.outageMs());
-                            failover.onOrderAnswered(promote.token(), accepted);
+                            failover.onPromotionResult(promote.token(), accepted);
                             step();
                         }
                     }));
@@ -439,7 +439,7 @@
                             report.accept(instanceId, status);
                             step();
                         } else if (FailureException.of(error).type() == FailureType.CONNECTION_REFUSED) {
-                            failover.onRefused(instanceId);
+                            failover.onConnectionRefused(instanceId);
                         }
                     }));
         }
--- a/core/src/main/java/org/hornbeamspread/core/failover/FencingEvidence.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/FencingState.java
@@ -16,9 +16,9 @@
  * What the members of a group have answered since a token was raised, and which of them holds all that was acknowledged, as far
  * as the answers of the last moment prove it. Confined to one thread.
  */
-final class FencingEvidence {
+final class FencingState {
     /** The replacement of a primary that works is given up after this, unless it is demoted already. */
-    static final long LIVE_REPLACEMENT_LIMIT_MS = 1_500;
+    static final long LIVE_REPLACEMENT_TIMEOUT_MS = 1_500;
 
     private final Clock clock;
     private final SyncFailoverTimings timings;
@@ -26,13 +26,13 @@
     /** The last answers to status, pause and demote. */
     private final Map<String, ReplicaStatus> statuses = new HashMap<>();
 
-    private final Map<String, Long> answeredAtMs = new HashMap<>();
+    private final Map<String, Long> statusReceivedAtMs = new HashMap<>();
 
     /** The terms of pauses without an answer. */
-    private final Map<String, Long> pauseTerms = new HashMap<>();
+    private final Map<String, Long> pendingPauseTerms = new HashMap<>();
 
     /** The highest term at which a pause was refused: some instance, perhaps out of reach, is at a later one. */
-    private long refusedTerm;
+    private long highestRefusedTerm;
 
     private Optional<String> demotedId = Optional.empty();
 
@@ -40,39 +40,39 @@
     private ReplicaStatus demotedStatus = new ReplicaStatus(false, 0, LogPosition.NONE, 0);
 
     /** Chosen under earlier tokens; their orders may be under way. */
-    private Set<String> earlierChoices = Set.of();
+    private Set<String> earlierCandidates = Set.of();
 
     /** Members that followed a lost copy at its address: what that one had acknowledged may be missing in their logs. */
-    private Set<String> unprovenIds = Set.of();
+    private Set<String> unprovenLogIds = Set.of();
 
-    private long begunAtMs;
+    private long startedAtMs;
 
-    FencingEvidence(Clock clock, SyncFailoverTimings timings) {
+    FencingState(Clock clock, SyncFailoverTimings timings) {
         this.clock = clock;
         this.timings = timings;
     }
 
     /** Forgets all answers, under a new token. */
-    void begin(Set<String> chosenEarlier) {
+    void reset(Set<String> chosenEarlier) {
         statuses.clear();
-        answeredAtMs.clear();
-        pauseTerms.clear();
+        statusReceivedAtMs.clear();
+        pendingPauseTerms.clear();
         demotedId = Optional.empty();
-        earlierChoices = Set.copyOf(chosenEarlier);
-        begunAtMs = clock.millis();
+        earlierCandidates = Set.copyOf(chosenEarlier);
+        startedAtMs = clock.millis();
     }
 
     /** Takes over whose logs are proven. */
-    void observe(List<MemberView> members) {
-        unprovenIds = members.stream()
+    void updateMembers(List<MemberView> members) {
+        unprovenLogIds = members.stream()
                 .filter(MemberView::logUnproven)
                 .map(MemberView::instanceId)
                 .collect(Collectors.toUnmodifiableSet());
     }
 
     /** Since the token was raised. */
-    long ageMs() {
-        return clock.millis() - begunAtMs;
+    long elapsedMs() {
+        return clock.millis() - startedAtMs;
     }
 
     /** The old primary, once it confirmed that it is a replica. */
@@ -83,11 +83,11 @@
     /** A member answered; false when it refused to pause. */
     boolean onStatus(String instanceId, ReplicaStatus status) {
         statuses.put(instanceId, status);
-        answeredAtMs.put(instanceId, clock.millis());
-        Long pauseTerm = pauseTerms.remove(instanceId);
+        statusReceivedAtMs.put(instanceId, clock.millis());
+        Long pauseTerm = pendingPauseTerms.remove(instanceId);
         boolean refused = pauseTerm != null && status.heldTerm() == 0;
         if (refused) {
-            refusedTerm = Math.max(refusedTerm, pauseTerm);
+            highestRefusedTerm = Math.max(highestRefusedTerm, pauseTerm);
         }
         return !refused;
     }
@@ -98,7 +98,7 @@
     }
 
     void onPauseSent(String instanceId, long term) {
-        pauseTerms.put(instanceId, term);
+        pendingPauseTerms.put(instanceId, term);
     }
 
     /** A term above all that are known, for a pause or a demotion. */
@@ -107,16 +107,16 @@
                 .mapToLong(status -> Math.max(status.term(), status.heldTerm()))
                 .max()
                 .orElse(0);
-        return 1 + Math.max(known, refusedTerm);
+        return 1 + Math.max(known, highestRefusedTerm);
     }
 
     /** A member's last answer, unless it is too old to count. */
     Optional<ReplicaStatus> recentStatus(String id) {
-        return isOld(id) ? Optional.empty() : Optional.ofNullable(statuses.get(id));
+        return isStale(id) ? Optional.empty() : Optional.ofNullable(statuses.get(id));
     }
 
-    private boolean isOld(String id) {
-        return clock.millis() - answeredAtMs.getOrDefault(id, Long.MIN_VALUE / 2) > timings.answerAgeMs();
+    private boolean isStale(String id) {
+        return clock.millis() - statusReceivedAtMs.getOrDefault(id, Long.MIN_VALUE / 2) > timings.maxStatusAgeMs();
     }
 
     /**
@@ -127,14 +127,14 @@
      * @param members present members
      * @param copies how many logs may hold an acknowledged commit: those of members, and lost ones
      */
-    Optional<String> choice(List<MemberView> members, long copies) {
+    Optional<String> candidate(List<MemberView> members, long copies) {
         List<MemberView> answered = members.stream()
-                .filter(member -> answersAsReplica(member.instanceId()))
+                .filter(member -> isRespondingReplica(member.instanceId()))
                 .toList();
         Optional<MemberView> best = answered.stream()
-                .max(Comparator.comparing(this::received)
+                .max(Comparator.comparing(this::receivedPosition)
                         .thenComparing(member -> !isDemoted(member.instanceId()))
-                        .thenComparing(member -> earlierChoices.contains(member.instanceId()))
+                        .thenComparing(member -> earlierCandidates.contains(member.instanceId()))
                         .thenComparing(member -> !member.draining()));
         boolean demotedAnswered = answered.stream().anyMatch(member -> isDemoted(member.instanceId()));
         long fenced = answered.stream()
@@ -144,10 +144,10 @@
         if (best.isEmpty() || !(demotedAnswered || allButOneFenced)) {
             return Optional.empty();
         }
-        long waitedMs = ageMs();
-        boolean better = isDemoted(best.get().instanceId()) || primaryAnswers(members);
-        boolean patient = (better && waitedMs <= LIVE_REPLACEMENT_LIMIT_MS)
-                || (differsFromEarlierChoice(members, best.get()) && waitedMs <= timings.promotionMs());
+        long waitedMs = elapsedMs();
+        boolean better = isDemoted(best.get().instanceId()) || isPrimaryResponding(members);
+        boolean patient = (better && waitedMs <= LIVE_REPLACEMENT_TIMEOUT_MS)
+                || (differsFromEarlierCandidate(members, best.get()) && waitedMs <= timings.promotionTimeoutMs());
         return patient ? Optional.empty() : best.map(MemberView::instanceId);
     }
 
@@ -155,17 +155,17 @@
      * Whether another instance was chosen before. Its order may have been accepted and be about to take effect: what it then
      * acknowledges until this choice leads would be lost.
      */
-    private boolean differsFromEarlierChoice(List<MemberView> members, MemberView choice) {
+    private boolean differsFromEarlierCandidate(List<MemberView> members, MemberView choice) {
         return members.stream()
                 .map(MemberView::instanceId)
-                .anyMatch(id -> earlierChoices.contains(id) && !id.equals(choice.instanceId()));
+                .anyMatch(id -> earlierCandidates.contains(id) && !id.equals(choice.instanceId()));
     }
 
     /** Whether a primary answered a moment ago: it can be demoted, so that it acknowledges nothing until its successor leads. */
-    private boolean primaryAnswers(List<MemberView> members) {
+    private boolean isPrimaryResponding(List<MemberView> members) {
         return members.stream()
                 .map(MemberView::instanceId)
-                .anyMatch(id -> statuses.containsKey(id) && statuses.get(id).primary() && !isOld(id));
+                .anyMatch(id -> statuses.containsKey(id) && statuses.get(id).primary() && !isStale(id));
     }
 
     /**
@@ -174,29 +174,31 @@
      */
     boolean isDemoted(String id) {
         return demotedId.equals(Optional.of(id))
-                && !unprovenIds.contains(id)
+                && !unprovenLogIds.contains(id)
                 && statuses.get(id).received().covers(demotedStatus.received())
                 && statuses.values().stream().allMatch(status -> status.term() <= demotedStatus.term());
     }
 
     /** Whether an instance answered a moment ago that it does not lead. */
-    boolean answersAsReplica(String id) {
+    boolean isRespondingReplica(String id) {
         ReplicaStatus status = statuses.get(id);
-        return status != null && !status.primary() && !isOld(id);
+        return status != null && !status.primary() && !isStale(id);
     }
 
     /** Whether an instance answered a moment ago that it neither leads nor receives. */
     private boolean isFenced(String id) {
-        return answersAsReplica(id) && !isEmptied(id) && (statuses.get(id).heldTerm() > 0 || isDemoted(id));
+        return isRespondingReplica(id)
+                && !hasUnexplainedEmptyLog(id)
+                && (statuses.get(id).heldTerm() > 0 || isDemoted(id));
     }
 
     /**
      * Whether an instance has an empty log while others do not, and no loss is known of: it may have started again a moment ago
      * and not announced itself yet.
      */
-    private boolean isEmptied(String id) {
+    private boolean hasUnexplainedEmptyLog(String id) {
         return statuses.get(id).received().equals(LogPosition.NONE)
-                && !unprovenIds.contains(id)
+                && !unprovenLogIds.contains(id)
                 && statuses.values().stream()
                         .anyMatch(status -> !status.received().equals(LogPosition.NONE));
     }
@@ -209,12 +211,12 @@
         }
         return id + (status.primary() ? " primary" : " replica") + " received "
                 + status.received().term() + ":" + status.received().indexEntries() + " held_term " + status.heldTerm()
-                + " age_ms " + (clock.millis() - answeredAtMs.get(id))
+                + " age_ms " + (clock.millis() - statusReceivedAtMs.get(id))
                 + (isFenced(id) ? " fenced" : "")
                 + (member.logUnproven() ? " log unproven" : "");
     }
 
-    private LogPosition received(MemberView member) {
+    private LogPosition receivedPosition(MemberView member) {
         ReplicaStatus status = statuses.get(member.instanceId());
         return status == null ? LogPosition.NONE : status.received();
     }
--- a/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/Followers.java
@@ -21,20 +21,20 @@
  */
 final class Followers {
     private final PromotionRules rules;
-    private final Commands commands;
+    private final CommandThrottle commands;
 
     /** The incarnation of each database that follows at the present term. */
-    private final Map<String, Long> following = new HashMap<>();
+    private final Map<String, Long> followingIncarnations = new HashMap<>();
 
-    Followers(PromotionRules rules, Commands commands) {
+    Followers(PromotionRules rules, CommandThrottle commands) {
         this.rules = rules;
         this.commands = commands;
     }
 
     /** The registrations that the log should get next. */
-    Optional<FailoverEffect> register(GroupInput input) {
+    Optional<FailoverEffect> nextRegistrations(GroupInput input) {
         if (input.registrations().size() < input.declaredDatabases()) {
-            return input.record().term() == 0 ? registerFirst(input) : Optional.empty();
+            return input.record().term() == 0 ? registerInitialMembers(input) : Optional.empty();
         }
         List<Registration> changes = new ArrayList<>();
         for (DatabaseStatus status : input.members()) {
@@ -50,7 +50,7 @@
     }
 
     /** Whether the log agrees with the trust in a database, so that commands may be sent to it. */
-    boolean isSettled(GroupInput input, DatabaseStatus status) {
+    boolean isTrustCommitted(GroupInput input, DatabaseStatus status) {
         Optional<Registration> known = input.registration(status.databaseId());
         return rules.isTrusted(status, known, input.record())
                 || known.filter(Registration::trusted).isEmpty();
@@ -66,31 +66,35 @@
         List<FailoverEffect> effects = new ArrayList<>();
         for (DatabaseStatus status : input.members()) {
             boolean reachable = !input.suspected().containsKey(status.databaseId());
-            if (status.databaseId().equals(primary.get().databaseId()) || !reachable || !isSettled(input, status)) {
+            if (status.databaseId().equals(primary.get().databaseId())
+                    || !reachable
+                    || !isTrustCommitted(input, status)) {
                 continue;
             }
-            next(input, status, primary.get()).flatMap(commands::send).ifPresent(effects::add);
+            nextCommand(input, status, primary.get())
+                    .flatMap(commands::sendIfDue)
+                    .ifPresent(effects::add);
         }
         return effects;
     }
 
     /** A database answered that it follows. */
-    void confirmed(String databaseId, long incarnation) {
-        following.put(databaseId, incarnation);
+    void onFollowing(String databaseId, long incarnation) {
+        followingIncarnations.put(databaseId, incarnation);
     }
 
     /** Forgets who follows, at a new term. */
     void clear() {
-        following.clear();
+        followingIncarnations.clear();
     }
 
-    private Optional<FailoverEffect> next(GroupInput input, DatabaseStatus status, DatabaseStatus primary) {
+    private Optional<FailoverEffect> nextCommand(GroupInput input, DatabaseStatus status, DatabaseStatus primary) {
         long term = input.record().term();
         String databaseId = status.databaseId();
         if (status.term() < term) {
             return Optional.of(new Fence(databaseId, term));
         }
-        Long followingIncarnation = following.get(databaseId);
+        Long followingIncarnation = followingIncarnations.get(databaseId);
         if (followingIncarnation == null || followingIncarnation != status.incarnation()) {
             return Optional.of(new Follow(databaseId, status.incarnation(), term, primary.databaseId()));
         }
@@ -107,7 +111,7 @@
     }
 
     /** The members of a group are the first that announce themselves; without control's log their own word counts. */
-    private Optional<FailoverEffect> registerFirst(GroupInput input) {
+    private Optional<FailoverEffect> registerInitialMembers(GroupInput input) {
         if (input.statuses().size() < input.declaredDatabases()) {
             return Optional.empty();
         }
--- a/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/GroupFailover.java
@@ -43,7 +43,7 @@
     private final PromotionRules rules;
     private final FailoverTimings timings;
     private final FailoverListener listener;
-    private final Commands commands;
+    private final CommandThrottle commands;
     private final Followers followers;
     private final PrimaryChoice choice;
 
@@ -83,7 +83,7 @@
         this.rules = rules;
         this.timings = timings;
         this.listener = listener;
-        this.commands = new Commands(clock, timings);
+        this.commands = new CommandThrottle(clock, timings);
         this.followers = new Followers(rules, commands);
         this.choice = new PrimaryChoice(rules);
         this.termSince = clock.instant();
@@ -95,7 +95,7 @@
         if (proposedAt != null && millisSince(proposedAt) <= timings.promoteTimeoutMs()) {
             return List.of();
         }
-        Optional<FailoverEffect> registration = followers.register(input);
+        Optional<FailoverEffect> registration = followers.nextRegistrations(input);
         if (registration.isPresent()) {
             proposedAt = clock.instant();
             return List.of(registration.get());
@@ -128,7 +128,7 @@
     /** A database answered that it follows at this term. */
     public void following(String databaseId, long incarnation, long term) {
         if (term == seenTerm) {
-            followers.confirmed(databaseId, incarnation);
+            followers.onFollowing(databaseId, incarnation);
         }
     }
 
@@ -223,8 +223,8 @@
         long term = input.record().term();
         List<FailoverEffect> effects = new ArrayList<>();
         for (DatabaseStatus status : input.members()) {
-            if (status.term() < term && followers.isSettled(input, status)) {
-                commands.send(new Fence(status.databaseId(), term)).ifPresent(effects::add);
+            if (status.term() < term && followers.isTrustCommitted(input, status)) {
+                commands.sendIfDue(new Fence(status.databaseId(), term)).ifPresent(effects::add);
             }
         }
         return effects;
@@ -268,7 +268,7 @@
         if (lost || replaced || promoteRefused || chosen.get().term() != term) {
             return List.of();
         }
-        return commands.send(new Promote(chosen.get().databaseId(), term)).stream()
+        return commands.sendIfDue(new Promote(chosen.get().databaseId(), term)).stream()
                 .toList();
     }
 
--- a/core/src/main/java/org/hornbeamspread/core/failover/PrimaryProof.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/PrimaryProof.java
@@ -8,4 +8,4 @@
  * @param position the end of its log
  * @param askedAtMs when it was asked, by the leader's clock
  */
-public record PrimaryProof(LogPosition position, long askedAtMs) {}
+public record PrimaryProof(LogPosition position, long requestedAtMs) {}
--- a/core/src/main/java/org/hornbeamspread/core/failover/ReplicaCoverage.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/ReplicaCoverage.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
+import org.hornbeamspread.core.failover.SyncGroupFailover.GroupSnapshot;
 import org.hornbeamspread.core.failover.SyncGroupFailover.MemberView;
-import org.hornbeamspread.core.failover.SyncGroupFailover.Situation;
 import org.hornbeamspread.core.misc.LogPosition;
 import org.hornbeamspread.core.route.LostCopy;
 
@@ -21,7 +21,7 @@
  */
 final class ReplicaCoverage {
     /** A database that announced its departure acknowledges until its process ends: it may wait a second for an answer, and ask again. */
-    private static final long DEPARTURE_MS = 2_000;
+    private static final long DEPARTURE_GRACE_MS = 2_000;
 
     private final Clock clock;
     private final SyncFailoverTimings timings;
@@ -38,7 +38,7 @@
     private Optional<PrimaryProof> target = Optional.empty();
 
     /** All that was acknowledged before is held by the primary and a present replica; long ago before the first check. */
-    private long coveredAtMs = Long.MIN_VALUE / 2;
+    private long coveredUntilMs = Long.MIN_VALUE / 2;
 
     ReplicaCoverage(Clock clock, SyncFailoverTimings timings) {
         this.clock = clock;
@@ -46,52 +46,54 @@
     }
 
     /** Takes over what is lost at present. */
-    void observe(Situation situation) {
+    void updateLosses(GroupSnapshot situation) {
         lostAtMs.keySet().retainAll(situation.lostCopies());
         for (LostCopy copy : situation.lostCopies()) {
-            long endsInMs = situation.departedCopies().contains(copy) ? DEPARTURE_MS : 0;
+            long endsInMs = situation.departedCopies().contains(copy) ? DEPARTURE_GRACE_MS : 0;
             lostAtMs.putIfAbsent(copy, clock.millis() + endsInMs);
         }
         situation.members().stream()
                 .filter(member -> !isSilent(member))
-                .forEach(member -> onAnswered(member.instanceId()));
+                .forEach(member -> onResponse(member.instanceId()));
     }
 
     /** A member's address refused a connection: its process has ended. */
-    void onRefused(String instanceId) {
+    void onConnectionRefused(String instanceId) {
         refusedSinceMs.putIfAbsent(instanceId, clock.millis());
         refusedAtMs.put(instanceId, clock.millis());
     }
 
-    void onAnswered(String instanceId) {
+    void onResponse(String instanceId) {
         refusedSinceMs.remove(instanceId);
         refusedAtMs.remove(instanceId);
     }
 
     /** Whether there is anything to find out now. */
-    boolean isWanted(Situation situation) {
-        boolean renewal = clock.millis() - coveredAtMs >= timings.coverageMs();
+    boolean isCheckDue(GroupSnapshot situation) {
+        boolean renewal = clock.millis() - coveredUntilMs >= timings.coverageCheckIntervalMs();
         return !lostAtMs.isEmpty() || (renewal && situation.members().stream().anyMatch(this::isSilent));
     }
 
     /** Compares what replicas have received to what the primary had. */
-    void check(Situation situation, Collection<LogPosition> received) {
+    void check(GroupSnapshot situation, Collection<LogPosition> received) {
         if (target.isEmpty()) {
-            target = situation.proof().filter(proof -> proof.askedAtMs() > Math.max(coveredAtMs, latestLossMs()));
+            target = situation
+                    .primaryProof()
+                    .filter(proof -> proof.requestedAtMs() > Math.max(coveredUntilMs, latestLossMs()));
         }
         if (target.isPresent()
                 && received.stream()
                         .anyMatch(position -> position.covers(target.get().position()))) {
-            coveredAtMs = target.get().askedAtMs();
+            coveredUntilMs = target.get().requestedAtMs();
             target = Optional.empty();
         }
     }
 
     /** The lost copies without which no acknowledged commit is missed any more. */
-    List<LostCopy> recovered() {
+    List<LostCopy> recoveredCopies() {
         List<LostCopy> recovered = new ArrayList<>();
         lostAtMs.forEach((copy, atMs) -> {
-            if (coveredAtMs > atMs) {
+            if (coveredUntilMs > atMs) {
                 recovered.add(copy);
             }
         });
@@ -102,12 +104,12 @@
      * Whether a member need not be fenced: its process has ended, and all that it may have acknowledged is held without it. Silence alone
      * does not show that, since a database that control does not reach may go on acknowledging.
      */
-    boolean isDispensable(MemberView member) {
+    boolean needsNoFencing(MemberView member) {
         Long sinceMs = refusedSinceMs.get(member.instanceId());
         return isSilent(member)
                 && sinceMs != null
-                && sinceMs < coveredAtMs
-                && clock.millis() - refusedAtMs.get(member.instanceId()) <= 2 * timings.coverageMs();
+                && sinceMs < coveredUntilMs
+                && clock.millis() - refusedAtMs.get(member.instanceId()) <= 2 * timings.coverageCheckIntervalMs();
     }
 
     boolean isSilent(MemberView member) {
--- a/core/src/main/java/org/hornbeamspread/core/failover/SyncFailoverTimings.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/SyncFailoverTimings.java
@@ -16,15 +16,15 @@
  */
 public record SyncFailoverTimings(
         long detectionMs,
-        long refusedMs,
-        long firstDetectionMs,
-        long promotionMs,
-        long writeStallMs,
-        long commandRetryMs,
-        long answerAgeMs,
-        long announceLimitMs,
+        long refusedDetectionMs,
+        long initialDetectionMs,
+        long promotionTimeoutMs,
+        long writeStallTimeoutMs,
+        long commandRetryIntervalMs,
+        long maxStatusAgeMs,
+        long maxCandidateSilenceMs,
         long silenceMs,
-        long coverageMs) {
+        long coverageCheckIntervalMs) {
     /**
      * A second of silence: three questions of 250 ms in a row and the way between regions; half of it where two in a row were
      * refused; a first round of connections and questions for a new leader. Answers count for less time than a
--- a/core/src/main/java/org/hornbeamspread/core/failover/SyncGroupFailover.java
+++ b/core/src/main/java/org/hornbeamspread/core/failover/SyncGroupFailover.java
@@ -52,54 +52,54 @@
  */
 public final class SyncGroupFailover {
     /** An order without an answer that may not be repeated, since a replica receives again, is given up after this. */
-    private static final long REPEAT_LIMIT_MS = 1_500;
+    private static final long PROMOTION_RESULT_TIMEOUT_MS = 1_500;
 
     private final Clock clock;
     private final SyncFailoverTimings timings;
-    private final FencingEvidence evidence;
+    private final FencingState fencing;
     private final ReplicaCoverage coverage;
     private final Map<String, Long> commandsSentAtMs = new HashMap<>();
     private final Set<String> pausedIds = new HashSet<>();
 
     /** Members of which this leader knows whether they are paused. */
-    private final Set<String> answeredIds = new HashSet<>();
+    private final Set<String> respondedIds = new HashSet<>();
 
     /** The token that this leader raised; 0 for none. */
     private long ownToken;
 
     /** Whether an order under an earlier token may still be carried out. */
-    private boolean earlierOrder;
+    private boolean earlierPromotionPending;
 
     /** Refused by the platform for good, so that no order for it is under way. */
-    private Optional<String> refusedChoice = Optional.empty();
+    private Optional<String> rejectedCandidate = Optional.empty();
 
     /** Whether the present promotion replaces a primary that works. */
     private boolean replacesLivePrimary;
 
-    private boolean logPending;
-    private boolean raisePending;
-    private boolean ordered;
-    private Optional<Boolean> orderAnswer = Optional.empty();
+    private boolean logCommitPending;
+    private boolean tokenCommitPending;
+    private boolean promotionRequested;
+    private Optional<Boolean> promotionResult = Optional.empty();
 
     /** Since when the group is without a proof of its primary. */
-    private long aliveAtMs;
+    private long lastPrimaryProofAtMs;
 
     /** The latest promotion that this leader saw concluded; -1 before the first. */
-    private long settledToken = -1;
+    private long concludedToken = -1;
 
     /** When its order was accepted, or first seen as accepted; long ago where nothing was ordered. */
-    private long settledAtMs;
+    private long promotionAcceptedAtMs;
 
     /** Whether the promoted instance had not begun to lead when last looked at. */
-    private boolean takingOver;
+    private boolean takeoverPending;
 
     /** A group's failover under a new leader. */
     public SyncGroupFailover(Clock clock, SyncFailoverTimings timings) {
         this.clock = clock;
         this.timings = timings;
-        this.evidence = new FencingEvidence(clock, timings);
+        this.fencing = new FencingState(clock, timings);
         this.coverage = new ReplicaCoverage(clock, timings);
-        this.aliveAtMs = clock.millis() + timings.firstDetectionMs() - timings.detectionMs();
+        this.lastPrimaryProofAtMs = clock.millis() + timings.initialDetectionMs() - timings.detectionMs();
     }
 
     /**
@@ -130,7 +130,7 @@
      * @param refused whether the primary's address refuses connections
      * @param cutOff whether too many proxies can't reach the primary, though it works
      */
-    public record Situation(
+    public record GroupSnapshot(
             long token,
             Optional<String> chosenId,
             Set<String> unsettledChoices,
@@ -138,13 +138,13 @@
             List<MemberView> members,
             List<LostCopy> lostCopies,
             List<LostCopy> departedCopies,
-            Optional<PrimaryProof> proof,
+            Optional<PrimaryProof> primaryProof,
             long primaryProofAgeMs,
             long stalledWriteMs,
-            boolean refused,
-            boolean cutOff) {
+            boolean connectionRefused,
+            boolean unreachableFromProxies) {
         /** Copies the collections. */
-        public Situation {
+        public GroupSnapshot {
             unsettledChoices = Set.copyOf(unsettledChoices);
             members = List.copyOf(members);
             lostCopies = List.copyOf(lostCopies);
@@ -153,20 +153,20 @@
     }
 
     /** Decides what to do next. To be called at each tick and after each report. */
-    public List<SyncFailoverEffect> step(Situation situation) {
+    public List<SyncFailoverEffect> step(GroupSnapshot situation) {
         long nowMs = clock.millis();
-        aliveAtMs = Math.max(aliveAtMs, nowMs - situation.primaryProofAgeMs());
-        evidence.observe(situation.members());
-        coverage.observe(situation);
-        if (logPending || situation.members().isEmpty()) {
+        lastPrimaryProofAtMs = Math.max(lastPrimaryProofAtMs, nowMs - situation.primaryProofAgeMs());
+        fencing.updateMembers(situation.members());
+        coverage.updateLosses(situation);
+        if (logCommitPending || situation.members().isEmpty()) {
             return List.of();
         }
         boolean settled = situation.token() == 0 || situation.concluded();
         if (settled) {
-            return watch(situation, nowMs);
+            return monitorPrimary(situation, nowMs);
         }
         if (situation.token() != ownToken) {
-            return raise(situation);
+            return raiseToken(situation);
         }
         return situation.chosenId().isPresent()
                 ? promote(situation, situation.chosenId().get(), nowMs)
@@ -178,37 +178,37 @@
      *
      * @param committed whether it surely took effect. A token that may be another leader's is not this one's: it is raised again.
      */
-    public void logDone(boolean committed) {
-        logPending = false;
-        if (raisePending && !committed) {
+    public void onLogCommitEnded(boolean committed) {
+        logCommitPending = false;
+        if (tokenCommitPending && !committed) {
             ownToken = 0;
         }
-        raisePending = false;
+        tokenCommitPending = false;
     }
 
     /** An instance answered a status question, a pause or a demotion. */
     public void onStatus(String instanceId, ReplicaStatus status) {
-        if (evidence.onStatus(instanceId, status)) {
+        if (fencing.onStatus(instanceId, status)) {
             commandsSentAtMs.remove(instanceId);
             commandsSentAtMs.remove("fenced " + instanceId);
         }
-        answeredIds.add(instanceId);
-        coverage.onAnswered(instanceId);
+        respondedIds.add(instanceId);
+        coverage.onResponse(instanceId);
         if (status.heldTerm() > 0 && !status.primary()) {
             pausedIds.add(instanceId);
         }
     }
 
     /** An instance's address refused a connection. */
-    public void onRefused(String instanceId) {
-        coverage.onRefused(instanceId);
+    public void onConnectionRefused(String instanceId) {
+        coverage.onConnectionRefused(instanceId);
     }
 
     /** The old primary confirmed that it is a replica now. */
     public void onDemoted(String instanceId, ReplicaStatus status) {
         onStatus(instanceId, status);
         if (!status.primary()) {
-            evidence.onDemoted(instanceId, status);
+            fencing.onDemoted(instanceId, status);
         }
     }
 
@@ -222,46 +222,47 @@
      *
      * @param accepted false when it refused for good: a higher token was used, or the instance does not run
      */
-    public void onOrderAnswered(long token, boolean accepted) {
+    public void onPromotionResult(long token, boolean accepted) {
         if (token == ownToken) {
-            orderAnswer = Optional.of(accepted);
+            promotionResult = Optional.of(accepted);
         }
     }
 
     /** How long the group has had no proof of a working primary. */
     public long outageMs() {
-        return clock.millis() - aliveAtMs;
+        return clock.millis() - lastPrimaryProofAtMs;
     }
 
     /** How many logs may hold an acknowledged commit that others lack; all but one must be fenced. */
-    public long copies(Situation situation) {
+    public long copyCount(GroupSnapshot situation) {
         long dispensable = situation.members().stream()
-                .filter(member -> !evidence.answersAsReplica(member.instanceId()))
-                .filter(member -> coverage.isDispensable(member))
+                .filter(member -> !fencing.isRespondingReplica(member.instanceId()))
+                .filter(member -> coverage.needsNoFencing(member))
                 .count();
         return situation.members().size() - dispensable + situation.lostCopies().size();
     }
 
     /** What each member answered last and how long ago, in words for the log. */
-    public List<String> answers(Situation situation) {
-        return situation.members().stream().map(evidence::describe).toList();
+    public List<String> describeStatuses(GroupSnapshot situation) {
+        return situation.members().stream().map(fencing::describe).toList();
     }
 
-    private List<SyncFailoverEffect> watch(Situation situation, long nowMs) {
+    private List<SyncFailoverEffect> monitorPrimary(GroupSnapshot situation, long nowMs) {
         if (awaitsTakeover(situation, nowMs)) {
             return keepFenced(situation, nowMs);
         }
-        long limitMs = situation.refused() ? timings.refusedMs() : timings.detectionMs();
-        boolean lost = nowMs - aliveAtMs > limitMs || situation.stalledWriteMs() > timings.writeStallMs();
+        long limitMs = situation.connectionRefused() ? timings.refusedDetectionMs() : timings.detectionMs();
+        boolean lost =
+                nowMs - lastPrimaryProofAtMs > limitMs || situation.stalledWriteMs() > timings.writeStallTimeoutMs();
         Optional<MemberView> primary = primary(situation);
         boolean leaving = primary.isPresent() && primary.get().draining();
         boolean demotable = primary.isEmpty() || !primary.get().logUnproven();
         // A repeated order of the last promotion may take effect until then, and would undo a demotion.
-        boolean quiet = situation.token() == 0 || nowMs - settledAtMs > timings.promotionMs();
-        replacesLivePrimary = quiet && demotable && (leaving || situation.cutOff());
-        boolean replaceable = situation.members().stream().anyMatch(this::mayLead);
+        boolean quiet = situation.token() == 0 || nowMs - promotionAcceptedAtMs > timings.promotionTimeoutMs();
+        replacesLivePrimary = quiet && demotable && (leaving || situation.unreachableFromProxies());
+        boolean replaceable = situation.members().stream().anyMatch(this::isEligible);
         if ((lost || replacesLivePrimary) && replaceable && situation.members().size() > 1) {
-            return raise(situation);
+            return raiseToken(situation);
         }
         List<SyncFailoverEffect> effects = new ArrayList<>();
         for (String paused : List.copyOf(pausedIds)) {
@@ -269,41 +270,41 @@
                 effects.add(new Resume(paused));
             }
         }
-        effects.addAll(askUnknown(situation, nowMs));
-        effects.addAll(coverLosses(situation, nowMs));
+        effects.addAll(queryUnknownPauseStates(situation, nowMs));
+        effects.addAll(checkCoverage(situation, nowMs));
         return effects;
     }
 
     /** The leader before may have left replicas paused. */
-    private List<SyncFailoverEffect> askUnknown(Situation situation, long nowMs) {
-        answeredIds.retainAll(
+    private List<SyncFailoverEffect> queryUnknownPauseStates(GroupSnapshot situation, long nowMs) {
+        respondedIds.retainAll(
                 situation.members().stream().map(MemberView::instanceId).toList());
-        return receivers(situation).stream()
-                .filter(member -> !answeredIds.contains(member.instanceId()))
+        return announcedReplicas(situation).stream()
+                .filter(member -> !respondedIds.contains(member.instanceId()))
                 .filter(member -> isDue("first " + member.instanceId(), nowMs))
                 .<SyncFailoverEffect>map(member -> new AskStatus(member.instanceId()))
                 .toList();
     }
 
-    private List<MemberView> receivers(Situation situation) {
+    private List<MemberView> announcedReplicas(GroupSnapshot situation) {
         return situation.members().stream()
-                .filter(member -> !member.primary() && member.silentMs() < timings.announceLimitMs())
+                .filter(member -> !member.primary() && member.silentMs() < timings.maxCandidateSilenceMs())
                 .toList();
     }
 
     /** Finds out whether all that was acknowledged is held without the copies that were lost or may be. */
-    private List<SyncFailoverEffect> coverLosses(Situation situation, long nowMs) {
-        if (!coverage.isWanted(situation)) {
+    private List<SyncFailoverEffect> checkCoverage(GroupSnapshot situation, long nowMs) {
+        if (!coverage.isCheckDue(situation)) {
             return List.of();
         }
-        List<MemberView> replicas = receivers(situation);
+        List<MemberView> replicas = announcedReplicas(situation);
         List<LogPosition> received = replicas.stream()
-                .flatMap(member -> evidence.recentStatus(member.instanceId()).stream())
+                .flatMap(member -> fencing.recentStatus(member.instanceId()).stream())
                 .filter(status -> !status.primary())
                 .map(ReplicaStatus::received)
                 .toList();
         coverage.check(situation, received);
-        List<LostCopy> recovered = coverage.recovered();
+        List<LostCopy> recovered = coverage.recoveredCopies();
         if (!recovered.isEmpty()) {
             return isDue("recover", nowMs) ? List.of(new Recover(recovered)) : List.of();
         }
@@ -314,12 +315,12 @@
                 .toList();
     }
 
-    private Optional<String> choice(Situation situation) {
+    private Optional<String> candidate(GroupSnapshot situation) {
         long dispensable = situation.members().stream()
-                .filter(member -> !evidence.answersAsReplica(member.instanceId()))
-                .filter(member -> coverage.isDispensable(member))
+                .filter(member -> !fencing.isRespondingReplica(member.instanceId()))
+                .filter(member -> coverage.needsNoFencing(member))
                 .count();
-        return evidence.choice(
+        return fencing.candidate(
                 situation.members(),
                 situation.members().size()
                         - dispensable
@@ -330,98 +331,100 @@
      * Whether an accepted order may not have taken effect yet. Until then the primary before it may still lead: a replica that
      * is told to receive again would acknowledge for it, and another promotion would build on what the first is about to undo.
      */
-    private boolean awaitsTakeover(Situation situation, long nowMs) {
-        if (settledToken != situation.token()) {
-            settledToken = situation.token();
+    private boolean awaitsTakeover(GroupSnapshot situation, long nowMs) {
+        if (concludedToken != situation.token()) {
+            concludedToken = situation.token();
             beginTakeover(nowMs);
         }
         Optional<MemberView> promoted = situation.members().stream()
                 .filter(member -> situation.chosenId().equals(Optional.of(member.instanceId())))
                 .findFirst();
-        boolean own = settledToken == ownToken;
+        boolean own = concludedToken == ownToken;
         boolean awaited = promoted.filter(
-                        member -> !member.primary() || (own && member.silentMs() >= nowMs - settledAtMs))
+                        member -> !member.primary() || (own && member.silentMs() >= nowMs - promotionAcceptedAtMs))
                 .isPresent();
-        boolean earlierAwaited = earlierOrder && own;
-        if ((awaited || earlierAwaited) && nowMs - settledAtMs <= timings.promotionMs()) {
+        boolean earlierAwaited = earlierPromotionPending && own;
+        if ((awaited || earlierAwaited) && nowMs - promotionAcceptedAtMs <= timings.promotionTimeoutMs()) {
             return true;
         }
-        if (takingOver) {
-            takingOver = false;
-            boolean sawTakeover = settledAtMs < nowMs;
-            aliveAtMs = Math.max(aliveAtMs, sawTakeover && !awaited ? nowMs : aliveAtMs);
+        if (takeoverPending) {
+            takeoverPending = false;
+            boolean sawTakeover = promotionAcceptedAtMs < nowMs;
+            lastPrimaryProofAtMs =
+                    Math.max(lastPrimaryProofAtMs, sawTakeover && !awaited ? nowMs : lastPrimaryProofAtMs);
         }
         return false;
     }
 
     private void beginTakeover(long nowMs) {
-        settledAtMs = nowMs;
-        takingOver = true;
+        promotionAcceptedAtMs = nowMs;
+        takeoverPending = true;
     }
 
-    private boolean mayLead(MemberView member) {
-        return !member.primary() && !member.draining() && member.silentMs() < timings.announceLimitMs();
+    private boolean isEligible(MemberView member) {
+        return !member.primary() && !member.draining() && member.silentMs() < timings.maxCandidateSilenceMs();
     }
 
-    private List<SyncFailoverEffect> raise(Situation situation) {
+    private List<SyncFailoverEffect> raiseToken(GroupSnapshot situation) {
         commandsSentAtMs.clear();
-        earlierOrder = situation.token() > 0 && !situation.concluded();
+        earlierPromotionPending = situation.token() > 0 && !situation.concluded();
         Set<String> unsettled = new HashSet<>();
-        if (earlierOrder) {
+        if (earlierPromotionPending) {
             unsettled.addAll(situation.unsettledChoices());
             situation.chosenId().ifPresent(unsettled::add);
-            refusedChoice.ifPresent(unsettled::remove);
+            rejectedCandidate.ifPresent(unsettled::remove);
         }
-        refusedChoice = Optional.empty();
-        evidence.begin(unsettled);
-        orderAnswer = Optional.empty();
-        ordered = false;
+        rejectedCandidate = Optional.empty();
+        fencing.reset(unsettled);
+        promotionResult = Optional.empty();
+        promotionRequested = false;
         ownToken = situation.token() + 1;
-        logPending = true;
-        raisePending = true;
+        logCommitPending = true;
+        tokenCommitPending = true;
         return List.of(new RaiseToken(situation.token(), unsettled));
     }
 
-    private List<SyncFailoverEffect> fence(Situation situation, long nowMs) {
+    private List<SyncFailoverEffect> fence(GroupSnapshot situation, long nowMs) {
         Optional<MemberView> primary = primary(situation);
-        boolean vain = evidence.ageMs() > FencingEvidence.LIVE_REPLACEMENT_LIMIT_MS;
-        if ((!replacesLivePrimary || vain) && isPrimaryBack(situation, nowMs) && primary.isPresent()) {
-            logPending = true;
+        boolean vain = fencing.elapsedMs() > FencingState.LIVE_REPLACEMENT_TIMEOUT_MS;
+        if ((!replacesLivePrimary || vain) && isPrimaryConfirmed(situation, nowMs) && primary.isPresent()) {
+            logCommitPending = true;
             Choose stay = new Choose(ownToken, primary.get().instanceId());
-            if (earlierOrder) {
+            if (earlierPromotionPending) {
                 return List.of(stay);
             }
-            settledToken = ownToken;
-            settledAtMs = nowMs - timings.promotionMs() - 1;
+            concludedToken = ownToken;
+            promotionAcceptedAtMs = nowMs - timings.promotionTimeoutMs() - 1;
             return List.of(stay, new Conclude(ownToken, primary.get().instanceId()));
         }
-        Optional<String> choice = choice(situation);
+        Optional<String> choice = candidate(situation);
         if (choice.isPresent()) {
-            logPending = true;
+            logCommitPending = true;
             return List.of(new Choose(ownToken, choice.get()));
         }
-        return commands(situation, nowMs);
+        return fencingCommands(situation, nowMs);
     }
 
-    private boolean isPrimaryBack(Situation situation, long nowMs) {
-        boolean proven = nowMs - aliveAtMs < timings.commandRetryMs() && aliveAtMs > nowMs - evidence.ageMs();
-        return proven && evidence.demotedId().isEmpty() && !ordered && situation.stalledWriteMs() == 0;
+    private boolean isPrimaryConfirmed(GroupSnapshot situation, long nowMs) {
+        boolean proven = nowMs - lastPrimaryProofAtMs < timings.commandRetryIntervalMs()
+                && lastPrimaryProofAtMs > nowMs - fencing.elapsedMs();
+        return proven && fencing.demotedId().isEmpty() && !promotionRequested && situation.stalledWriteMs() == 0;
     }
 
-    private List<SyncFailoverEffect> commands(Situation situation, long nowMs) {
+    private List<SyncFailoverEffect> fencingCommands(GroupSnapshot situation, long nowMs) {
         List<SyncFailoverEffect> effects = new ArrayList<>();
-        long term = evidence.nextTerm();
+        long term = fencing.nextTerm();
         for (MemberView member : situation.members()) {
             String id = member.instanceId();
             if (!isDue(id, nowMs)) {
                 continue;
             }
-            Optional<ReplicaStatus> status = evidence.recentStatus(id);
+            Optional<ReplicaStatus> status = fencing.recentStatus(id);
             if (status.isEmpty()) {
                 effects.add(new AskStatus(id));
             } else if (status.get().primary()) {
                 demote(situation, member, term).ifPresent(effects::add);
-            } else if (status.get().heldTerm() == 0 && !evidence.isDemoted(id)) {
+            } else if (status.get().heldTerm() == 0 && !fencing.isDemoted(id)) {
                 effects.add(pause(id, term));
             } else {
                 commandsSentAtMs.remove(id);
@@ -431,7 +434,7 @@
     }
 
     private Pause pause(String instanceId, long term) {
-        evidence.onPauseSent(instanceId, term);
+        fencing.onPauseSent(instanceId, term);
         // Its answer may be lost.
         pausedIds.add(instanceId);
         return new Pause(instanceId, term);
@@ -441,8 +444,8 @@
      * Pauses whoever receives while an order may be about to take effect: a replica that came or started again since the choice would
      * acknowledge behind it for a primary that control does not reach.
      */
-    private List<SyncFailoverEffect> keepFenced(Situation situation, long nowMs) {
-        if (situation.chosenId().filter(id -> stays(situation, id)).isPresent()) {
+    private List<SyncFailoverEffect> keepFenced(GroupSnapshot situation, long nowMs) {
+        if (situation.chosenId().filter(id -> isCurrentPrimary(situation, id)).isPresent()) {
             return List.of();
         }
         List<SyncFailoverEffect> effects = new ArrayList<>();
@@ -451,19 +454,19 @@
             if (member.primary() || situation.chosenId().equals(Optional.of(id)) || !isDue("fenced " + id, nowMs)) {
                 continue;
             }
-            Optional<ReplicaStatus> status = evidence.recentStatus(id);
+            Optional<ReplicaStatus> status = fencing.recentStatus(id);
             if (status.isEmpty()) {
                 effects.add(new AskStatus(id));
-            } else if (!status.get().primary() && status.get().heldTerm() == 0 && !evidence.isDemoted(id)) {
-                effects.add(pause(id, evidence.nextTerm()));
+            } else if (!status.get().primary() && status.get().heldTerm() == 0 && !fencing.isDemoted(id)) {
+                effects.add(pause(id, fencing.nextTerm()));
             }
         }
         return effects;
     }
 
     /** A primary whose log is unproven would prove nothing by its demotion, and nobody could prove to lead any more. */
-    private Optional<SyncFailoverEffect> demote(Situation situation, MemberView primary, long term) {
-        if (hasSuccessor(situation) && !primary.logUnproven()) {
+    private Optional<SyncFailoverEffect> demote(GroupSnapshot situation, MemberView primary, long term) {
+        if (hasRespondingCandidate(situation) && !primary.logUnproven()) {
             return Optional.of(new Demote(primary.instanceId(), term));
         }
         commandsSentAtMs.remove(primary.instanceId());
@@ -471,61 +474,63 @@
     }
 
     /** Whether a replica that could lead has just answered. A primary that works is not demoted for nothing. */
-    private boolean hasSuccessor(Situation situation) {
+    private boolean hasRespondingCandidate(GroupSnapshot situation) {
         return situation.members().stream()
-                .filter(this::mayLead)
-                .anyMatch(member -> evidence.recentStatus(member.instanceId()).isPresent());
+                .filter(this::isEligible)
+                .anyMatch(member -> fencing.recentStatus(member.instanceId()).isPresent());
     }
 
     private boolean isDue(String command, long nowMs) {
         Long sentAtMs = commandsSentAtMs.get(command);
-        if (sentAtMs != null && nowMs - sentAtMs < timings.commandRetryMs()) {
+        if (sentAtMs != null && nowMs - sentAtMs < timings.commandRetryIntervalMs()) {
             return false;
         }
         commandsSentAtMs.put(command, nowMs);
         return true;
     }
 
-    private List<SyncFailoverEffect> promote(Situation situation, String chosenId, long nowMs) {
-        if (orderAnswer.isPresent()) {
-            boolean accepted = orderAnswer.get();
-            orderAnswer = Optional.empty();
+    private List<SyncFailoverEffect> promote(GroupSnapshot situation, String chosenId, long nowMs) {
+        if (promotionResult.isPresent()) {
+            boolean accepted = promotionResult.get();
+            promotionResult = Optional.empty();
             if (!accepted) {
                 ownToken = 0;
-                refusedChoice = Optional.of(chosenId);
+                rejectedCandidate = Optional.of(chosenId);
                 return List.of();
             }
-            aliveAtMs = nowMs;
-            settledToken = ownToken;
+            lastPrimaryProofAtMs = nowMs;
+            concludedToken = ownToken;
             beginTakeover(nowMs);
             pausedIds.remove(chosenId);
-            logPending = true;
+            logCommitPending = true;
             return List.of(new Conclude(ownToken, chosenId));
         }
-        if (!ordered || stays(situation, chosenId) || choice(situation).equals(Optional.of(chosenId))) {
+        if (!promotionRequested
+                || isCurrentPrimary(situation, chosenId)
+                || candidate(situation).equals(Optional.of(chosenId))) {
             if (!isDue("promote", nowMs)) {
                 return keepFenced(situation, nowMs);
             }
-            ordered = true;
+            promotionRequested = true;
             return List.of(new Promote(ownToken, chosenId));
         }
-        if (nowMs - commandsSentAtMs.getOrDefault("promote", nowMs) > REPEAT_LIMIT_MS) {
-            return raise(situation);
+        if (nowMs - commandsSentAtMs.getOrDefault("promote", nowMs) > PROMOTION_RESULT_TIMEOUT_MS) {
+            return raiseToken(situation);
         }
-        return commands(situation, nowMs);
+        return fencingCommands(situation, nowMs);
     }
 
     /** Whether the choice is the primary itself, which an order does not change. */
-    private boolean stays(Situation situation, String chosenId) {
+    private boolean isCurrentPrimary(GroupSnapshot situation, String chosenId) {
         return primary(situation)
                 .filter(member -> member.instanceId().equals(chosenId))
                 .isPresent();
     }
 
     /** The member that says it leads; of several, the one that was heard last. */
-    private Optional<MemberView> primary(Situation situation) {
+    private Optional<MemberView> primary(GroupSnapshot situation) {
         return situation.members().stream()
-                .filter(member -> !evidence.demotedId().equals(Optional.of(member.instanceId())))
+                .filter(member -> !fencing.demotedId().equals(Optional.of(member.instanceId())))
                 .filter(MemberView::primary)
                 .min(Comparator.comparingLong(MemberView::silentMs));
     }
--- a/core/src/test/java/org/hornbeamspread/core/failover/Acknowledgement.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/AcknowledgementPolicy.java
@@ -8,7 +8,7 @@
 import org.hornbeamspread.core.misc.LogPosition;
 
 /** How a proxy of the search decides that a write may be acknowledged. */
-interface Acknowledgement {
+interface AcknowledgementPolicy {
     /**
      * Whether a write may be acknowledged.
      *
@@ -19,12 +19,12 @@
     boolean isAllowed(LogPosition commit, HolderReport primary, Collection<HolderReport> trusted);
 
     /** What proxies do. */
-    static Acknowledgement byQuorumTracker() {
+    static AcknowledgementPolicy byQuorumTracker() {
         return byQuorumTracker(ModelState.DATABASES);
     }
 
     /** The same for a group that is believed to have so many databases. */
-    static Acknowledgement byQuorumTracker(int databases) {
+    static AcknowledgementPolicy byQuorumTracker(int databases) {
         return (commit, primary, trusted) -> {
             QuorumTracker tracker = new QuorumTracker();
             Set<String> members = new HashSet<>();
@@ -36,7 +36,7 @@
     }
 
     /** Without the marker: an entry of an earlier term counts as soon as two databases of this term hold it. */
-    static Acknowledgement withoutMarker() {
+    static AcknowledgementPolicy withoutMarker() {
         return (commit, primary, trusted) -> trusted.stream()
                         .filter(report -> report.term() == primary.term())
                         .filter(report -> report.followedTerm() == primary.term())
--- a/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PromotionModelTest.java
@@ -22,7 +22,7 @@
     @CsvSource({"3, 0, 286390", "2, 1, 355034"})
     void noHistoryLosesAnAcknowledgedWrite(int promotions, int lostDisks, int states) {
         PromotionSearch search = new PromotionSearch(
-                new SafePromotionRules(), Acknowledgement.byQuorumTracker(), WRITES, promotions, lostDisks);
+                new SafePromotionRules(), AcknowledgementPolicy.byQuorumTracker(), WRITES, promotions, lostDisks);
         assertThat(search.firstLoss()).isEmpty();
         assertThat(search.states()).isEqualTo(states);
     }
@@ -69,18 +69,18 @@
     @ParameterizedTest
     @MethodSource("rulesLeftOut")
     void aHistoryWithoutOneRuleLosesAnAcknowledgedWrite(PromotionRules rules, int lostDisks) {
-        assertLoses(new PromotionSearch(rules, Acknowledgement.byQuorumTracker(), WRITES, 3, lostDisks));
+        assertLoses(new PromotionSearch(rules, AcknowledgementPolicy.byQuorumTracker(), WRITES, 3, lostDisks));
     }
 
     static Stream<Arguments> acknowledgementsTooEarly() {
         return Stream.of(
-                Arguments.of(Named.of("1: a quorum of holders", Acknowledgement.byQuorumTracker(1))),
-                Arguments.of(Named.of("4: the marker", Acknowledgement.withoutMarker())));
+                Arguments.of(Named.of("1: a quorum of holders", AcknowledgementPolicy.byQuorumTracker(1))),
+                Arguments.of(Named.of("4: the marker", AcknowledgementPolicy.withoutMarker())));
     }
 
     @ParameterizedTest
     @MethodSource("acknowledgementsTooEarly")
-    void aHistoryOfEarlyAcknowledgementsLosesOne(Acknowledgement acknowledgement) {
+    void aHistoryOfEarlyAcknowledgementsLosesOne(AcknowledgementPolicy acknowledgement) {
         assertLoses(new PromotionSearch(new SafePromotionRules(), acknowledgement, WRITES, 3, 0));
     }
 
--- a/core/src/test/java/org/hornbeamspread/core/failover/PromotionSearch.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/PromotionSearch.java
@@ -26,7 +26,7 @@
  */
 final class PromotionSearch {
     private final PromotionRules rules;
-    private final Acknowledgement acknowledgement;
+    private final AcknowledgementPolicy acknowledgement;
     private final int maxWrites;
     private final int maxPromotions;
     private final int maxLosses;
@@ -40,7 +40,11 @@
     private final Deque<ModelState> open = new ArrayDeque<>();
 
     PromotionSearch(
-            PromotionRules rules, Acknowledgement acknowledgement, int maxWrites, int maxPromotions, int maxLosses) {
+            PromotionRules rules,
+            AcknowledgementPolicy acknowledgement,
+            int maxWrites,
+            int maxPromotions,
+            int maxLosses) {
         this.rules = rules;
         this.acknowledgement = acknowledgement;
         this.maxWrites = maxWrites;
--- a/core/src/test/java/org/hornbeamspread/core/failover/SimulatedDatabase.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/SimulatedDatabase.java
@@ -10,7 +10,7 @@
     static final String SERVICE = "s";
     private static final int SLOTS = 2;
 
-    final int seat;
+    final int addressIndex;
     final String id;
     final long bornMs;
     long sequence;
@@ -18,7 +18,7 @@
     long downSinceMs;
 
     /** Whether its log is lost when it crashes, so that it is followed by an empty one. */
-    boolean lostForGood;
+    boolean logLost;
 
     /** Whether control reaches it. */
     boolean reachable = true;
@@ -31,44 +31,44 @@
     boolean primary;
 
     /** Receives nothing before. */
-    long deafUntilMs;
+    long replicationStalledUntilMs;
 
     /** Since when it leaves; 0 while it does not. */
-    long leavingSinceMs;
+    long drainingSinceMs;
 
     /** Whether an announcement of this incarnation has arrived. A database at a place of its own receives only then. */
-    boolean known;
+    boolean announced;
 
-    private boolean toldPrimary;
-    private boolean toldLeaving;
+    private boolean announcedPrimary;
+    private boolean announcedDraining;
 
     SimulatedDatabase(int seat, String id, long bornMs) {
-        this.seat = seat;
+        this.addressIndex = seat;
         this.id = id;
         this.bornMs = bornMs;
     }
 
     /** Another incarnation at the same address, with the log of this one. */
-    SimulatedDatabase restarted(String nextId, long nextBornMs) {
-        SimulatedDatabase next = new SimulatedDatabase(seat, nextId, nextBornMs);
+    SimulatedDatabase restartWithLog(String nextId, long nextBornMs) {
+        SimulatedDatabase next = new SimulatedDatabase(addressIndex, nextId, nextBornMs);
         next.term = term;
         next.entries = entries;
         next.primary = primary;
         next.reachable = reachable;
-        next.toldPrimary = !primary;
-        next.known = true;
+        next.announcedPrimary = !primary;
+        next.announced = true;
         return next;
     }
 
     /** Another incarnation at the same address, with an empty log. */
-    SimulatedDatabase emptied(String nextId, long nextBornMs) {
-        SimulatedDatabase next = new SimulatedDatabase(seat, nextId, nextBornMs);
+    SimulatedDatabase restartEmpty(String nextId, long nextBornMs) {
+        SimulatedDatabase next = new SimulatedDatabase(addressIndex, nextId, nextBornMs);
         next.reachable = reachable;
         return next;
     }
 
-    boolean receives(long nowMs) {
-        return !primary && up && known && pausedTerm == 0 && nowMs >= deafUntilMs;
+    boolean isReceiving(long nowMs) {
+        return !primary && up && announced && pausedTerm == 0 && nowMs >= replicationStalledUntilMs;
     }
 
     LogPosition position() {
@@ -82,21 +82,21 @@
     }
 
     /** Whether it has something to tell that its last announcement did not. */
-    boolean hasNews() {
-        return !known || toldPrimary != primary || toldLeaving != (leavingSinceMs > 0);
+    boolean needsAnnouncement() {
+        return !announced || announcedPrimary != primary || announcedDraining != (drainingSinceMs > 0);
     }
 
     DatabaseInstance announcement() {
         sequence++;
-        toldPrimary = primary;
-        toldLeaving = leavingSinceMs > 0;
+        announcedPrimary = primary;
+        announcedDraining = drainingSinceMs > 0;
         return new DatabaseInstance(
                 id,
                 SERVICE,
-                new Address("10.0.0." + seat, 1),
-                "domain-" + seat,
+                new Address("10.0.0." + addressIndex, 1),
+                "domain-" + addressIndex,
                 SLOTS,
-                leavingSinceMs > 0,
+                drainingSinceMs > 0,
                 primary,
                 bornMs,
                 sequence);
--- a/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/SimulatedGroup.java
@@ -11,8 +11,8 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Consumer;
+import org.hornbeamspread.core.failover.SyncGroupFailover.GroupSnapshot;
 import org.hornbeamspread.core.failover.SyncGroupFailover.MemberView;
-import org.hornbeamspread.core.failover.SyncGroupFailover.Situation;
 import org.hornbeamspread.core.misc.PausedClock;
 import org.hornbeamspread.core.route.InstanceRegistry;
 import org.hornbeamspread.core.route.InstanceRegistry.Departure;
@@ -30,19 +30,19 @@
 final class SimulatedGroup {
     private static final int STEPS = 600;
     private static final long STEP_MS = 50;
-    private static final int TRACED_EVENTS = 60;
+    private static final int MAX_TRACED_EVENTS = 60;
 
     /** A database does not come back sooner. */
-    private static final long RESTART_MS = 500;
+    private static final long MIN_RESTART_MS = 500;
 
     /** A replica that leaves is gone after this, and a primary that is not replaced by then stays after all. */
-    private static final long LEAVING_MS = 8_000;
+    private static final long DEPARTURE_MS = 8_000;
 
     /** From one announcement to the next, on average. */
-    private static final int ANNOUNCEMENT_STEPS = 20;
+    private static final int MEAN_ANNOUNCEMENT_INTERVAL_STEPS = 20;
 
     /** Long enough for every order, takeover, pause and round of questions to end. */
-    private static final int QUIET_STEPS = 500;
+    private static final int FAULT_FREE_STEPS = 500;
 
     /**
      * What histories do.
@@ -53,21 +53,26 @@
      * @param logsAreLost whether databases also return empty, are replaced and leave
      * @param newBirths whether a database that returns with its log has a new id, as a new process
      */
-    record Disturbances(int databases, boolean pausesWork, long promotionMs, boolean logsAreLost, boolean newBirths) {
+    record Scenario(
+            int databases,
+            boolean pauseTakesEffect,
+            long promotionDelayMs,
+            boolean logsCanBeLost,
+            boolean newIdOnRestart) {
         /** Where a database that returns with its log has the id that it had, unless logs are lost. */
-        Disturbances(int databases, boolean pausesWork, long promotionMs, boolean logsAreLost) {
+        Scenario(int databases, boolean pausesWork, long promotionMs, boolean logsAreLost) {
             this(databases, pausesWork, promotionMs, logsAreLost, false);
         }
     }
 
     /** An order that the platform has taken and not carried out. */
-    private record LateOrder(long token, String instanceId, long atMs) {}
+    private record DelayedPromotion(long token, String instanceId, long dueAtMs) {}
 
     /** An order that was accepted, until the database begins to lead. */
-    private record Takeover(String instanceId, long atMs) {}
+    private record Takeover(String instanceId, long dueAtMs) {}
 
     /** The lengths of acknowledged logs that a promoted database lacked. */
-    final List<Long> lost = new ArrayList<>();
+    final List<Long> lostCommitPositions = new ArrayList<>();
 
     /** The latest effects and events, for the message of a failure. */
     final Deque<String> trace = new ArrayDeque<>();
@@ -75,16 +80,16 @@
     private final PausedClock clock = new PausedClock();
     private final boolean traced;
     private final Random random;
-    private final Disturbances disturbances;
+    private final Scenario scenario;
     private final Deque<Takeover> takeovers = new ArrayDeque<>();
     private final List<SimulatedDatabase> databases = new ArrayList<>();
     private final InstanceRegistry registry = new InstanceRegistry();
-    private final Map<String, Long> heardAtMs = new HashMap<>();
-    private final Deque<LateOrder> late = new ArrayDeque<>();
-    private int seats;
-    private int ids;
+    private final Map<String, Long> announcedAtMs = new HashMap<>();
+    private final Deque<DelayedPromotion> delayedPromotions = new ArrayDeque<>();
+    private int addressCount;
+    private int idCount;
     private long acknowledged;
-    private long seenToken;
+    private long highestPlatformToken;
     private long token;
     private Optional<String> chosenId = Optional.empty();
     private Set<String> unsettledChoices = Set.of();
@@ -92,28 +97,28 @@
     private SyncGroupFailover failover;
     private int promotions;
 
-    SimulatedGroup(Disturbances disturbances, int seed, boolean traced) {
+    SimulatedGroup(Scenario disturbances, int seed, boolean traced) {
         this.traced = traced;
-        this.disturbances = disturbances;
+        this.scenario = disturbances;
         this.random = new Random(seed);
         for (int i = 0; i < disturbances.databases(); i++) {
-            SimulatedDatabase database = new SimulatedDatabase(seats++, nextId(), 1);
+            SimulatedDatabase database = new SimulatedDatabase(addressCount++, nextId(), 1);
             database.term = 1;
             database.entries = 1;
-            database.known = true;
+            database.announced = true;
             database.primary = i == 0;
             databases.add(database);
-            hear(database);
+            deliverAnnouncement(database);
         }
         failover = new SyncGroupFailover(clock, SyncFailoverTimings.DEFAULT);
     }
 
     /** Plays a history. */
     void run() {
-        for (int i = 0; i < STEPS && lost.isEmpty(); i++) {
+        for (int i = 0; i < STEPS && lostCommitPositions.isEmpty(); i++) {
             clock.advance(Duration.ofMillis(STEP_MS));
-            disturb();
-            pass(true);
+            injectFaults();
+            runStep(true);
         }
     }
 
@@ -123,45 +128,45 @@
     }
 
     /** Ends all disturbances and plays on. */
-    void settle() {
-        for (int i = 0; i < QUIET_STEPS && lost.isEmpty(); i++) {
+    void runWithoutFaults() {
+        for (int i = 0; i < FAULT_FREE_STEPS && lostCommitPositions.isEmpty(); i++) {
             clock.advance(Duration.ofMillis(STEP_MS));
             for (SimulatedDatabase database : List.copyOf(databases)) {
                 database.reachable = true;
-                database.leavingSinceMs = 0;
-                if (!database.up && late.isEmpty() && takeovers.isEmpty()) {
+                database.drainingSinceMs = 0;
+                if (!database.up && delayedPromotions.isEmpty() && takeovers.isEmpty()) {
                     restart(database);
                 }
             }
-            pass(false);
+            runStep(false);
         }
     }
 
     /** Whether the group has a primary that works and a replica that receives. */
     boolean isServing() {
         return primary().filter(database -> database.up).isPresent()
-                && databases.stream().anyMatch(database -> database.receives(clock.millis()));
+                && databases.stream().anyMatch(database -> database.isReceiving(clock.millis()));
     }
 
-    private void pass(boolean disturbed) {
-        write();
-        carryOutLate();
-        takeOver();
-        announce();
-        control(disturbed && random.nextInt(200) == 0);
+    private void runStep(boolean disturbed) {
+        appendAndReplicate();
+        runDelayedPromotions();
+        completeTakeovers();
+        sendAnnouncements();
+        runFailover(disturbed && random.nextInt(200) == 0);
     }
 
     private String nextId() {
-        return "d" + ids++;
+        return "d" + idCount++;
     }
 
-    private void disturb() {
+    private void injectFaults() {
         for (SimulatedDatabase database : List.copyOf(databases)) {
             if (database.up && random.nextInt(100) == 0) {
                 crash(database);
             } else if (!database.up
-                    && clock.millis() - database.downSinceMs > RESTART_MS
-                    && late.isEmpty()
+                    && clock.millis() - database.downSinceMs > MIN_RESTART_MS
+                    && delayedPromotions.isEmpty()
                     && takeovers.isEmpty()
                     && random.nextInt(50) == 0) {
                 restart(database);
@@ -170,51 +175,52 @@
                 database.reachable = !database.reachable;
             }
             if (random.nextInt(150) == 0) {
-                database.deafUntilMs = clock.millis() + 1_000 + random.nextInt(3_000);
+                database.replicationStalledUntilMs = clock.millis() + 1_000 + random.nextInt(3_000);
             }
-            leave(database);
+            startOrFinishDeparture(database);
         }
         if (random.nextInt(150) == 0) {
-            note("leader changes");
+            addTrace("leader changes");
             failover = new SyncGroupFailover(clock, SyncFailoverTimings.DEFAULT);
-            heardAtMs.replaceAll((id, heard) -> clock.millis());
+            announcedAtMs.replaceAll((id, heard) -> clock.millis());
         }
     }
 
     private void crash(SimulatedDatabase database) {
-        note("crash " + database.id);
+        addTrace("crash " + database.id);
         database.up = false;
         database.pausedTerm = 0;
         database.downSinceMs = clock.millis();
-        database.lostForGood = disturbances.logsAreLost() && random.nextInt(4) == 0;
+        database.logLost = scenario.logsCanBeLost() && random.nextInt(4) == 0;
     }
 
     private void restart(SimulatedDatabase database) {
         SimulatedDatabase next;
-        if (database.lostForGood) {
-            next = database.emptied(random.nextBoolean() ? database.id : nextId(), clock.millis());
-            note("empty at the place of " + database.id + " " + next.id);
+        if (database.logLost) {
+            next = database.restartEmpty(random.nextBoolean() ? database.id : nextId(), clock.millis());
+            addTrace("empty at the place of " + database.id + " " + next.id);
         } else {
-            boolean otherId = disturbances.newBirths() || (disturbances.logsAreLost() && random.nextBoolean());
-            next = database.restarted(otherId ? nextId() : database.id, otherId ? clock.millis() : database.bornMs);
+            boolean otherId = scenario.newIdOnRestart() || (scenario.logsCanBeLost() && random.nextBoolean());
+            next = database.restartWithLog(
+                    otherId ? nextId() : database.id, otherId ? clock.millis() : database.bornMs);
             next.sequence = database.sequence;
-            next.leavingSinceMs = database.leavingSinceMs;
-            note("restart of " + database.id + " as " + next.id);
+            next.drainingSinceMs = database.drainingSinceMs;
+            addTrace("restart of " + database.id + " as " + next.id);
         }
         databases.set(databases.indexOf(database), next);
     }
 
-    private void leave(SimulatedDatabase database) {
+    private void startOrFinishDeparture(SimulatedDatabase database) {
         long nowMs = clock.millis();
-        if (database.leavingSinceMs == 0 && database.up && random.nextInt(400) == 0) {
-            database.leavingSinceMs = nowMs;
-            if (disturbances.logsAreLost() && databases.size() <= disturbances.databases()) {
-                databases.add(new SimulatedDatabase(seats++, nextId(), nowMs));
+        if (database.drainingSinceMs == 0 && database.up && random.nextInt(400) == 0) {
+            database.drainingSinceMs = nowMs;
+            if (scenario.logsCanBeLost() && databases.size() <= scenario.databases()) {
+                databases.add(new SimulatedDatabase(addressCount++, nextId(), nowMs));
             }
-        } else if (database.leavingSinceMs > 0 && nowMs - database.leavingSinceMs > LEAVING_MS) {
-            database.leavingSinceMs = 0;
-            if (disturbances.logsAreLost() && !database.primary && databases.size() > disturbances.databases()) {
-                note("gone " + database.id);
+        } else if (database.drainingSinceMs > 0 && nowMs - database.drainingSinceMs > DEPARTURE_MS) {
+            database.drainingSinceMs = 0;
+            if (scenario.logsCanBeLost() && !database.primary && databases.size() > scenario.databases()) {
+                addTrace("gone " + database.id);
                 databases.remove(database);
                 if (random.nextInt(10) > 0) {
                     registry.depart(new Departure(database.id, database.bornMs));
@@ -228,14 +234,14 @@
     }
 
     /** The primary appends; replicas that receive do so at once or some steps later; one is enough. */
-    private void write() {
+    private void appendAndReplicate() {
         Optional<SimulatedDatabase> primary = primary().filter(database -> database.up);
         if (primary.isEmpty()) {
             return;
         }
         primary.get().entries++;
         for (SimulatedDatabase database : databases) {
-            if (database.receives(clock.millis()) && random.nextInt(3) > 0) {
+            if (database.isReceiving(clock.millis()) && random.nextInt(3) > 0) {
                 database.entries = primary.get().entries;
                 database.term = primary.get().term;
                 acknowledged = primary.get().entries;
@@ -243,40 +249,40 @@
         }
     }
 
-    private void takeOver() {
-        while (!takeovers.isEmpty() && takeovers.peek().atMs() <= clock.millis()) {
-            find(takeovers.remove().instanceId()).ifPresent(this::lead);
+    private void completeTakeovers() {
+        while (!takeovers.isEmpty() && takeovers.peek().dueAtMs() <= clock.millis()) {
+            find(takeovers.remove().instanceId()).ifPresent(this::becomePrimary);
         }
     }
 
     /** Once a second, and a change until it has arrived; some announcements are lost. */
-    private void announce() {
+    private void sendAnnouncements() {
         for (SimulatedDatabase database : databases) {
-            boolean due = database.hasNews() || random.nextInt(ANNOUNCEMENT_STEPS) == 0;
+            boolean due = database.needsAnnouncement() || random.nextInt(MEAN_ANNOUNCEMENT_INTERVAL_STEPS) == 0;
             if (database.up && due && random.nextInt(4) > 0) {
-                hear(database);
+                deliverAnnouncement(database);
             }
         }
     }
 
-    private void hear(SimulatedDatabase database) {
+    private void deliverAnnouncement(SimulatedDatabase database) {
         registry.announce(database.announcement());
-        heardAtMs.put(database.id, clock.millis());
-        database.known |= late.isEmpty() && takeovers.isEmpty();
+        announcedAtMs.put(database.id, clock.millis());
+        database.announced |= delayedPromotions.isEmpty() && takeovers.isEmpty();
     }
 
-    private void carryOutLate() {
-        while (!late.isEmpty() && late.peek().atMs() <= clock.millis()) {
-            LateOrder order = late.remove();
+    private void runDelayedPromotions() {
+        while (!delayedPromotions.isEmpty() && delayedPromotions.peek().dueAtMs() <= clock.millis()) {
+            DelayedPromotion order = delayedPromotions.remove();
             promote(order.token(), order.instanceId());
         }
     }
 
     private boolean promote(long orderToken, String instanceId) {
-        if (orderToken < seenToken) {
+        if (orderToken < highestPlatformToken) {
             return false;
         }
-        seenToken = orderToken;
+        highestPlatformToken = orderToken;
         Optional<SimulatedDatabase> next = find(instanceId);
         if (next.isEmpty() || !next.get().up) {
             return false;
@@ -284,22 +290,22 @@
         if (next.get().primary) {
             return true;
         }
-        if (disturbances.promotionMs() == 0) {
-            lead(next.get());
+        if (scenario.promotionDelayMs() == 0) {
+            becomePrimary(next.get());
         } else {
-            takeovers.add(new Takeover(instanceId, clock.millis() + disturbances.promotionMs()));
+            takeovers.add(new Takeover(instanceId, clock.millis() + scenario.promotionDelayMs()));
         }
         return true;
     }
 
-    private void lead(SimulatedDatabase next) {
+    private void becomePrimary(SimulatedDatabase next) {
         if (!next.up || next.primary) {
             return;
         }
         promotions++;
-        note("leads " + next.id);
+        addTrace("leads " + next.id);
         if (next.entries < acknowledged) {
-            lost.add(acknowledged);
+            lostCommitPositions.add(acknowledged);
         }
         long newestTerm =
                 databases.stream().mapToLong(database -> database.term).max().orElse(0);
@@ -313,28 +319,28 @@
         acknowledged = Math.min(acknowledged, next.entries);
     }
 
-    private void control(boolean cutOff) {
-        List<SyncFailoverEffect> effects = failover.step(situation(cutOff));
+    private void runFailover(boolean cutOff) {
+        List<SyncFailoverEffect> effects = failover.step(snapshot(cutOff));
         while (!effects.isEmpty()) {
-            effects.forEach(this::carryOut);
-            effects = failover.step(situation(cutOff));
+            effects.forEach(this::apply);
+            effects = failover.step(snapshot(cutOff));
         }
     }
 
-    private Situation situation(boolean cutOff) {
+    private GroupSnapshot snapshot(boolean cutOff) {
         List<LostCopy> lostCopies = registry.lostCopies();
         List<MemberView> members = registry.all().stream()
                 .map(member -> new MemberView(
                         member.instanceId(),
                         member.draining(),
                         member.primary(),
-                        clock.millis() - heardAtMs.getOrDefault(member.instanceId(), clock.millis()),
+                        clock.millis() - announcedAtMs.getOrDefault(member.instanceId(), clock.millis()),
                         lostCopies.stream().anyMatch(copy -> copy.address().equals(member.address()))))
                 .toList();
         Optional<SimulatedDatabase> proven = primary()
                 .filter(database -> database.up && database.reachable)
                 .filter(database -> registry.find(database.id).isPresent());
-        return new Situation(
+        return new GroupSnapshot(
                 token,
                 chosenId,
                 unsettledChoices,
@@ -352,88 +358,88 @@
                 cutOff);
     }
 
-    private void note(Object event) {
+    private void addTrace(Object event) {
         if (!traced) {
             return;
         }
         trace.add("\n" + clock.millis() + " " + event + " ack " + acknowledged + databases);
-        if (trace.size() > TRACED_EVENTS) {
+        if (trace.size() > MAX_TRACED_EVENTS) {
             trace.remove();
         }
     }
 
-    private void carryOut(SyncFailoverEffect effect) {
-        note(effect);
+    private void apply(SyncFailoverEffect effect) {
+        addTrace(effect);
         if (effect instanceof SyncFailoverEffect.RaiseToken raise) {
             token++;
             unsettledChoices = raise.unsettledChoices();
             chosenId = Optional.empty();
             concluded = false;
-            failover.logDone(true);
+            failover.onLogCommitEnded(true);
         } else if (effect instanceof SyncFailoverEffect.Choose choose) {
             chosenId = Optional.of(choose.instanceId());
-            failover.logDone(true);
+            failover.onLogCommitEnded(true);
         } else if (effect instanceof SyncFailoverEffect.Conclude) {
             concluded = true;
             unsettledChoices = Set.of();
-            failover.logDone(true);
+            failover.onLogCommitEnded(true);
         } else if (effect instanceof SyncFailoverEffect.Recover recover) {
             registry.recover(recover.copies());
         } else if (effect instanceof SyncFailoverEffect.Promote promote) {
-            order(promote);
+            requestPromotion(promote);
         } else if (effect instanceof SyncFailoverEffect.AskStatus ask) {
-            command(ask.instanceId(), database -> {});
+            sendCommand(ask.instanceId(), database -> {});
         } else if (effect instanceof SyncFailoverEffect.Pause pause) {
-            command(pause.instanceId(), database -> {
-                database.pausedTerm = disturbances.pausesWork() && !database.primary ? pause.term() : 0;
+            sendCommand(pause.instanceId(), database -> {
+                database.pausedTerm = scenario.pauseTakesEffect() && !database.primary ? pause.term() : 0;
             });
         } else if (effect instanceof SyncFailoverEffect.Demote demote) {
             demote(demote);
         } else if (effect instanceof SyncFailoverEffect.Resume resume) {
-            command(resume.instanceId(), database -> {
+            sendCommand(resume.instanceId(), database -> {
                 database.pausedTerm = 0;
                 failover.onResumed(resume.instanceId());
             });
         }
     }
 
-    private void order(SyncFailoverEffect.Promote promote) {
+    private void requestPromotion(SyncFailoverEffect.Promote promote) {
         switch (random.nextInt(4)) {
             case 0 ->
-                late.add(new LateOrder(
+                delayedPromotions.add(new DelayedPromotion(
                         promote.token(), promote.instanceId(), clock.millis() + 2_000 + random.nextInt(8_000)));
             case 1 -> promote(promote.token(), promote.instanceId());
-            default -> failover.onOrderAnswered(promote.token(), promote(promote.token(), promote.instanceId()));
+            default -> failover.onPromotionResult(promote.token(), promote(promote.token(), promote.instanceId()));
         }
     }
 
     private void demote(SyncFailoverEffect.Demote demote) {
-        Optional<SimulatedDatabase> target = reached(demote.instanceId());
+        Optional<SimulatedDatabase> target = findReachable(demote.instanceId());
         if (target.isEmpty()) {
             return;
         }
         SimulatedDatabase database = target.get();
         database.primary &= database.term >= demote.term();
         if (random.nextInt(10) > 0) {
-            failover.onDemoted(database.id, database.status(disturbances.pausesWork()));
+            failover.onDemoted(database.id, database.status(scenario.pauseTakesEffect()));
         }
     }
 
     /** A command that may be lost on its way, or its answer. */
-    private void command(String id, Consumer<SimulatedDatabase> work) {
+    private void sendCommand(String id, Consumer<SimulatedDatabase> work) {
         boolean processEnded = find(id).filter(database -> database.up).isEmpty();
         if (processEnded && find(id).map(database -> database.reachable).orElse(true)) {
-            failover.onRefused(id);
+            failover.onConnectionRefused(id);
         }
-        reached(id).ifPresent(database -> {
+        findReachable(id).ifPresent(database -> {
             work.accept(database);
             if (random.nextInt(10) > 0) {
-                failover.onStatus(id, database.status(disturbances.pausesWork()));
+                failover.onStatus(id, database.status(scenario.pauseTakesEffect()));
             }
         });
     }
 
-    private Optional<SimulatedDatabase> reached(String id) {
+    private Optional<SimulatedDatabase> findReachable(String id) {
         return find(id).filter(database -> database.up && database.reachable && random.nextInt(10) > 0);
     }
 
--- a/core/src/test/java/org/hornbeamspread/core/failover/SyncGroupFailoverTest.java
+++ b/core/src/test/java/org/hornbeamspread/core/failover/SyncGroupFailoverTest.java
@@ -16,8 +16,8 @@
 import org.hornbeamspread.core.failover.SyncFailoverEffect.RaiseToken;
 import org.hornbeamspread.core.failover.SyncFailoverEffect.Recover;
 import org.hornbeamspread.core.failover.SyncFailoverEffect.Resume;
+import org.hornbeamspread.core.failover.SyncGroupFailover.GroupSnapshot;
 import org.hornbeamspread.core.failover.SyncGroupFailover.MemberView;
-import org.hornbeamspread.core.failover.SyncGroupFailover.Situation;
 import org.hornbeamspread.core.membership.Address;
 import org.hornbeamspread.core.misc.LogPosition;
 import org.hornbeamspread.core.misc.PausedClock;
@@ -48,22 +48,22 @@
 
     /** A new leader asks each replica once whether it is paused; here it has been told. */
     @BeforeEach
-    void replicasHaveAnswered() {
+    void reportReplicaStatuses() {
         failover.onStatus("a", replica(1, 1, 0));
         failover.onStatus("b", replica(1, 1, 0));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {0, 500, 1_000})
-    void aPrimaryThatProvedItselfLatelyStays(long proofAgeMs) {
+    void primaryWithARecentProofIsNotReplaced(long proofAgeMs) {
         advance(5_000);
 
         assertThat(step(proofAgeMs)).isEmpty();
     }
 
     @Test
-    void aLostPrimaryIsReplacedByTheReplicaThatHoldsMost() {
-        raise();
+    void lostPrimaryIsReplacedByTheMostAdvancedReplica() {
+        raiseToken();
         assertThat(step(1_100)).containsExactly(new AskStatus("p"), new AskStatus("a"), new AskStatus("b"));
         failover.onStatus("a", replica(3, 50, 0));
         failover.onStatus("b", replica(3, 60, 0));
@@ -76,19 +76,19 @@
     }
 
     @Test
-    void nobodyIsChosenWhileAReplicaThatMayHoldMoreIsNotHeard() {
-        raise();
+    void noCandidateIsChosenWhileAPossiblyMoreAdvancedReplicaDoesNotRespond() {
+        raiseToken();
         step(1_100);
         failover.onStatus("a", replica(3, 50, 4));
         for (int i = 0; i < 20; i++) {
             advance(300);
-            assertThat(chosen(step(9_000))).isFalse();
+            assertThat(hasChoice(step(9_000))).isFalse();
         }
     }
 
     @Test
-    void aDemotedPrimaryStandsForTheReplicaThatIsNotHeard() {
-        raise();
+    void demotedPrimaryReplacesTheStatusOfAnUnresponsiveReplica() {
+        raiseToken();
         step(1_100);
         failover.onStatus("p", new ReplicaStatus(true, 3, new LogPosition(3, 60), 0));
         failover.onStatus("a", replica(3, 60, 0));
@@ -99,13 +99,13 @@
     }
 
     @Test
-    void aReplicaBehindTheDemotedPrimaryWaitsForTheOther() {
-        raise();
+    void replicaBehindTheDemotedPrimaryIsNotChosen() {
+        raiseToken();
         step(1_100);
         failover.onDemoted("p", replica(3, 60, 0));
         failover.onStatus("a", replica(3, 59, 4));
 
-        assertThat(chosen(step(1_300))).isFalse();
+        assertThat(hasChoice(step(1_300))).isFalse();
     }
 
     /**
@@ -113,13 +113,13 @@
      * primary was out of reach, and the replica that had missed everything was the only one left to choose.
      */
     @Test
-    void aReplicaThatIsBehindADemotedSuccessorIsNotChosen() {
+    void replicaBehindADemotedSuccessorIsNotChosen() {
         members = List.of(PRIMARY, new MemberView("a", false, true, 50, false), B);
-        raise();
+        raiseToken();
         step(1_100);
         failover.onStatus("b", replica(1, 9, 2));
         failover.onDemoted("a", replica(2, 62, 0));
-        assertThat(chosen(step(1_200))).isFalse();
+        assertThat(hasChoice(step(1_200))).isFalse();
         advance(1_600);
         failover.onStatus("b", replica(1, 9, 2));
         failover.onDemoted("a", replica(2, 62, 0));
@@ -128,12 +128,12 @@
     }
 
     @Test
-    void aPromotedInstanceHasTimeToBeginToLead() {
+    void promotedInstanceIsNotReplacedWithinThePromotionTimeout() {
         chooseB();
         step(2_000);
-        failover.onOrderAnswered(1, true);
+        failover.onPromotionResult(1, true);
         step(2_000);
-        failover.logDone(true);
+        failover.onLogCommitEnded(true);
         concluded = true;
         advance(2_900);
 
@@ -147,33 +147,33 @@
      * leaves, and a second promotion began beside the first.
      */
     @Test
-    void aLeavingPrimaryIsNotReplacedAgainWhileItsSuccessorTakesOver() {
+    void drainingPrimaryIsNotReplacedAgainDuringTakeover() {
         members = List.of(new MemberView("p", true, true, 100, false), A, B);
-        raise();
+        raiseToken();
         step(100);
         failover.onDemoted("p", replica(3, 60, 0));
         failover.onStatus("a", replica(3, 59, 4));
         failover.onStatus("b", replica(3, 60, 4));
         assertThat(step(100)).containsExactly(new Choose(1, "b"));
         chosenId = Optional.of("b");
-        failover.logDone(true);
+        failover.onLogCommitEnded(true);
         step(100);
-        failover.onOrderAnswered(1, true);
+        failover.onPromotionResult(1, true);
         step(100);
-        failover.logDone(true);
+        failover.onLogCommitEnded(true);
         concluded = true;
         for (int i = 0; i < 9; i++) {
             advance(300);
-            assertThat(decisions(step(100))).isEmpty();
+            assertThat(withoutFencing(step(100))).isEmpty();
         }
     }
 
     /** Incident inc1 of ujaas-core: commits were acknowledged between the order for a successor and its taking the lead. */
     @Test
-    void aLeavingPrimaryAcknowledgesNothingWhileItsSuccessorTakesOver() {
+    void drainingPrimaryAcknowledgesNothingDuringTakeover() {
         members = List.of(new MemberView("p", true, true, 0, false), A, B);
         assertThat(step(0)).containsExactly(new RaiseToken(0));
-        failover.logDone(true);
+        failover.onLogCommitEnded(true);
         token = 1;
         concluded = false;
         step(0);
@@ -183,37 +183,37 @@
         assertThat(step(0)).containsExactly(new Demote("p", 3), new Pause("a", 3), new Pause("b", 3));
         failover.onStatus("a", replica(2, 237, 3));
         failover.onStatus("b", replica(2, 237, 3));
-        assertThat(chosen(step(0))).isFalse();
+        assertThat(hasChoice(step(0))).isFalse();
         failover.onDemoted("p", replica(2, 237, 0));
-        assertThat(chosen(step(0))).isTrue();
+        assertThat(hasChoice(step(0))).isTrue();
         chosenId = Optional.of("a");
-        failover.logDone(true);
+        failover.onLogCommitEnded(true);
         assertThat(step(0)).containsExactly(new Promote(1, "a"));
-        failover.onOrderAnswered(1, true);
+        failover.onPromotionResult(1, true);
         assertThat(step(0)).containsExactly(new Conclude(1, "a"));
-        failover.logDone(true);
+        failover.onLogCommitEnded(true);
         concluded = true;
         advance(590);
 
-        assertThat(decisions(step(0))).isEmpty();
+        assertThat(withoutFencing(step(0))).isEmpty();
     }
 
     /** Found by the same day: the demoted primary followed the successor, and stood for a log that had gone on. */
     @Test
-    void aDemotionProvesNothingOnceALaterTermIsSeen() {
-        raise();
+    void demotionIsInvalidOnceALaterTermIsReported() {
+        raiseToken();
         step(1_100);
         failover.onDemoted("p", replica(3, 60, 0));
         advance(1_600);
         failover.onStatus("p", replica(4, 60, 0));
         failover.onStatus("a", replica(4, 60, 5));
 
-        assertThat(chosen(step(9_000))).isFalse();
+        assertThat(hasChoice(step(9_000))).isFalse();
     }
 
     /** Found by random histories: a repeated order took effect behind the demotion of the instance that it had promoted. */
     @Test
-    void aPrimaryThatLeavesIsReplacedOnlyOnceNoOrderCanTakeEffectAnyMore() {
+    void drainingPrimaryIsReplacedOnlyAfterThePromotionTimeout() {
         token = 1;
         chosenId = Optional.of("p");
         members = List.of(new MemberView("p", true, true, 0, false), A, B);
@@ -228,7 +228,7 @@
 
     /** A new leader, whose first round of questions has no answer; the promotion in its log was long ago. */
     @Test
-    void anEarlierPromotionDoesNotDelayTheReplacementOfALostPrimary() {
+    void earlierPromotionDoesNotDelayReplacementOfALostPrimary() {
         token = 1;
         chosenId = Optional.of("p");
         members = List.of(new MemberView("p", false, true, 9_000, false), A, B);
@@ -239,9 +239,9 @@
     }
 
     @Test
-    void aDepartingReplicaIsChosenOnlyWhereItAloneHoldsMost() {
+    void drainingReplicaIsNotChosenOverAnEquallyAdvancedReplica() {
         members = List.of(PRIMARY, new MemberView("a", true, false, 100, false), B);
-        raise();
+        raiseToken();
         step(1_100);
         failover.onStatus("a", replica(3, 60, 4));
         failover.onStatus("b", replica(3, 60, 4));
@@ -250,7 +250,7 @@
     }
 
     @Test
-    void anOrderIsRepeatedUntilItHasAnAnswer() {
+    void promotionRequestIsRepeatedUntilItHasAResult() {
         chooseB();
         assertThat(step(2_000)).containsExactly(new Promote(1, "b"));
         assertThat(step(2_000)).isEmpty();
@@ -259,14 +259,14 @@
         failover.onStatus("a", replica(3, 50, 4));
         failover.onStatus("b", replica(3, 60, 4));
         assertThat(step(2_300)).containsExactly(new Promote(1, "b"));
-        failover.onOrderAnswered(1, true);
+        failover.onPromotionResult(1, true);
 
         assertThat(step(2_400)).containsExactly(new Conclude(1, "b"));
     }
 
     /** Found by SyncFailoverHistoriesTest, 3 databases, seed 575: a replica restarted between two orders and received more. */
     @Test
-    void anOrderIsNotRepeatedOnceAnotherReplicaMayHoldMore() {
+    void promotionRequestIsNotRepeatedOnceAnotherReplicaMayHoldMore() {
         chooseB();
         step(2_000);
         advance(300);
@@ -282,7 +282,7 @@
     }
 
     @Test
-    void replicasReceiveAgainOnlyOnceThePromotedInstanceLeads() {
+    void replicasAreResumedOnlyOnceThePromotedInstanceLeads() {
         chooseB();
         for (int i = 0; i < 10; i++) {
             advance(300);
@@ -290,12 +290,12 @@
             failover.onStatus("b", replica(3, 60, 4));
             assertThat(step(2_000)).doesNotContain(new Resume("a"));
         }
-        failover.onOrderAnswered(1, true);
+        failover.onPromotionResult(1, true);
         step(2_400);
-        failover.logDone(true);
+        failover.onLogCommitEnded(true);
         concluded = true;
         advance(900);
-        assertThat(decisions(step(0))).isEmpty();
+        assertThat(withoutFencing(step(0))).isEmpty();
         members = List.of(A, new MemberView("b", false, true, 50, false));
 
         assertThat(step(0)).containsExactly(new Resume("a"));
@@ -305,17 +305,17 @@
     }
 
     @Test
-    void aRefusedOrderBeginsAgainUnderAHigherToken() {
+    void rejectedPromotionIsRestartedUnderAHigherToken() {
         chooseB();
         step(2_000);
-        failover.onOrderAnswered(1, false);
+        failover.onPromotionResult(1, false);
         step(2_100);
 
         assertThat(step(2_200)).containsExactly(new RaiseToken(1));
     }
 
     @Test
-    void aNewLeaderTakesATokenOfItsOwn() {
+    void newLeaderRaisesItsOwnToken() {
         token = 7;
         concluded = false;
         chosenId = Optional.of("a");
@@ -326,27 +326,27 @@
     /** Found by review: a replica that control alone does not hear went on acknowledging for its primary. */
     @ParameterizedTest
     @CsvSource({"false, false", "true, true"})
-    void aSilentReplicaIsLeftOutOnlyWhileItsAddressRefusesConnections(boolean processEnded, boolean chosen) {
+    void silentReplicaIsExcludedOnlyWhileItsAddressRefusesConnections(boolean processEnded, boolean chosen) {
         members = List.of(PRIMARY, new MemberView("a", false, false, 12_500, false), B);
         for (int i = 0; i < 3; i++) {
             if (processEnded) {
-                failover.onRefused("a");
+                failover.onConnectionRefused("a");
             }
             advance(400);
             proof = Optional.of(new PrimaryProof(new LogPosition(3, 50), clock.millis()));
             failover.onStatus("b", replica(3, 50, 0));
             step(0);
         }
-        raise();
+        raiseToken();
         failover.onStatus("b", replica(3, 50, 4));
 
-        assertThat(chosen(step(1_100))).isEqualTo(chosen);
+        assertThat(hasChoice(step(1_100))).isEqualTo(chosen);
     }
 
     /** A database that leaves counts for acknowledgements until its process ends, and its log goes with it. */
     @ParameterizedTest
     @CsvSource({"true, 1900, false", "true, 2400, true", "false, 400, true"})
-    void aLostCopyIsRecoveredOnceAReplicaCoversWhatItMayHaveAcknowledged(
+    void lostCopyIsRecoveredOnceAReplicaCoversItsAcknowledgedCommits(
             boolean departed, long afterMs, boolean recovered) {
         lostCopies = List.of(new LostCopy("s", new Address("10.0.0.9", 1), "c", 1));
         departedCopies = departed ? lostCopies : List.of();
@@ -363,8 +363,8 @@
 
     /** Found by the soak, seed 3001: the primary that had returned was demoted, and nobody could be promoted any more. */
     @Test
-    void aReturnedPrimaryIsNotDemotedWhileItsLogIsUnproven() {
-        raise();
+    void restartedPrimaryIsNotDemotedWhileItsLogIsUnproven() {
+        raiseToken();
         members = List.of(new MemberView("p", false, true, 0, true), A, B);
         lostCopies = List.of(
                 new LostCopy("s", new Address("10.0.0.1", 1), "p", 1),
@@ -381,10 +381,10 @@
 
     /** Found by the soak, seed 4015: a deposed leader took the token that its successor had raised for its own. */
     @Test
-    void aTokenWhoseCommitFailedIsNotUsed() {
+    void tokenWhoseCommitFailedIsNotUsed() {
         advance(1_001);
         assertThat(step(1_001)).containsExactly(new RaiseToken(0));
-        failover.logDone(false);
+        failover.onLogCommitEnded(false);
         token = 1;
         concluded = false;
         chosenId = Optional.of("b");
@@ -393,8 +393,8 @@
     }
 
     @Test
-    void aPrimaryThatIsBackBeforeAnyOrderStays() {
-        raise();
+    void primaryConfirmedBeforeAnyPromotionRequestIsKept() {
+        raiseToken();
         step(1_100);
         failover.onStatus("a", replica(3, 50, 4));
         advance(500);
@@ -404,25 +404,25 @@
 
     /** Found by SyncFailoverHistoriesTest, 3 databases, seed 52: the earlier order was carried out seconds later. */
     @Test
-    void aPrimaryThatIsBackIsOrderedWhereAnEarlierOrderMayBeUnderWay() {
+    void confirmedPrimaryIsPromotedUnderTheNewTokenWhileAnEarlierRequestMayBePending() {
         token = 7;
         concluded = false;
         chosenId = Optional.of("a");
         step(5_000);
-        failover.logDone(true);
+        failover.onLogCommitEnded(true);
         token = 8;
         chosenId = Optional.empty();
         advance(400);
         assertThat(step(10)).containsExactly(new Choose(8, "p"));
-        failover.logDone(true);
+        failover.onLogCommitEnded(true);
         chosenId = Optional.of("p");
 
         assertThat(step(10)).containsExactly(new Promote(8, "p"));
     }
 
     @Test
-    void answersOfAnEarlierMomentAreAskedForAgain() {
-        raise();
+    void staleStatusIsRequestedAgain() {
+        raiseToken();
         step(1_100);
         failover.onStatus("a", replica(3, 50, 4));
         advance(251);
@@ -432,12 +432,12 @@
     }
 
     @Test
-    void theInstanceThatWasOrderedBeforeStaysTheChoiceWhileItQualifies() {
+    void earlierCandidateIsChosenAgainWhileItQualifies() {
         token = 7;
         concluded = false;
         chosenId = Optional.of("a");
         step(5_000);
-        failover.logDone(true);
+        failover.onLogCommitEnded(true);
         token = 8;
         chosenId = Optional.empty();
         step(5_000);
@@ -448,16 +448,16 @@
     }
 
     @Test
-    void aDepartingPrimaryIsReplacedThoughItWorks() {
+    void drainingPrimaryIsReplacedWhileItWorks() {
         members = List.of(new MemberView("p", true, true, 100, false), A, B);
 
         assertThat(step(0)).containsExactly(new RaiseToken(0));
     }
 
     @Test
-    void aPrimaryThatManyProxiesCantReachIsReplacedThoughItWorks() {
-        assertThat(failover.step(situation(0, 0, false, true))).containsExactly(new RaiseToken(0));
-        failover.logDone(true);
+    void primaryUnreachableFromManyProxiesIsReplacedWhileItWorks() {
+        assertThat(failover.step(snapshot(0, 0, false, true))).containsExactly(new RaiseToken(0));
+        failover.onLogCommitEnded(true);
         token = 1;
         concluded = false;
         advance(400);
@@ -467,9 +467,9 @@
 
     /** Found by fleetbench run ujaas-core trouble-1: the replicas took no connection, and the demoted primary was missed. */
     @Test
-    void aWorkingPrimaryIsNotDemotedBeforeASuccessorHasAnswered() {
-        failover.step(situation(0, 0, false, true));
-        failover.logDone(true);
+    void workingPrimaryIsNotDemotedBeforeACandidateResponds() {
+        failover.step(snapshot(0, 0, false, true));
+        failover.onLogCommitEnded(true);
         token = 1;
         concluded = false;
         step(0);
@@ -481,16 +481,16 @@
     }
 
     @Test
-    void aPrimaryWhoseAddressRefusesConnectionsIsReplacedSooner() {
+    void primaryWhoseAddressRefusesConnectionsIsReplacedSooner() {
         advance(5_000);
         step(0);
         advance(501);
-        assertThat(failover.step(situation(501, 0, false, false))).isEmpty();
-        assertThat(failover.step(situation(501, 0, true, false))).containsExactly(new RaiseToken(0));
+        assertThat(failover.step(snapshot(501, 0, false, false))).isEmpty();
+        assertThat(failover.step(snapshot(501, 0, true, false))).containsExactly(new RaiseToken(0));
     }
 
     @Test
-    void aNewLeaderDoesNotWaitAWholeDetection() {
+    void newLeaderUsesTheInitialDetectionTimeout() {
         advance(600);
         assertThat(step(Long.MAX_VALUE / 4)).isEmpty();
         advance(1);
@@ -498,47 +498,47 @@
     }
 
     @Test
-    void aPrimaryOnWhichWritesStallIsReplaced() {
-        assertThat(failover.step(situation(100, 1_900, false, false))).isEmpty();
-        assertThat(failover.step(situation(100, 2_100, false, false))).containsExactly(new RaiseToken(0));
+    void primaryWithStalledWritesIsReplaced() {
+        assertThat(failover.step(snapshot(100, 1_900, false, false))).isEmpty();
+        assertThat(failover.step(snapshot(100, 2_100, false, false))).containsExactly(new RaiseToken(0));
     }
 
-    private void raise() {
+    private void raiseToken() {
         advance(1_001);
         assertThat(step(1_001)).containsExactly(new RaiseToken(0));
         assertThat(step(1_001)).isEmpty();
-        failover.logDone(true);
+        failover.onLogCommitEnded(true);
         token = 1;
         concluded = false;
     }
 
     private void chooseB() {
-        raise();
+        raiseToken();
         step(1_100);
         failover.onStatus("a", replica(3, 50, 4));
         failover.onStatus("b", replica(3, 60, 4));
         assertThat(step(1_400)).containsExactly(new Choose(1, "b"));
-        failover.logDone(true);
+        failover.onLogCommitEnded(true);
         chosenId = Optional.of("b");
     }
 
     /** All but what keeps replicas from receiving meanwhile. */
-    private static List<SyncFailoverEffect> decisions(List<SyncFailoverEffect> effects) {
+    private static List<SyncFailoverEffect> withoutFencing(List<SyncFailoverEffect> effects) {
         return effects.stream()
                 .filter(effect -> !(effect instanceof AskStatus || effect instanceof Pause))
                 .toList();
     }
 
-    private static boolean chosen(List<SyncFailoverEffect> effects) {
+    private static boolean hasChoice(List<SyncFailoverEffect> effects) {
         return effects.stream().anyMatch(Choose.class::isInstance);
     }
 
     private List<SyncFailoverEffect> step(long proofAgeMs) {
-        return new ArrayList<>(failover.step(situation(proofAgeMs, 0, false, false)));
+        return new ArrayList<>(failover.step(snapshot(proofAgeMs, 0, false, false)));
     }
 
-    private Situation situation(long proofAgeMs, long stalledWriteMs, boolean refused, boolean cutOff) {
-        return new Situation(
+    private GroupSnapshot snapshot(long proofAgeMs, long stalledWriteMs, boolean refused, boolean cutOff) {
+        return new GroupSnapshot(
                 token,
                 chosenId,
                 Set.of(),
