--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceLink.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnectionPool.java
@@ -22,29 +22,29 @@
  * This proxy's connections to one instance, and the units that wait for one. A unit has a connection from its first statement
  * to its last; who gets the next one is decided by {@link RankScheduler}. Used on the engine's thread.
  */
-final class InstanceLink {
+final class InstanceConnectionPool {
     /** How much of a new measurement goes into the running mean of service times. */
-    private static final double SMOOTHING = 0.1;
+    private static final double SERVICE_TIME_WEIGHT = 0.1;
 
-    private static final double FIRST_SERVICE_MS = 10;
+    private static final double INITIAL_SERVICE_TIME_MS = 10;
 
     private final DatabaseInstance instance;
     private final Clock clock;
-    private final BiConsumer<Unit, RetryReason> replace;
-    private final LinkConnections connections;
+    private final BiConsumer<Unit, RetryReason> reroute;
+    private final InstanceConnections connections;
 
     /** Units by ticket: each stay of a unit at this link has a ticket of its own. */
-    private final Map<Long, Unit> waiting = new LinkedHashMap<>();
+    private final Map<Long, Unit> waitingUnits = new LinkedHashMap<>();
 
     /** Units for which a connection is being opened. */
-    private final Map<Long, Unit> connecting = new LinkedHashMap<>();
+    private final Map<Long, Unit> connectingUnits = new LinkedHashMap<>();
 
-    private final Map<Long, SlotRequest> running = new HashMap<>();
+    private final Map<Long, SlotRequest> runningRequests = new HashMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
-    private final StatementGate gate;
+    private final StatementLimiter limiter;
     private final RankScheduler scheduler;
     private long nextTicket;
-    private double serviceMs = FIRST_SERVICE_MS;
+    private double serviceMs = INITIAL_SERVICE_TIME_MS;
     private long laggingUntilMs;
 
     /**
@@ -54,7 +54,7 @@
      * @param proxies how many proxies share the database
      * @param replace takes a unit that must be placed anew
      */
-    InstanceLink(
+    InstanceConnectionPool(
             DatabaseInstance instance,
             int limit,
             int proxies,
@@ -64,31 +64,32 @@
             BiConsumer<Unit, RetryReason> replace) {
         this.instance = instance;
         this.clock = clock;
-        this.replace = replace;
-        this.connections = new LinkConnections(instance, limit, connector, clock, events, this::onRoom);
-        this.gate = new StatementGate(new AdaptiveConcurrencyLimit(instance.slots(), proxies));
-        this.scheduler = new RankScheduler(limit, Ranks.settings(), clock.instant());
+        this.reroute = replace;
+        this.connections =
+                new InstanceConnections(instance, limit, connector, clock, events, this::onConnectionsAvailable);
+        this.limiter = new StatementLimiter(new AdaptiveConcurrencyLimit(instance.slots(), proxies));
+        this.scheduler = new RankScheduler(limit, PriorityRanks.rankSettings(), clock.instant());
     }
 
     DatabaseInstance instance() {
         return instance;
     }
 
-    StatementGate gate() {
-        return gate;
+    StatementLimiter limiter() {
+        return limiter;
     }
 
     /** Statements that wait or are in flight, with the units that have no connection yet. */
     int outstanding() {
-        return waiting.size() + gate.outstanding();
+        return waitingUnits.size() + limiter.outstanding();
     }
 
     double serviceMs() {
         return serviceMs;
     }
 
-    boolean isOutOfReach() {
-        return connections.isOutOfReach();
+    boolean hasConnectFailed() {
+        return connections.hasConnectFailed();
     }
 
     boolean isReachable() {
@@ -101,8 +102,8 @@
     }
 
     /** Whether {@link #check} has something to look for. */
-    boolean isWatched() {
-        return !waiting.isEmpty() || !running.isEmpty() || connections.isWatched();
+    boolean needsCheck() {
+        return !waitingUnits.isEmpty() || !runningRequests.isEmpty() || connections.needsCheck();
     }
 
     /**
@@ -112,13 +113,13 @@
      */
     void check(boolean stoodStill) {
         if (stoodStill) {
-            connections.onOwnPause();
+            connections.onLocalPause();
         }
-        if (connections.isSilenceOver()) {
-            onSilent();
+        if (connections.isSilenceTimeoutExceeded()) {
+            onSilenceTimeout();
         }
-        takeOutLate();
-        connections.check(!waiting.isEmpty());
+        removeExpired();
+        connections.check(!waitingUnits.isEmpty());
     }
 
     /** How much longer the instance is expected to lack recent positions. */
@@ -131,40 +132,40 @@
     }
 
     /** A statement took this long, with the database's own queue. */
-    void onServed(long elapsedMs) {
-        serviceMs += SMOOTHING * (elapsedMs - serviceMs);
+    void recordServiceTime(long elapsedMs) {
+        serviceMs += SERVICE_TIME_WEIGHT * (elapsedMs - serviceMs);
     }
 
     /** A question on an open connection had no answer: nothing idle is trusted any more, and reads are run elsewhere. */
-    void onSilent() {
-        connections.onSilent();
-        moveWaiting();
+    void onSilenceTimeout() {
+        connections.onSilenceTimeout();
+        rerouteWaiting();
         List.copyOf(leases.values()).stream().filter(Lease::isRepeatable).forEach(Lease::discard);
     }
 
     /** Takes new limits over; what runs keeps its connection. */
     void resize(int newLimit, int proxies) {
-        gate.share(instance.slots(), proxies);
+        limiter.resize(instance.slots(), proxies);
         connections.resize(newLimit);
-        onRoom();
+        onConnectionsAvailable();
     }
 
-    private void onRoom() {
-        scheduler.resize(connections.room());
+    private void onConnectionsAvailable() {
+        scheduler.resize(connections.usableConnections());
         startNext();
     }
 
     /** Queues a unit, or refuses it at once when it can't start in time. */
     void acquire(Unit unit) {
-        offer(unit);
+        enqueue(unit);
         startNext();
     }
 
-    void giveBack(long ticket, PooledConnection connection, boolean reusable) {
+    void release(long ticket, PooledConnection connection, boolean reusable) {
         leases.remove(ticket);
         freeSlot(ticket, reusable);
         if (reusable) {
-            connections.keep(connection);
+            connections.putIdle(connection);
         } else {
             connections.discard(connection);
         }
@@ -174,11 +175,11 @@
     /** Closes what is idle, and has every waiting unit placed elsewhere. What runs goes on. */
     void close() {
         connections.close();
-        moveWaiting();
+        rerouteWaiting();
     }
 
     private void freeSlot(long ticket, boolean served) {
-        SlotRequest request = running.remove(ticket);
+        SlotRequest request = runningRequests.remove(ticket);
         if (request == null) {
             return;
         }
@@ -189,7 +190,7 @@
         }
     }
 
-    private void offer(Unit unit) {
+    private void enqueue(Unit unit) {
         long ticket = nextTicket++;
         SlotRequest request = new SlotRequest(
                 ticket,
@@ -199,33 +200,33 @@
         Optional<FailureException> refusal = scheduler.offer(request);
         if (refusal.isPresent()) {
             boolean full = refusal.get().type() == FailureType.QUEUE_FULL;
-            turnAway(unit, full ? RefusalReason.QUEUE_FULL : RefusalReason.WAIT_TOO_LONG);
+            refuseOrReroute(unit, full ? RefusalReason.QUEUE_FULL : RefusalReason.WAIT_TOO_LONG);
             return;
         }
-        waiting.put(ticket, unit);
+        waitingUnits.put(ticket, unit);
         unit.cancellation = cancelled -> {
-            waiting.remove(ticket);
+            waitingUnits.remove(ticket);
             scheduler.cancel(request);
         };
     }
 
     /** Another instance may have room for a read; what only this one can run is refused at once. */
-    private void turnAway(Unit unit, RefusalReason reason) {
+    private void refuseOrReroute(Unit unit, RefusalReason reason) {
         if (unit.needsPrimary) {
             unit.refuse(reason);
             return;
         }
         unit.tried.add(instance.instanceId());
         unit.queueRefusal = reason;
-        replace.accept(unit, RetryReason.WAIT_TOO_LONG);
+        reroute.accept(unit, RetryReason.WAIT_TOO_LONG);
     }
 
-    private void takeOutLate() {
+    private void removeExpired() {
         for (SlotRequest late : scheduler.removeExpired(clock.instant())) {
-            Unit unit = waiting.remove(late.requestId());
+            Unit unit = waitingUnits.remove(late.requestId());
             if (unit != null) {
                 unit.cancellation = null;
-                turnAway(unit, RefusalReason.WAIT_TOO_LONG);
+                refuseOrReroute(unit, RefusalReason.WAIT_TOO_LONG);
             }
         }
     }
@@ -236,28 +237,28 @@
             if (next.isEmpty()) {
                 return;
             }
-            Unit unit = waiting.remove(next.get().requestId());
+            Unit unit = waitingUnits.remove(next.get().requestId());
             if (unit == null || unit.ended) {
                 scheduler.complete(next.get(), clock.instant());
                 continue;
             }
             unit.cancellation = null;
-            running.put(next.get().requestId(), next.get());
-            start(next.get().requestId(), unit);
+            runningRequests.put(next.get().requestId(), next.get());
+            startUnit(next.get().requestId(), unit);
         }
     }
 
-    private void start(long ticket, Unit unit) {
+    private void startUnit(long ticket, Unit unit) {
         PooledConnection connection = connections.takeIdle(unit.values);
         if (connection != null) {
-            hand(ticket, unit, connection);
+            grant(ticket, unit, connection);
             return;
         }
-        connecting.put(ticket, unit);
+        connectingUnits.put(ticket, unit);
         connections.open((opened, error) -> onConnected(ticket, opened, error));
     }
 
-    private void hand(long ticket, Unit unit, PooledConnection connection) {
+    private void grant(long ticket, Unit unit, PooledConnection connection) {
         Lease lease = new Lease(this, ticket, connection);
         leases.put(ticket, lease);
         if (unit.ended) {
@@ -268,35 +269,35 @@
     }
 
     private void onConnected(long ticket, PooledConnection opened, Throwable error) {
-        Unit unit = connecting.remove(ticket);
+        Unit unit = connectingUnits.remove(ticket);
         if (error == null && unit != null) {
-            scheduler.resize(connections.room());
-            hand(ticket, unit, opened);
+            scheduler.resize(connections.usableConnections());
+            grant(ticket, unit, opened);
             return;
         }
         freeSlot(ticket, false);
         if (error == null) {
-            connections.keep(opened);
+            connections.putIdle(opened);
         }
-        scheduler.resize(connections.room());
+        scheduler.resize(connections.usableConnections());
         if (error != null && unit != null) {
             if (!isReachable()) {
                 unit.tried.add(instance.instanceId());
             }
-            replace.accept(unit, RetryReason.CONNECT_FAILED);
+            reroute.accept(unit, RetryReason.CONNECT_FAILED);
         }
         if (isReachable()) {
             startNext();
         } else {
-            moveWaiting();
+            rerouteWaiting();
         }
     }
 
     /** Has everything that waits, for its turn or for a connection, placed elsewhere. */
-    private void moveWaiting() {
-        List<Unit> moved = new ArrayList<>(connecting.values());
-        connecting.clear();
-        List<Unit> queued = List.copyOf(waiting.values());
+    private void rerouteWaiting() {
+        List<Unit> moved = new ArrayList<>(connectingUnits.values());
+        connectingUnits.clear();
+        List<Unit> queued = List.copyOf(waitingUnits.values());
         queued.forEach(unit -> {
             unit.cancellation.accept(unit);
             unit.cancellation = null;
@@ -304,7 +305,7 @@
         moved.addAll(queued);
         moved.forEach(unit -> {
             unit.tried.add(instance.instanceId());
-            replace.accept(unit, RetryReason.CONNECT_FAILED);
+            reroute.accept(unit, RetryReason.CONNECT_FAILED);
         });
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/LinkConnections.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnections.java
@@ -20,38 +20,38 @@
  * answers by {@link Reachability}. Connections that were not needed of late are closed: what an instance holds for a machine
  * that loses power takes the room of those that return. Used on the engine's thread.
  */
-final class LinkConnections {
+final class InstanceConnections {
     /** Four round trips between regions and a connection's set-up at a busy database. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
     /** A hundred times what a connection takes to be set up at a database. */
-    private static final long IDLE_LIMIT_MS = 1_500;
+    private static final long IDLE_TIMEOUT_MS = 1_500;
 
     private final DatabaseInstance instance;
     private final SqlConnector connector;
     private final Clock clock;
     private final EventLog events;
-    private final Runnable onRoom;
+    private final Runnable onConnectionsAvailable;
     private final Deque<PooledConnection> idle = new ArrayDeque<>();
     private final Reachability reachability = new Reachability();
-    private final AdaptiveConnectionLimit room;
-    private int limit;
+    private final AdaptiveConnectionLimit adaptiveLimit;
+    private int configuredLimit;
 
     /** Open ones and those that are being opened. */
-    private int connections;
+    private int connectionCount;
 
-    private int opening;
+    private int openingCount;
     private boolean closed;
 
     /** Whether the last attempt to connect failed for another reason than the database's limit of connections. */
-    private boolean outOfReach;
+    private boolean connectFailed;
 
     /**
      * No connections.
      *
      * @param onRoom called when a connection has come that nobody asked for, or room for one
      */
-    LinkConnections(
+    InstanceConnections(
             DatabaseInstance instance,
             int limit,
             SqlConnector connector,
@@ -59,21 +59,21 @@
             EventLog events,
             Runnable onRoom) {
         this.instance = instance;
-        this.limit = limit;
-        this.room = new AdaptiveConnectionLimit(limit);
+        this.configuredLimit = limit;
+        this.adaptiveLimit = new AdaptiveConnectionLimit(limit);
         this.connector = connector;
         this.clock = clock;
         this.events = events;
-        this.onRoom = onRoom;
+        this.onConnectionsAvailable = onRoom;
     }
 
-    boolean isOutOfReach() {
-        return outOfReach;
+    boolean hasConnectFailed() {
+        return connectFailed;
     }
 
     /** Whether work may be sent there. */
     boolean isUsable() {
-        return reachability.isReachable() && room.effectiveLimit() > 0;
+        return reachability.isReachable() && adaptiveLimit.effectiveLimit() > 0;
     }
 
     /** For how long the instance has owed an answer without giving any. */
@@ -82,88 +82,89 @@
     }
 
     /** Connections that work may use at once. */
-    int room() {
-        return Math.max(1, room.effectiveLimit());
+    int usableConnections() {
+        return Math.max(1, adaptiveLimit.effectiveLimit());
     }
 
     /** Whether {@link #check} has something to look for. */
-    boolean isWatched() {
+    boolean needsCheck() {
         return idle.size() > 1 || !isUsable();
     }
 
     void resize(int newLimit) {
-        limit = newLimit;
-        room.resize(newLimit);
-        while (connections > limit && !idle.isEmpty()) {
+        configuredLimit = newLimit;
+        adaptiveLimit.resize(newLimit);
+        while (connectionCount > configuredLimit && !idle.isEmpty()) {
             discard(idle.removeLast());
         }
     }
 
     /** This proxy itself stood still. */
-    void onOwnPause() {
+    void onLocalPause() {
         reachability.onLocalPause(clock.millis());
     }
 
     /** Whether the instance has just become silent for so long that it counts as lost. */
-    boolean isSilenceOver() {
+    boolean isSilenceTimeoutExceeded() {
         return reachability.isSilenceTimeoutExceeded(clock.millis());
     }
 
     /** Nothing idle is trusted any more. */
-    void onSilent() {
+    void onSilenceTimeout() {
         long nowMs = clock.millis();
-        onFailed(nowMs, new FailureException(FailureType.REQUEST_TIMEOUT, "silent"));
+        onFailure(nowMs, new FailureException(FailureType.REQUEST_TIMEOUT, "silent"));
         closeIdle();
     }
 
     /** Closes what has not been needed, and asks for a connection on nobody's behalf where one may be had. */
     void check(boolean workWaits) {
         long nowMs = clock.millis();
-        while (idle.size() > 1 && nowMs - idle.peekLast().idleSinceMs() > IDLE_LIMIT_MS) {
+        while (idle.size() > 1 && nowMs - idle.peekLast().idleSinceMs() > IDLE_TIMEOUT_MS) {
             discard(idle.removeLast());
         }
-        if (closed || connections >= limit) {
+        if (closed || connectionCount >= configuredLimit) {
             return;
         }
         boolean lost = reachability.isProbeDue(nowMs);
-        boolean full =
-                reachability.isReachable() && (workWaits || room.effectiveLimit() == 0) && room.isProbeDue(nowMs);
+        boolean full = reachability.isReachable()
+                && (workWaits || adaptiveLimit.effectiveLimit() == 0)
+                && adaptiveLimit.isProbeDue(nowMs);
         if (lost || full) {
-            ask();
+            probe();
         }
     }
 
-    private void ask() {
+    private void probe() {
         reachability.onProbeStarted();
-        room.onProbeStarted();
+        adaptiveLimit.onProbeStarted();
         open((opened, error) -> {
             reachability.onProbeEnded();
-            room.onProbeEnded();
+            adaptiveLimit.onProbeEnded();
             if (error == null) {
-                keep(opened);
-                onRoom.run();
+                putIdle(opened);
+                onConnectionsAvailable.run();
             }
         });
     }
 
     /** Opens a connection. */
     void open(BiConsumer<PooledConnection, Throwable> end) {
-        connections++;
-        opening++;
+        connectionCount++;
+        openingCount++;
         long beganMs = clock.millis();
         reachability.onRequestSent(beganMs);
         connector.connect(instance, CONNECT_TIMEOUT).whenComplete((opened, error) -> {
-            opening--;
+            openingCount--;
             if (error != null) {
-                connections--;
-                onRefused(beganMs, FailureException.of(error));
+                connectionCount--;
+                onConnectError(beganMs, FailureException.of(error));
                 end.accept(null, error);
                 return;
             }
             reachability.onResponse(clock.millis());
             onReached();
-            outOfReach = false;
-            room.onOpened(held(), clock.millis());
+            connectFailed = false;
+            adaptiveLimit.onOpened(openCount(), clock.millis());
             end.accept(new PooledConnection(opened, reachability, clock), null);
         });
     }
@@ -172,10 +173,10 @@
     PooledConnection takeIdle(Map<String, String> values) {
         List.copyOf(idle).stream().filter(connection -> !connection.isOpen()).forEach(connection -> {
             idle.remove(connection);
-            connections--;
+            connectionCount--;
         });
         for (PooledConnection connection : idle) {
-            if (connection.holds(values)) {
+            if (connection.hasValues(values)) {
                 idle.remove(connection);
                 return connection;
             }
@@ -184,8 +185,8 @@
     }
 
     /** Keeps a connection that stands outside of any transaction, unless it is one too many. */
-    void keep(PooledConnection connection) {
-        if (connection.isOpen() && !closed && connections <= limit) {
+    void putIdle(PooledConnection connection) {
+        if (connection.isOpen() && !closed && connectionCount <= configuredLimit) {
             connection.onIdle();
             idle.addFirst(connection);
         } else {
@@ -195,7 +196,7 @@
 
     /** Closes a connection. */
     void discard(PooledConnection connection) {
-        connections--;
+        connectionCount--;
         connection.close();
     }
 
@@ -211,21 +212,21 @@
         }
     }
 
-    private int held() {
-        return connections - opening;
+    private int openCount() {
+        return connectionCount - openingCount;
     }
 
-    private void onRefused(long beganMs, FailureException failure) {
+    private void onConnectError(long beganMs, FailureException failure) {
         if (failure.type() != FailureType.CONNECTION_LIMIT) {
             reachability.onRequestAbandoned();
-            onFailed(beganMs, failure);
+            onFailure(beganMs, failure);
             return;
         }
         reachability.onResponse(clock.millis());
         onReached();
-        outOfReach = false;
-        if (room.onRefused(held(), beganMs, clock.millis())) {
-            record("database_connection_limit", room.backoffMs(), failure);
+        connectFailed = false;
+        if (adaptiveLimit.onRefused(openCount(), beganMs, clock.millis())) {
+            record("database_connection_limit", adaptiveLimit.backoffMs(), failure);
         }
     }
 
@@ -235,8 +236,8 @@
         }
     }
 
-    private void onFailed(long beganMs, FailureException failure) {
-        outOfReach = true;
+    private void onFailure(long beganMs, FailureException failure) {
+        connectFailed = true;
         if (reachability.onFailed(beganMs, clock.millis())) {
             record("database_lost", reachability.backoffMs(), failure);
         }
@@ -250,7 +251,7 @@
                 "address",
                 instance.address(),
                 "connections",
-                connections,
+                connectionCount,
                 "backoff_ms",
                 pauseMs,
                 "cause",
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/Lease.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/Lease.java
@@ -4,19 +4,19 @@
 
 /** A connection that one statement or one transaction has for itself. */
 final class Lease {
-    private final InstanceLink link;
+    private final InstanceConnectionPool link;
     private final long ticket;
     private final PooledConnection connection;
     private boolean released;
     private boolean repeatable;
 
-    Lease(InstanceLink link, long ticket, PooledConnection connection) {
+    Lease(InstanceConnectionPool link, long ticket, PooledConnection connection) {
         this.link = link;
         this.ticket = ticket;
         this.connection = connection;
     }
 
-    InstanceLink link() {
+    InstanceConnectionPool link() {
         return link;
     }
 
@@ -50,7 +50,7 @@
     private void end(boolean reusable) {
         if (!released) {
             released = true;
-            link.giveBack(ticket, connection, reusable);
+            link.release(ticket, connection, reusable);
         }
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/PooledConnection.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/PooledConnection.java
@@ -21,7 +21,7 @@
  */
 final class PooledConnection {
     /** Prepared statements kept on one connection before it is reset. */
-    private static final int MAX_PREPARED = 256;
+    private static final int MAX_PREPARED_STATEMENTS = 256;
 
     private final SqlConnection connection;
     private final Reachability reachability;
@@ -53,7 +53,7 @@
         connection.close();
     }
 
-    boolean holds(Map<String, String> wanted) {
+    boolean hasValues(Map<String, String> wanted) {
         return values.equals(wanted);
     }
 
@@ -63,10 +63,10 @@
     }
 
     /** What must be sent first, so that the connection holds a session's values and a shape; null for no shape. */
-    List<SqlRequest> setUp(Map<String, String> wanted, PreparedDefinition shape) {
+    List<SqlRequest> setUpRequests(Map<String, String> wanted, PreparedDefinition shape) {
         List<SqlRequest> requests = new ArrayList<>();
         boolean surplus = !wanted.keySet().containsAll(values.keySet());
-        if (surplus || prepared.size() >= MAX_PREPARED) {
+        if (surplus || prepared.size() >= MAX_PREPARED_STATEMENTS) {
             requests.add(SqlRequest.internal(new SqlStatement.Reset()));
             values.clear();
             prepared.clear();
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
@@ -16,7 +16,7 @@
 
     private static final long LEAST_PATIENCE_MS = 50;
 
-    private final Placement placement;
+    private final StatementRouter placement;
     private final Clock clock;
     private final ClockJumpDetector guard;
     private final ScheduledExecutorService loop;
@@ -26,7 +26,7 @@
     private long nextUnitId = 1;
 
     SessionContext(
-            Placement placement,
+            StatementRouter placement,
             Clock clock,
             ClockJumpDetector guard,
             ScheduledExecutorService loop,
@@ -42,7 +42,7 @@
         this.forget = forget;
     }
 
-    Placement placement() {
+    StatementRouter placement() {
         return placement;
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
@@ -58,7 +58,7 @@
     private final ClockJumpDetector guard;
     private final ScheduledExecutorService loop;
     private final EventLog events;
-    private final Placement placement;
+    private final StatementRouter placement;
     private final SessionContext context;
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
     private boolean draining;
@@ -95,14 +95,15 @@
         this.loop = loop;
         this.events = events;
         SessionMetrics metrics = new SessionMetrics(registry);
-        this.placement = new Placement(failureDomain, regionByDomain, connector, clock, guard, loop, events, metrics);
+        this.placement =
+                new StatementRouter(failureDomain, regionByDomain, connector, clock, guard, loop, events, metrics);
         this.context = new SessionContext(placement, clock, guard, loop, events, metrics, sessions::remove);
         GaugeWithCallback.builder()
                 .name("hornbeamspread_sessions")
                 .help("Open sessions")
                 .callback(gauge -> gauge.call(sessions.size()))
                 .register(registry);
-        placement.setProbe(this::probe);
+        placement.setPrimaryProbe(this::probe);
         loop.schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -124,7 +125,7 @@
 
     /** Control is heard, or has not been heard since a time. */
     public void onControlHeard(boolean heard) {
-        placement.onControlHeard(heard);
+        placement.onControlReachable(heard);
         if (heard) {
             controlLostMs = 0;
         } else if (controlLostMs == 0) {
@@ -156,11 +157,12 @@
         long nowMs = clock.millis();
         List<PrimarySighting> sightings = new ArrayList<>();
         for (String service : services()) {
-            ServiceState state = placement.service(service);
+            ServiceState state = placement.serviceState(service);
             Optional<String> primaryId = placement.view().primary(service).map(DatabaseInstance::instanceId);
             if (primaryId.isPresent()) {
-                long provenMs = state.provenId().equals(primaryId.get()) ? state.provenMs() : nowMs - FAR_PAST_MS;
-                long oldestMs = state.writesSentMs.values().stream()
+                long provenMs =
+                        state.provenPrimaryId().equals(primaryId.get()) ? state.lastProofAtMs() : nowMs - FAR_PAST_MS;
+                long oldestMs = state.pendingWriteSentAtMs.values().stream()
                         .mapToLong(sentMs -> nowMs - sentMs)
                         .max()
                         .orElse(0);
@@ -296,7 +298,7 @@
 
     /** Asks a service's primary for its position, unless such a question is under way. */
     private void probe(String service) {
-        ServiceState state = placement.service(service);
+        ServiceState state = placement.serviceState(service);
         if (state.probing) {
             return;
         }
@@ -312,7 +314,7 @@
                 clock.millis(),
                 clock.millis() + OPEN_LIMIT_MS,
                 new PositionProbe(state));
-        placement.place(unit);
+        placement.route(unit);
     }
 
     /** Opens and ends a plain transaction at the primary, which tells its position. */
@@ -340,8 +342,8 @@
             loop.schedule(
                     () -> {
                         if (!results.get(1).isDone()) {
-                            lease.link().onSilent();
-                            state.onUnreachable(clock.millis());
+                            lease.link().onSilenceTimeout();
+                            state.onPrimaryUnreachable(clock.millis());
                             lease.discard();
                         }
                     },
@@ -356,7 +358,7 @@
                 SqlResult begun = results.get(0).join();
                 if (begun.isSuccess() && end.isSuccess()) {
                     lease.release();
-                    placement.onProof(
+                    placement.onPrimaryProof(
                             lease.instance(),
                             askedMs,
                             askedEpoch,
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionMetrics.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionMetrics.java
@@ -46,7 +46,7 @@
     }
 
     void onAnswer(Route route, SqlResult result, long elapsedMs) {
-        String rank = Ranks.name(route.priority());
+        String rank = PriorityRanks.rankName(route.priority());
         answers.labelValues(rank, result.error().map(Enum::name).orElse("DONE")).inc();
         times.labelValues(rank).observe(elapsedMs / MILLIS_PER_SECOND);
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionTransaction.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionTransaction.java
@@ -113,7 +113,7 @@
             } else if (lease.isPresent()) {
                 send(lease.get());
             } else {
-                context.placement().place(unit);
+                context.placement().route(unit);
             }
         }
 
@@ -219,13 +219,19 @@
             sentMs = context.nowMs();
             sentEpoch = context.epoch();
             if (statement.kind() != ForwardedStatement.Kind.READ) {
-                context.placement().service(route.service()).writesSentMs.put(unit.id, sentMs);
+                context.placement()
+                        .serviceState(route.service())
+                        .pendingWriteSentAtMs
+                        .put(unit.id, sentMs);
             }
             return true;
         }
 
         private void onResult(Lease held, SqlResult result, Throwable error) {
-            context.placement().service(route.service()).writesSentMs.remove(unit.id);
+            context.placement()
+                    .serviceState(route.service())
+                    .pendingWriteSentAtMs
+                    .remove(unit.id);
             String instanceId = held.instance().instanceId();
             boolean commit = statement.kind() == ForwardedStatement.Kind.COMMIT;
             if (error != null) {
@@ -240,7 +246,7 @@
                 end(commit && sent ? SqlError.IN_DOUBT : SqlError.ABORTED, instanceId, reason);
                 return;
             }
-            held.link().onServed(context.nowMs() - sentMs);
+            held.link().recordServiceTime(context.nowMs() - sentMs);
             if (over && !commit) {
                 return;
             }
@@ -297,7 +303,7 @@
 
         private void onProof(Lease held, SqlResult result) {
             LogPosition position = result.position().orElse(LogPosition.NONE);
-            context.placement().onProof(held.instance(), sentMs, sentEpoch, position);
+            context.placement().onPrimaryProof(held.instance(), sentMs, sentEpoch, position);
         }
 
         private void end(SqlError error, String instanceId, String reason) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SingleStatement.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SingleStatement.java
@@ -50,7 +50,7 @@
 
     @Override
     public void start() {
-        context.placement().place(unit);
+        context.placement().route(unit);
     }
 
     @Override
@@ -151,13 +151,16 @@
         sentMs = context.nowMs();
         sentEpoch = context.epoch();
         if (isWrite()) {
-            context.placement().service(route.service()).writesSentMs.put(unit.id, sentMs);
+            context.placement()
+                    .serviceState(route.service())
+                    .pendingWriteSentAtMs
+                    .put(unit.id, sentMs);
         }
         return true;
     }
 
     private void onResult(Lease granted, SqlResult result, Throwable error) {
-        context.placement().service(route.service()).writesSentMs.remove(unit.id);
+        context.placement().serviceState(route.service()).pendingWriteSentAtMs.remove(unit.id);
         lease = Optional.empty();
         String instanceId = granted.instance().instanceId();
         if (error != null) {
@@ -171,7 +174,7 @@
         } else {
             granted.discard();
         }
-        granted.link().onServed(context.nowMs() - sentMs);
+        granted.link().recordServiceTime(context.nowMs() - sentMs);
         if (result.isSuccess()) {
             onSuccess(granted, result);
         } else {
@@ -189,7 +192,7 @@
 
     private void onProof(Lease granted, SqlResult result) {
         LogPosition position = result.position().orElse(LogPosition.NONE);
-        context.placement().onProof(granted.instance(), sentMs, sentEpoch, position);
+        context.placement().onPrimaryProof(granted.instance(), sentMs, sentEpoch, position);
     }
 
     private void onError(Lease granted, SqlResult result) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementGate.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementLimiter.java
@@ -8,31 +8,31 @@
  * Lets statements through to one database, the most urgent first and in order of arrival within a priority, no more at once
  * than the {@link AdaptiveConcurrencyLimit}. Used on the engine's thread.
  */
-final class StatementGate {
+final class StatementLimiter {
     private final AdaptiveConcurrencyLimit limit;
-    private final PriorityQueue<Waiting> queue =
-            new PriorityQueue<>(Comparator.comparingInt(Waiting::priority).thenComparingLong(Waiting::order));
-    private long nextOrder;
+    private final PriorityQueue<WaitingStatement> queue = new PriorityQueue<>(
+            Comparator.comparingInt(WaitingStatement::priority).thenComparingLong(WaitingStatement::arrivalOrder));
+    private long nextArrivalOrder;
 
-    StatementGate(AdaptiveConcurrencyLimit limit) {
+    StatementLimiter(AdaptiveConcurrencyLimit limit) {
         this.limit = limit;
     }
 
-    /** Calls back, now or later, when the statement may be sent; {@link #leave} is owed after its end. */
-    void enter(int priority, Runnable send) {
-        queue.add(new Waiting(priority, nextOrder++, send));
-        letThrough();
+    /** Calls back, now or later, when the statement may be sent; {@link #release} is owed after its end. */
+    void submit(int priority, Runnable send) {
+        queue.add(new WaitingStatement(priority, nextArrivalOrder++, send));
+        sendWaiting();
     }
 
     /** A statement that was let through has ended. */
-    void leave(boolean refused) {
+    void release(boolean refused) {
         limit.release(refused);
-        letThrough();
+        sendWaiting();
     }
 
-    void share(int slots, int proxies) {
+    void resize(int slots, int proxies) {
         limit.resize(slots, proxies);
-        letThrough();
+        sendWaiting();
     }
 
     /** Statements that wait or are in flight. */
@@ -40,15 +40,15 @@
         return queue.size() + limit.inFlight();
     }
 
-    int parallel() {
+    int concurrencyLimit() {
         return limit.limit();
     }
 
-    private void letThrough() {
+    private void sendWaiting() {
         while (!queue.isEmpty() && limit.tryAcquire()) {
             queue.remove().send().run();
         }
     }
 
-    private record Waiting(int priority, long order, Runnable send) {}
+    private record WaitingStatement(int priority, long arrivalOrder, Runnable send) {}
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/Placement.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRouter.java
@@ -30,31 +30,31 @@
  * for which no instance is known waits a little, since a promotion may be under way, and is then refused as not run. Used on
  * the engine's thread.
  */
-final class Placement {
+final class StatementRouter {
     /** Kept free of each database's connections for control. */
     private static final int RESERVED_CONNECTIONS = 3;
 
     /** Taken off an allowance for the rounding of ages. */
-    private static final long AGE_MARGIN_MS = 100;
+    private static final long STALENESS_MARGIN_MS = 100;
 
     /** A sample older than this part of the allowance is renewed ahead of need. */
-    private static final double RENEW_PART = 0.5;
+    private static final double SAMPLE_REFRESH_FRACTION = 0.5;
 
-    private static final long RETRY_MS = 25;
+    private static final long PARKED_RETRY_INTERVAL_MS = 25;
 
     /** A promoted instance begins to lead some hundred ms after the order. */
-    private static final long NOT_PRIMARY_PAUSE_MS = 60;
+    private static final long NOT_PRIMARY_BACKOFF_MS = 60;
 
     /** Between two looks for silent instances and for units that can't start in time any more. */
-    private static final long CHECK_MS = 50;
+    private static final long CHECK_INTERVAL_MS = 50;
 
     /** A look that comes so much later than planned shows that this proxy itself stood still. */
-    private static final long OWN_PAUSE_MS = 150;
+    private static final long LOCAL_PAUSE_THRESHOLD_MS = 150;
 
     private static final int MAX_ATTEMPTS = 6;
 
     /** A departing primary without a successor serves until shortly before the limit for new work. */
-    private static final long DEPARTING_PRIMARY_MS = 4_000;
+    private static final long DRAINING_PRIMARY_LIMIT_MS = 4_000;
 
     private static final double SAME_DOMAIN_RTT_MS = 0.5;
     private static final double SAME_REGION_RTT_MS = 4;
@@ -64,13 +64,13 @@
     private final Map<String, String> regionByDomain;
     private final SqlConnector connector;
     private final Clock clock;
-    private final ClockJumpDetector guard;
-    private final ScheduledExecutorService loop;
+    private final ClockJumpDetector clockJumpDetector;
+    private final ScheduledExecutorService executor;
     private final EventLog events;
     private final SessionMetrics metrics;
-    private final Map<String, InstanceLink> links = new HashMap<>();
-    private final Map<String, ServiceState> services = new HashMap<>();
-    private final Map<String, Long> departingSinceMs = new HashMap<>();
+    private final Map<String, InstanceConnectionPool> pools = new HashMap<>();
+    private final Map<String, ServiceState> serviceStates = new HashMap<>();
+    private final Map<String, Long> drainingSinceMs = new HashMap<>();
 
     /** Instances that said they are not the primary, and until when they are not asked again. */
     private final Map<String, Long> notPrimaryUntilMs = new HashMap<>();
@@ -79,16 +79,16 @@
     private SystemView view = SystemView.NONE;
     private boolean retryScheduled;
     private boolean checkScheduled;
-    private long checkedMs;
-    private boolean controlHeard = true;
+    private long checkScheduledAtMs;
+    private boolean controlReachable = true;
     private PrimaryProbe probe;
 
-    /** Asks a primary for its position; the answer goes to {@link ServiceState#onProof}. */
+    /** Asks a primary for its position; the answer goes to {@link ServiceState#onPrimaryProof}. */
     interface PrimaryProbe {
-        void ask(String service);
+        void requestPosition(String service);
     }
 
-    Placement(
+    StatementRouter(
             String failureDomain,
             Map<String, String> regionByDomain,
             SqlConnector connector,
@@ -102,12 +102,12 @@
         this.regionByDomain = Map.copyOf(regionByDomain);
         this.connector = connector;
         this.clock = clock;
-        this.guard = guard;
-        this.loop = loop;
+        this.clockJumpDetector = guard;
+        this.executor = loop;
         this.events = events;
     }
 
-    void setProbe(PrimaryProbe primaryProbe) {
+    void setPrimaryProbe(PrimaryProbe primaryProbe) {
         probe = primaryProbe;
     }
 
@@ -115,8 +115,8 @@
         return view;
     }
 
-    ServiceState service(String name) {
-        return services.computeIfAbsent(name, key -> new ServiceState());
+    ServiceState serviceState(String name) {
+        return serviceStates.computeIfAbsent(name, key -> new ServiceState());
     }
 
     /** Takes a newer view over. */
@@ -125,22 +125,22 @@
         notPrimaryUntilMs.clear();
         Map<String, DatabaseInstance> present = new HashMap<>();
         next.instances().forEach(instance -> present.put(instance.instanceId(), instance));
-        departingSinceMs.keySet().removeIf(id -> !present.containsKey(id));
-        for (InstanceLink link : List.copyOf(links.values())) {
+        drainingSinceMs.keySet().removeIf(id -> !present.containsKey(id));
+        for (InstanceConnectionPool link : List.copyOf(pools.values())) {
             DatabaseInstance now = present.get(link.instance().instanceId());
             boolean same = now != null
                     && now.bornMs() == link.instance().bornMs()
                     && now.address().equals(link.instance().address());
             if (!same) {
-                links.remove(link.instance().instanceId());
+                pools.remove(link.instance().instanceId());
                 link.close();
             } else {
-                link.resize(connectionLimit(now), next.proxies());
+                link.resize(connectionLimit(now), next.proxyCount());
             }
         }
         for (DatabaseInstance instance : next.instances()) {
             if (instance.draining()) {
-                departingSinceMs.putIfAbsent(instance.instanceId(), clock.millis());
+                drainingSinceMs.putIfAbsent(instance.instanceId(), clock.millis());
             }
         }
         retryParked();
@@ -148,30 +148,30 @@
 
     /** An instance answered that it is not the primary. */
     void onNotPrimary(String instanceId) {
-        Long deniedMs = notPrimaryUntilMs.put(instanceId, clock.millis() + NOT_PRIMARY_PAUSE_MS);
+        Long deniedMs = notPrimaryUntilMs.put(instanceId, clock.millis() + NOT_PRIMARY_BACKOFF_MS);
         if (deniedMs == null) {
-            events.record("not_primary", "instance", instanceId, "pause_ms", NOT_PRIMARY_PAUSE_MS);
+            events.record("not_primary", "instance", instanceId, "pause_ms", NOT_PRIMARY_BACKOFF_MS);
         }
-        InstanceLink link = links.get(instanceId);
+        InstanceConnectionPool link = pools.get(instanceId);
         if (link != null) {
-            service(link.instance().service()).onDenied(clock.millis());
+            serviceState(link.instance().service()).onNotPrimary(clock.millis());
         }
     }
 
     /** Whether control is heard, and the view with it up to date. */
-    void onControlHeard(boolean heard) {
-        controlHeard = heard;
+    void onControlReachable(boolean heard) {
+        controlReachable = heard;
         if (heard) {
-            services.values().forEach(ServiceState::forgetDenials);
+            serviceStates.values().forEach(ServiceState::clearNotPrimary);
         }
     }
 
     /** An instance proved to be the primary. */
-    void onProof(DatabaseInstance instance, long askedMs, long askedEpoch, LogPosition position) {
+    void onPrimaryProof(DatabaseInstance instance, long askedMs, long askedEpoch, LogPosition position) {
         notPrimaryUntilMs.remove(instance.instanceId());
-        ServiceState state = service(instance.service());
-        state.checkEpoch(guard.epoch());
-        state.onProof(instance.instanceId(), askedMs, askedEpoch, position);
+        ServiceState state = serviceState(instance.service());
+        state.updateClockEpoch(clockJumpDetector.epoch());
+        state.onPrimaryProof(instance.instanceId(), askedMs, askedEpoch, position);
         if (!parked.isEmpty()) {
             retryParked();
         }
@@ -180,11 +180,11 @@
     /** Places a unit whose last place could not run it. */
     void retry(Unit unit, RetryReason reason) {
         metrics.onRetry(reason);
-        place(unit);
+        route(unit);
     }
 
     /** Places a unit. */
-    void place(Unit unit) {
+    void route(Unit unit) {
         if (unit.ended) {
             return;
         }
@@ -192,7 +192,7 @@
             unit.refuse(RefusalReason.ATTEMPTS_SPENT);
             return;
         }
-        Optional<InstanceLink> link = unit.needsPrimary ? primaryLink(unit) : readLink(unit);
+        Optional<InstanceConnectionPool> link = unit.needsPrimary ? primaryPool(unit) : readPool(unit);
         if (link.isPresent()) {
             link.get().acquire(unit);
             scheduleCheck();
@@ -201,44 +201,44 @@
         }
     }
 
-    private Optional<InstanceLink> primaryLink(Unit unit) {
+    private Optional<InstanceConnectionPool> primaryPool(Unit unit) {
         String service = unit.route.service();
-        String provenId = service(service).provenId();
-        Optional<DatabaseInstance> announced = view.primary(service).filter(this::mayLead);
+        String provenId = serviceState(service).provenPrimaryId();
+        Optional<DatabaseInstance> announced = view.primary(service).filter(this::mayBePrimary);
         // The primary before a promotion may lead on until it takes effect; what it acknowledged meanwhile would be
         // lost.
-        boolean superseded = controlHeard && view.knowsPromoted(service);
+        boolean superseded = controlReachable && view.hasPromotedInstance(service);
         Optional<DatabaseInstance> proven = view.instances(service).stream()
                 .filter(instance -> !superseded)
                 .filter(instance -> instance.instanceId().equals(provenId))
-                .filter(this::mayLead)
+                .filter(this::mayBePrimary)
                 .findFirst();
-        Optional<InstanceLink> link =
-                announced.or(() -> proven).or(() -> searched(service)).map(this::link);
-        if (link.isPresent() && !link.get().isReachable() && link.get().isOutOfReach()) {
-            service(service).onUnreachable(clock.millis());
+        Optional<InstanceConnectionPool> link =
+                announced.or(() -> proven).or(() -> possiblePrimary(service)).map(this::pool);
+        if (link.isPresent() && !link.get().isReachable() && link.get().hasConnectFailed()) {
+            serviceState(service).onPrimaryUnreachable(clock.millis());
         }
-        return link.filter(InstanceLink::isReachable);
+        return link.filter(InstanceConnectionPool::isReachable);
     }
 
     /**
      * Some instance that has not denied to lead a moment ago. Without control nobody tells who was promoted; whoever is asked proves
      * it or refuses, and nothing ran.
      */
-    private Optional<DatabaseInstance> searched(String service) {
-        if (controlHeard) {
+    private Optional<DatabaseInstance> possiblePrimary(String service) {
+        if (controlReachable) {
             return Optional.empty();
         }
         return view.instances(service).stream()
-                .filter(this::mayLead)
-                .filter(instance -> link(instance).isReachable())
+                .filter(this::mayBePrimary)
+                .filter(instance -> pool(instance).isReachable())
                 .findFirst();
     }
 
     /** A position that control was told by a proven primary, no older than the time given. */
     void onSharedPosition(String service, long askedMs, long askedEpoch, LogPosition position) {
-        ServiceState state = service(service);
-        state.checkEpoch(guard.epoch());
+        ServiceState state = serviceState(service);
+        state.updateClockEpoch(clockJumpDetector.epoch());
         state.addSample(askedMs, askedEpoch, position);
         retryParked();
     }
@@ -246,33 +246,34 @@
     /** Whether a service's primary has been out of reach, or not to be found, for longer than a time. */
     boolean lacksPrimary(long longerThanMs) {
         long nowMs = clock.millis();
-        return services.values().stream()
-                .anyMatch(
-                        state -> state.lacksPrimarySinceMs() > 0 && nowMs - state.lacksPrimarySinceMs() > longerThanMs);
+        return serviceStates.values().stream()
+                .anyMatch(state ->
+                        state.withoutPrimarySinceMs() > 0 && nowMs - state.withoutPrimarySinceMs() > longerThanMs);
     }
 
     /** Whether reads wait for positions that this proxy can't ask for itself. */
     boolean wantsPositions() {
-        return services.values().stream().anyMatch(state -> state.positionsWanted);
+        return serviceStates.values().stream().anyMatch(state -> state.positionsWanted);
     }
 
-    private boolean mayLead(DatabaseInstance instance) {
-        Long sinceMs = departingSinceMs.get(instance.instanceId());
-        boolean departed = sinceMs != null && clock.millis() - sinceMs > DEPARTING_PRIMARY_MS;
+    private boolean mayBePrimary(DatabaseInstance instance) {
+        Long sinceMs = drainingSinceMs.get(instance.instanceId());
+        boolean departed = sinceMs != null && clock.millis() - sinceMs > DRAINING_PRIMARY_LIMIT_MS;
         boolean denied = notPrimaryUntilMs.getOrDefault(instance.instanceId(), Long.MIN_VALUE) > clock.millis();
         return !departed && !denied;
     }
 
-    private Optional<InstanceLink> readLink(Unit unit) {
+    private Optional<InstanceConnectionPool> readPool(Unit unit) {
         String service = unit.route.service();
-        ServiceState state = service(service);
-        state.checkEpoch(guard.epoch());
-        long allowanceMs = Math.max(0, unit.route.maxStalenessMs() - AGE_MARGIN_MS);
-        Optional<Sample> sample = state.samples.oldestWithin(unit.arrivedMs, allowanceMs);
-        Optional<Sample> latest = state.samples.latest();
-        boolean ageing = latest.isEmpty() || clock.millis() - latest.get().requestedAtMs() > RENEW_PART * allowanceMs;
+        ServiceState state = serviceState(service);
+        state.updateClockEpoch(clockJumpDetector.epoch());
+        long allowanceMs = Math.max(0, unit.route.maxStalenessMs() - STALENESS_MARGIN_MS);
+        Optional<Sample> sample = state.positionSamples.oldestWithin(unit.arrivedMs, allowanceMs);
+        Optional<Sample> latest = state.positionSamples.latest();
+        boolean ageing = latest.isEmpty()
+                || clock.millis() - latest.get().requestedAtMs() > SAMPLE_REFRESH_FRACTION * allowanceMs;
         if (ageing) {
-            probe.ask(service);
+            probe.requestPosition(service);
             state.positionsWanted |= state.unreachableSinceMs() > 0;
         }
         if (sample.isEmpty()) {
@@ -285,7 +286,7 @@
         List<Candidate> candidates = new ArrayList<>();
         for (DatabaseInstance instance : view.instances(service)) {
             if (!instance.draining() && !unit.tried.contains(instance.instanceId())) {
-                InstanceLink link = link(instance);
+                InstanceConnectionPool link = pool(instance);
                 if (link.isReachable()) {
                     candidates.add(candidate(link));
                 }
@@ -294,16 +295,16 @@
         if (candidates.isEmpty() && unit.queueRefusal != null) {
             unit.refuse(unit.queueRefusal);
         }
-        return InstanceSelector.select(candidates).map(best -> links.get(best.instanceId()));
+        return InstanceSelector.select(candidates).map(best -> pools.get(best.instanceId()));
     }
 
-    private Candidate candidate(InstanceLink link) {
+    private Candidate candidate(InstanceConnectionPool link) {
         return new Candidate(
                 link.instance().instanceId(),
                 roundTripMs(link.instance()),
                 link.serviceMs(),
                 link.outstanding(),
-                link.gate().parallel(),
+                link.limiter().concurrencyLimit(),
                 link.silentMs(),
                 link.laggingForMs() > 0 ? link.serviceMs() + OTHER_REGION_RTT_MS : 0);
     }
@@ -317,11 +318,11 @@
         return same ? SAME_REGION_RTT_MS : OTHER_REGION_RTT_MS;
     }
 
-    InstanceLink link(DatabaseInstance instance) {
-        return links.computeIfAbsent(
+    InstanceConnectionPool pool(DatabaseInstance instance) {
+        return pools.computeIfAbsent(
                 instance.instanceId(),
-                id -> new InstanceLink(
-                        instance, connectionLimit(instance), view.proxies(), connector, clock, events, this::retry));
+                id -> new InstanceConnectionPool(
+                        instance, connectionLimit(instance), view.proxyCount(), connector, clock, events, this::retry));
     }
 
     /** This proxy's part of the connections that a database takes from all of them. */
@@ -330,22 +331,22 @@
                 .service(instance.service())
                 .map(RoutedService::maxConnections)
                 .orElse(0);
-        return Math.max(1, (most - RESERVED_CONNECTIONS) / Math.max(1, view.proxies()));
+        return Math.max(1, (most - RESERVED_CONNECTIONS) / Math.max(1, view.proxyCount()));
     }
 
     private void scheduleCheck() {
         if (!checkScheduled) {
             checkScheduled = true;
-            checkedMs = clock.millis();
-            loop.schedule(this::check, CHECK_MS, TimeUnit.MILLISECONDS);
+            checkScheduledAtMs = clock.millis();
+            executor.schedule(this::checkPools, CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void check() {
+    private void checkPools() {
         checkScheduled = false;
-        boolean stoodStill = clock.millis() - checkedMs > CHECK_MS + OWN_PAUSE_MS;
-        List.copyOf(links.values()).forEach(link -> link.check(stoodStill));
-        if (links.values().stream().anyMatch(InstanceLink::isWatched)) {
+        boolean stoodStill = clock.millis() - checkScheduledAtMs > CHECK_INTERVAL_MS + LOCAL_PAUSE_THRESHOLD_MS;
+        List.copyOf(pools.values()).forEach(link -> link.check(stoodStill));
+        if (pools.values().stream().anyMatch(InstanceConnectionPool::needsCheck)) {
             scheduleCheck();
         }
     }
@@ -362,11 +363,11 @@
         unit.cancellation = parked::remove;
         if (!retryScheduled) {
             retryScheduled = true;
-            loop.schedule(this::onRetry, RETRY_MS, TimeUnit.MILLISECONDS);
+            executor.schedule(this::onRetryTimer, PARKED_RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void onRetry() {
+    private void onRetryTimer() {
         retryScheduled = false;
         retryParked();
     }
@@ -375,6 +376,6 @@
         List<Unit> waiting = List.copyOf(parked);
         parked.clear();
         waiting.forEach(unit -> unit.cancellation = null);
-        waiting.forEach(this::place);
+        waiting.forEach(this::route);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRun.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRun.java
@@ -32,14 +32,14 @@
             int priority,
             BooleanSupplier onSend,
             BiConsumer<SqlResult, Throwable> end) {
-        StatementGate gate = lease.link().gate();
-        gate.enter(priority, () -> {
+        StatementLimiter gate = lease.link().limiter();
+        gate.submit(priority, () -> {
             if (!onSend.getAsBoolean()) {
-                gate.leave(false);
+                gate.release(false);
                 return;
             }
             sendNow(lease, session, request, shape, behind, (result, error) -> {
-                gate.leave(error == null && result.hasError(SqlError.BUSY));
+                gate.release(error == null && result.hasError(SqlError.BUSY));
                 end.accept(result, error);
             });
         });
@@ -52,7 +52,7 @@
             PreparedDefinition shape,
             List<SqlRequest> behind,
             BiConsumer<SqlResult, Throwable> end) {
-        List<SqlRequest> all = new ArrayList<>(lease.connection().setUp(session.values(), shape));
+        List<SqlRequest> all = new ArrayList<>(lease.connection().setUpRequests(session.values(), shape));
         int setUps = all.size();
         all.add(request);
         all.addAll(behind);
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemView.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemView.java
@@ -21,7 +21,7 @@
         RouteConfiguration configuration,
         List<DatabaseInstance> instances,
         Map<String, String> promotedIds,
-        int proxies,
+        int proxyCount,
         Map<String, Route> routesByDatabase) {
     /** Of a proxy that has heard nothing yet. */
     public static final SystemView NONE = of(RouteConfiguration.NONE, List.of(), Map.of(), 1);
@@ -65,7 +65,7 @@
     }
 
     /** Whether control has promoted an instance that is present, so that no other may lead. */
-    public boolean knowsPromoted(String service) {
+    public boolean hasPromotedInstance(String service) {
         String promotedId = promotedIds.getOrDefault(service, "");
         return instances(service).stream()
                 .anyMatch(instance -> instance.instanceId().equals(promotedId));
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemWatch.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemWatch.java
@@ -39,28 +39,28 @@
  */
 public final class SystemWatch {
     /** Above the time for which the leader holds a question. */
-    private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(1_300);
+    private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(1_300);
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(400);
-    private static final long FIRST_PAUSE_MS = 40;
+    private static final long INITIAL_BACKOFF_MS = 40;
 
     /** Of a proxy that has just started; operators run six to eight today. */
-    private static final int ASSUMED_PROXIES = 8;
+    private static final int INITIAL_PROXY_COUNT = 8;
 
     /** Between two questions while positions are wanted; control asks primaries about as often. */
-    private static final long POSITIONS_PAUSE_MS = 200;
+    private static final long POSITIONS_POLL_INTERVAL_MS = 200;
 
-    private static final long LAST_PAUSE_MS = 400;
+    private static final long MAX_BACKOFF_MS = 400;
 
     /** A proxy that knows nothing yet can't serve, and asks more often. */
-    private static final long LAST_PAUSE_UNLOADED_MS = 80;
+    private static final long MAX_UNLOADED_BACKOFF_MS = 80;
 
     private final String proxyId;
     private final String failureDomain;
     private final long incarnation;
     private final SessionEngine engine;
     private final PeerTransport transport;
-    private final ScheduledExecutorService loop;
+    private final ScheduledExecutorService executor;
     private final Supplier<List<Endpoint>> seeds;
     private final Clock clock;
     private final EventLog events;
@@ -70,12 +70,12 @@
     private long systemVersion;
     private Optional<Endpoint> leader = Optional.empty();
     private Optional<PeerConnection> connection = Optional.empty();
-    private int nextPeer;
-    private long pauseMs = FIRST_PAUSE_MS;
-    private boolean inTouch;
-    private final ProxyCountEstimate sharers = new ProxyCountEstimate(ASSUMED_PROXIES);
-    private long askedMs;
-    private long askedEpoch;
+    private int nextPeerIndex;
+    private long backoffMs = INITIAL_BACKOFF_MS;
+    private boolean controlReachable;
+    private final ProxyCountEstimate proxyCountEstimate = new ProxyCountEstimate(INITIAL_PROXY_COUNT);
+    private long requestedAtMs;
+    private long requestEpoch;
 
     /**
      * A watch that has not begun.
@@ -98,17 +98,17 @@
         this.incarnation = incarnation;
         this.engine = engine;
         this.transport = transport;
-        this.loop = loop;
+        this.executor = loop;
         this.seeds = seeds;
         this.events = events;
     }
 
     /** Begins. */
     public void start() {
-        loop.execute(this::ask);
+        executor.execute(this::poll);
     }
 
-    private void ask() {
+    private void poll() {
         Endpoint target = leader.orElseGet(this::nextPeer);
         CompletableFuture<PeerConnection> peer = connection
                 .filter(PeerConnection::isOpen)
@@ -117,9 +117,9 @@
         peer.thenComposeAsync(
                         open -> {
                             connection = Optional.of(open);
-                            return open.request(question(), ANSWER_TIMEOUT);
+                            return open.request(buildRequest(), RESPONSE_TIMEOUT);
                         },
-                        loop)
+                        executor)
                 .whenCompleteAsync(
                         (answer, error) -> {
                             if (error == null) {
@@ -128,17 +128,17 @@
                                 onFailure(target, FailureException.of(error));
                             }
                         },
-                        loop);
+                        executor);
     }
 
     private Endpoint nextPeer() {
         Set<Endpoint> known = new LinkedHashSet<>(controlPeers);
         known.addAll(seeds.get());
         List<Endpoint> all = new ArrayList<>(known);
-        return all.get(Math.floorMod(nextPeer++ + (int) incarnation, all.size()));
+        return all.get(Math.floorMod(nextPeerIndex++ + (int) incarnation, all.size()));
     }
 
-    private Envelope question() {
+    private Envelope buildRequest() {
         WatchSystem.Builder question = WatchSystem.newBuilder()
                 .setProxyId(proxyId)
                 .setIncarnation(incarnation)
@@ -154,13 +154,13 @@
                         .setSinceSuccessMs((int) seen.sinceProofMs())
                         .setOldestWriteMs((int) seen.oldestWriteMs())
                         .setUnreachableMs((int) seen.unreachableMs())));
-        askedMs = clock.millis();
-        askedEpoch = engine.clockEpoch();
+        requestedAtMs = clock.millis();
+        requestEpoch = engine.clockEpoch();
         return Envelope.newBuilder().setWatchSystem(question).build();
     }
 
     private void onUpdate(SystemUpdate update) {
-        pauseMs = FIRST_PAUSE_MS;
+        backoffMs = INITIAL_BACKOFF_MS;
         if (update.getLeaderTerm() < leaderTerm) {
             onFailure(
                     controlPeers.isEmpty() ? Endpoint.getDefaultInstance() : controlPeers.get(0),
@@ -168,8 +168,8 @@
             return;
         }
         engine.onControlHeard(true);
-        if (!inTouch) {
-            inTouch = true;
+        if (!controlReachable) {
+            controlReachable = true;
             events.record("control_regained", "leader_term", update.getLeaderTerm());
         }
         leaderTerm = update.getLeaderTerm();
@@ -188,27 +188,28 @@
         }
         if (update.getChanged()) {
             controlPeers = update.getControlPeersList();
-            onChanged(update);
-        } else if (newer || sharers.current(clock.millis()) != engine.view().proxies()) {
+            onViewChanged(update);
+        } else if (newer
+                || proxyCountEstimate.current(clock.millis()) != engine.view().proxyCount()) {
             SystemView view = engine.view();
             engine.onView(SystemView.of(
-                    configuration, view.instances(), view.promotedIds(), sharers.current(clock.millis())));
+                    configuration, view.instances(), view.promotedIds(), proxyCountEstimate.current(clock.millis())));
         }
         for (PrimaryPosition shared : update.getPositionsList()) {
             engine.onSharedPosition(
                     shared.getService(),
-                    askedMs - shared.getAgeMs(),
-                    askedEpoch,
+                    requestedAtMs - shared.getAgeMs(),
+                    requestEpoch,
                     Envelopes.position(shared.getPosition()));
         }
         if (engine.wantsPositions()) {
-            loop.schedule(this::ask, POSITIONS_PAUSE_MS, TimeUnit.MILLISECONDS);
+            executor.schedule(this::poll, POSITIONS_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         } else {
-            ask();
+            poll();
         }
     }
 
-    private void onChanged(SystemUpdate update) {
+    private void onViewChanged(SystemUpdate update) {
         List<DatabaseInstance> instances =
                 update.getInstancesList().stream().map(RouteMessages::instance).toList();
         Map<String, String> promoted = new TreeMap<>();
@@ -228,7 +229,7 @@
                 "proxies",
                 update.getProxies());
         engine.onView(SystemView.of(
-                configuration, instances, promoted, sharers.observe(update.getProxies(), clock.millis())));
+                configuration, instances, promoted, proxyCountEstimate.observe(update.getProxies(), clock.millis())));
     }
 
     private void onFailure(Endpoint target, FailureException failure) {
@@ -240,16 +241,16 @@
         connection = Optional.empty();
         Optional<Endpoint> previous = leader;
         leader = redirected ? Optional.of(AddressTranslator.parse(failure.detail())) : Optional.empty();
-        if (inTouch && failure.type() != FailureType.NOT_LEADER) {
-            inTouch = false;
+        if (controlReachable && failure.type() != FailureType.NOT_LEADER) {
+            controlReachable = false;
             events.record("control_lost", "peer", target.getHost(), "cause", failure.getMessage());
         }
         if (redirected && previous.isEmpty()) {
-            ask();
+            poll();
             return;
         }
-        loop.schedule(this::ask, pauseMs, TimeUnit.MILLISECONDS);
-        long longestMs = engine.view().isLoaded() ? LAST_PAUSE_MS : LAST_PAUSE_UNLOADED_MS;
-        pauseMs = Math.min(longestMs, pauseMs * 2);
+        executor.schedule(this::poll, backoffMs, TimeUnit.MILLISECONDS);
+        long longestMs = engine.view().isLoaded() ? MAX_BACKOFF_MS : MAX_UNLOADED_BACKOFF_MS;
+        backoffMs = Math.min(longestMs, backoffMs * 2);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/Unit.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/Unit.java
@@ -66,7 +66,7 @@
     }
 
     String rank() {
-        return Ranks.name(route.priority());
+        return PriorityRanks.rankName(route.priority());
     }
 
     void refuse(RefusalReason reason) {
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/FullDatabaseTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/ConnectionLimitTest.java
@@ -13,82 +13,82 @@
  * Databases that still hold the connections of machines that lost power, and have room for few. Found by fleetbench run ujaas-core
  * scale-2: proxies that had two of four connections left them idle for a second at a time, and refused for want of a primary.
  */
-final class FullDatabaseTest {
-    private static final int GAP_MS = 10;
+final class ConnectionLimitTest {
+    private static final int INTERVAL_MS = 10;
 
     /** Several at once need more connections than there are. */
-    private static final int AT_ONCE = 3;
+    private static final int CONCURRENT_WRITES = 3;
 
     private final EngineHarness harness = new EngineHarness();
 
     @Test
-    void whatConnectionsThereAreAreUsed() {
+    void allAvailableConnectionsAreUsed() {
         harness.load(2, 28, 3);
         harness.primary.connectionLimit = 2;
-        harness.primary.workMs = 4;
-        List<Client> clients = stream(100);
-        run(1_000);
+        harness.primary.serviceMs = 4;
+        List<Client> clients = sendAtIntervals(100);
+        runInSteps(1_000);
 
         clients.forEach(client -> assertThat(client.last().isSuccess()).isTrue());
-        assertThat(harness.primary.opened).isEqualTo(2);
+        assertThat(harness.primary.openedConnectionCount).isEqualTo(2);
     }
 
     @Test
-    void withoutAnyConnectionAWriteIsRefusedSoonAndServedOnceThereIsRoom() {
+    void writesAreRefusedQuicklyWithoutConnectionsAndServedOnceConnectionsAreAvailable() {
         harness.primary.connectionLimit = 0;
-        List<Client> refused = stream(200);
-        run(200);
+        List<Client> refused = sendAtIntervals(200);
+        runInSteps(200);
         refused.forEach(client -> assertThat(client.last().error()).hasValue(SqlError.BUSY));
         harness.primary.connectionLimit = 28;
-        run(300);
-        List<Client> served = stream(100);
-        run(300);
+        runInSteps(300);
+        List<Client> served = sendAtIntervals(100);
+        runInSteps(300);
 
         served.forEach(client -> assertThat(client.last().isSuccess()).isTrue());
     }
 
     @Test
-    void onceThereIsRoomTheProxyTakesItsPart() {
+    void proxyOpensItsShareOnceTheDatabaseAcceptsConnections() {
         harness.load(2, 28, 3);
         harness.primary.connectionLimit = 1;
-        stream(50);
+        sendAtIntervals(50);
         harness.primary.connectionLimit = 28;
-        harness.primary.workMs = 40;
-        stream(100);
+        harness.primary.serviceMs = 40;
+        sendAtIntervals(100);
 
-        assertThat(harness.primary.open.size()).isAtLeast(6);
+        assertThat(harness.primary.openConnections.size()).isAtLeast(6);
     }
 
     /** What a database holds for a proxy that loses power takes the room of those that return. */
     @Test
-    void connectionsThatWereNotNeededOfLateAreClosed() {
-        harness.primary.workMs = 40;
-        stream(50);
-        assertThat(harness.primary.open.size()).isAtLeast(6);
-        harness.primary.workMs = 4;
+    void recentlyUnusedConnectionsAreClosed() {
+        harness.primary.serviceMs = 40;
+        sendAtIntervals(50);
+        assertThat(harness.primary.openConnections.size()).isAtLeast(6);
+        harness.primary.serviceMs = 4;
         for (int i = 0; i < 300; i++) {
             harness.open(EngineHarness.TOPUP).send("slow" + i, new Write("item", "5"));
-            run(GAP_MS);
+            runInSteps(INTERVAL_MS);
         }
 
-        assertThat(harness.primary.open.size()).isAtMost(2);
+        assertThat(harness.primary.openConnections.size()).isAtMost(2);
     }
 
-    private List<Client> stream(int steps) {
+    private List<Client> sendAtIntervals(int steps) {
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < steps; i++) {
-            for (int j = 0; j < AT_ONCE; j++) {
+            for (int j = 0; j < CONCURRENT_WRITES; j++) {
                 clients.add(harness.open(EngineHarness.TOPUP).send("w" + i + "-" + j, new Write("item", "5")));
             }
-            run(GAP_MS);
+            runInSteps(INTERVAL_MS);
         }
         return clients;
     }
 
     /** In steps that are no jump of the clock. */
-    private void run(long forMs) {
-        for (long ms = 0; ms < forMs; ms += GAP_MS) {
-            harness.run(GAP_MS);
+    private void runInSteps(long forMs) {
+        for (long ms = 0; ms < forMs; ms += INTERVAL_MS) {
+            harness.run(INTERVAL_MS);
         }
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/EngineHarness.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/EngineHarness.java
@@ -85,7 +85,7 @@
                 loaded.configuration(),
                 loaded.instances(),
                 Map.of(FakeDatabase.SERVICE, database.id),
-                loaded.proxies()));
+                loaded.proxyCount()));
     }
 
     void run(long forMs) {
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/FakeDatabase.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/FakeDatabase.java
@@ -33,23 +33,23 @@
     final String id;
     boolean primary;
     boolean reachable = true;
-    boolean silent;
+    boolean statementsHang;
 
     /** Answers nothing, not even attempts to connect. */
-    boolean dark;
+    boolean unresponsive;
 
-    long entries = 10;
+    long logEntries = 10;
     int connectionLimit = Integer.MAX_VALUE;
-    long workMs = 10;
+    long serviceMs = 10;
 
     /** What a statement meets; no error by default. */
-    Function<SqlRequest, Optional<SqlError>> fault = request -> Optional.empty();
+    Function<SqlRequest, Optional<SqlError>> injectedError = request -> Optional.empty();
 
     /** Everything that ran, as the client's id and what the connection held. */
-    final List<Run> runs = new ArrayList<>();
+    final List<ExecutedStatement> executedStatements = new ArrayList<>();
 
-    final List<Connection> open = new ArrayList<>();
-    int opened;
+    final List<Connection> openConnections = new ArrayList<>();
+    int openedConnectionCount;
     private final ManualExecutor executor;
     private final int port;
 
@@ -64,10 +64,10 @@
      *
      * @param transaction the ids that ran in its transaction so far, itself included; empty outside of one
      */
-    record Run(
+    record ExecutedStatement(
             String id,
             SqlStatement statement,
-            List<String> transaction,
+            List<String> transactionIds,
             Map<String, String> values,
             boolean onPrimary) {}
 
@@ -78,7 +78,7 @@
 
     CompletableFuture<SqlConnection> connect(Duration timeout) {
         CompletableFuture<SqlConnection> result = new CompletableFuture<>();
-        if (dark) {
+        if (unresponsive) {
             executor.schedule(
                     () -> {
                         result.completeExceptionally(new FailureException(FailureType.REQUEST_TIMEOUT, id));
@@ -91,12 +91,12 @@
                 () -> {
                     if (!reachable) {
                         result.completeExceptionally(new FailureException(FailureType.CONNECTION_REFUSED, id));
-                    } else if (open.size() >= connectionLimit) {
+                    } else if (openConnections.size() >= connectionLimit) {
                         result.completeExceptionally(new FailureException(FailureType.CONNECTION_LIMIT, id));
                     } else {
-                        opened++;
+                        openedConnectionCount++;
                         Connection connection = new Connection();
-                        open.add(connection);
+                        openConnections.add(connection);
                         result.complete(connection);
                     }
                 },
@@ -106,22 +106,22 @@
     }
 
     void resetConnections() {
-        List.copyOf(open).forEach(Connection::close);
+        List.copyOf(openConnections).forEach(Connection::close);
     }
 
     final class Connection implements SqlConnection {
-        private final Deque<CompletableFuture<SqlResult>> waiting = new ArrayDeque<>();
+        private final Deque<CompletableFuture<SqlResult>> pendingResults = new ArrayDeque<>();
         private final Map<String, String> values = new TreeMap<>();
         private final Map<String, String> prepared = new HashMap<>();
-        private final List<String> transaction = new ArrayList<>();
+        private final List<String> transactionIds = new ArrayList<>();
         private TransactionState state = TransactionState.IDLE;
-        private boolean plain;
+        private boolean readWrite;
         private boolean closed;
 
         /** Nothing that was sent since passes any more. */
-        private boolean dead;
+        private boolean hung;
 
-        private long freeAtMs;
+        private long busyUntilMs;
 
         @Override
         public List<CompletableFuture<SqlResult>> send(List<SqlRequest> requests) {
@@ -133,10 +133,10 @@
                     result.completeExceptionally(new FailureException(FailureType.CONNECTION_LOST, id));
                     continue;
                 }
-                waiting.add(result);
+                pendingResults.add(result);
                 long nowMs = executor.nowMs();
-                freeAtMs = Math.max(freeAtMs, nowMs) + (isWork(request) ? workMs : 1);
-                executor.schedule(() -> answer(request, result), freeAtMs - nowMs, TimeUnit.MILLISECONDS);
+                busyUntilMs = Math.max(busyUntilMs, nowMs) + (isClientRequest(request) ? serviceMs : 1);
+                executor.schedule(() -> answer(request, result), busyUntilMs - nowMs, TimeUnit.MILLISECONDS);
             }
             return results;
         }
@@ -152,106 +152,106 @@
                 return;
             }
             closed = true;
-            open.remove(this);
-            List<CompletableFuture<SqlResult>> lost = List.copyOf(waiting);
-            waiting.clear();
+            openConnections.remove(this);
+            List<CompletableFuture<SqlResult>> lost = List.copyOf(pendingResults);
+            pendingResults.clear();
             executor.execute(() -> lost.forEach(
                     result -> result.completeExceptionally(new FailureException(FailureType.CONNECTION_LOST, id))));
         }
 
         private void answer(SqlRequest request, CompletableFuture<SqlResult> result) {
-            dead |= silent || dark;
-            if (closed || dead) {
+            hung |= statementsHang || unresponsive;
+            if (closed || hung) {
                 return;
             }
-            SqlResult answer = run(request);
-            waiting.remove();
+            SqlResult answer = execute(request);
+            pendingResults.remove();
             result.complete(answer);
         }
 
-        private SqlResult run(SqlRequest request) {
+        private SqlResult execute(SqlRequest request) {
             SqlStatement statement = request.statement();
-            Optional<SqlError> injected = fault.apply(request);
+            Optional<SqlError> injected = injectedError.apply(request);
             if (injected.isPresent()) {
-                return error(injected.get());
+                return failure(injected.get());
             }
             if (state == TransactionState.FAILED && !(statement instanceof SqlStatement.Rollback)) {
-                return error(SqlError.MALFORMED);
+                return failure(SqlError.MALFORMED);
             }
             if (request.requiredPosition()
-                    .filter(position -> position.indexEntries() > entries)
+                    .filter(position -> position.indexEntries() > logEntries)
                     .isPresent()) {
-                return error(SqlError.REPLICA_LAGGING);
+                return failure(SqlError.REPLICA_LAGGING);
             }
             if (statement instanceof SqlStatement.Begin begin) {
                 return begin(begin);
             } else if (statement instanceof SqlStatement.Rollback) {
                 boolean open = state != TransactionState.IDLE;
-                end();
-                return open ? done() : error(SqlError.MALFORMED);
+                endTransaction();
+                return open ? success() : failure(SqlError.MALFORMED);
             } else if (statement instanceof SqlStatement.SetValue set) {
                 values.put(set.name(), set.value());
-                return done();
+                return success();
             } else if (statement instanceof SqlStatement.Prepare prepare) {
                 prepared.put(prepare.name(), prepare.definition().text());
-                return done();
+                return success();
             } else if (statement instanceof SqlStatement.Reset) {
                 values.clear();
                 prepared.clear();
-                return done();
+                return success();
             }
-            return work(request);
+            return executeStatement(request);
         }
 
         private SqlResult begin(SqlStatement.Begin begin) {
             if (!begin.readOnly() && !primary) {
-                return error(SqlError.READ_ONLY);
+                return failure(SqlError.READ_ONLY);
             }
             state = TransactionState.OPEN;
-            plain = !begin.readOnly();
-            return done();
+            readWrite = !begin.readOnly();
+            return success();
         }
 
-        private SqlResult work(SqlRequest request) {
+        private SqlResult executeStatement(SqlRequest request) {
             SqlStatement statement = request.statement();
             boolean write = statement instanceof SqlStatement.Write
                     || (statement instanceof SqlStatement.Execute execute
                             && execute.data().isPresent());
-            if (!primary && (write || (state == TransactionState.OPEN && plain))) {
-                return error(SqlError.READ_ONLY);
+            if (!primary && (write || (state == TransactionState.OPEN && readWrite))) {
+                return failure(SqlError.READ_ONLY);
             }
             if (statement instanceof SqlStatement.Execute execute && !prepared.containsKey(execute.name())) {
-                return error(SqlError.UNKNOWN_PREPARED);
+                return failure(SqlError.UNKNOWN_PREPARED);
             }
             boolean inside = state == TransactionState.OPEN;
             if (inside) {
-                transaction.add(request.id());
+                transactionIds.add(request.id());
             }
-            runs.add(new Run(
+            executedStatements.add(new ExecutedStatement(
                     request.id(),
                     statement,
-                    inside ? List.copyOf(transaction) : List.of(),
+                    inside ? List.copyOf(transactionIds) : List.of(),
                     Map.copyOf(values),
                     primary));
             if (statement instanceof SqlStatement.Commit) {
-                end();
-                entries++;
+                endTransaction();
+                logEntries++;
             } else if (write && !inside) {
-                entries++;
+                logEntries++;
             }
             return new SqlResult(List.of("row"), "signed-" + id, Optional.empty(), "", state, Optional.of(position()));
         }
 
-        private void end() {
+        private void endTransaction() {
             state = TransactionState.IDLE;
-            transaction.clear();
+            transactionIds.clear();
         }
 
-        private SqlResult done() {
+        private SqlResult success() {
             return new SqlResult(List.of(), "-", Optional.empty(), "", state, Optional.of(position()));
         }
 
-        private SqlResult error(SqlError error) {
+        private SqlResult failure(SqlError error) {
             boolean keeps = error == SqlError.BUSY || error == SqlError.REPLICA_LAGGING;
             if (state == TransactionState.OPEN && !keeps) {
                 state = TransactionState.FAILED;
@@ -260,15 +260,15 @@
         }
 
         private LogPosition position() {
-            return new LogPosition(1, entries);
+            return new LogPosition(1, logEntries);
         }
 
-        private boolean isWork(SqlRequest request) {
+        private boolean isClientRequest(SqlRequest request) {
             return !request.id().equals(SqlRequest.INTERNAL_ID);
         }
     }
 
-    static Set<String> ids(List<Run> runs) {
+    static Set<String> requestIds(List<ExecutedStatement> runs) {
         Set<String> ids = new TreeSet<>();
         runs.forEach(run -> ids.add(run.id()));
         return ids;
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/ManualExecutor.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/ManualExecutor.java
@@ -18,7 +18,7 @@
 final class ManualExecutor extends AbstractExecutorService implements ScheduledExecutorService {
     private final ManualClock clock;
     private final PriorityQueue<Task<?>> tasks = new PriorityQueue<>(
-            Comparator.<Task<?>>comparingLong(task -> task.atMs).thenComparingLong(task -> task.order));
+            Comparator.<Task<?>>comparingLong(task -> task.dueAtMs).thenComparingLong(task -> task.order));
     private long nextOrder;
 
     ManualExecutor(ManualClock clock) {
@@ -32,9 +32,9 @@
     /** Runs everything that is due within a time. */
     void run(long forMs) {
         long endMs = clock.millis() + forMs;
-        while (!tasks.isEmpty() && tasks.peek().atMs <= endMs) {
+        while (!tasks.isEmpty() && tasks.peek().dueAtMs <= endMs) {
             Task<?> task = tasks.remove();
-            clock.advance(Duration.ofMillis(Math.max(0, task.atMs - clock.millis())));
+            clock.advance(Duration.ofMillis(Math.max(0, task.dueAtMs - clock.millis())));
             task.run();
         }
         clock.advance(Duration.ofMillis(endMs - clock.millis()));
@@ -96,12 +96,12 @@
     }
 
     private static final class Task<V> extends FutureTask<V> implements ScheduledFuture<V> {
-        private final long atMs;
+        private final long dueAtMs;
         private final long order;
 
         Task(Runnable command, long atMs, long order) {
             super(command, null);
-            this.atMs = atMs;
+            this.dueAtMs = atMs;
             this.order = order;
         }
 
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
@@ -36,7 +36,7 @@
 
         assertThat(client.last().signature()).isEqualTo("signed-p");
         assertThat(client.last().state()).isEqualTo(TransactionState.IDLE);
-        assertThat(FakeDatabase.ids(harness.primary.runs)).containsExactly("w1");
+        assertThat(FakeDatabase.requestIds(harness.primary.executedStatements)).containsExactly("w1");
     }
 
     @Test
@@ -50,7 +50,7 @@
         harness.run(100);
 
         assertThat(client.last().isSuccess()).isTrue();
-        assertThat(harness.primary.runs.get(0).transaction()).containsExactly("r1");
+        assertThat(harness.primary.executedStatements.get(0).transactionIds()).containsExactly("r1");
     }
 
     /** The proxy has not heard of a promotion yet: the deposed primary refuses, and nothing runs there. */
@@ -61,25 +61,25 @@
         Client client = harness.open(EngineHarness.TOPUP).send("r1", new Read("item"));
         harness.run(400);
 
-        assertThat(harness.primary.runs).isEmpty();
+        assertThat(harness.primary.executedStatements).isEmpty();
         assertThat(client.last().error()).hasValue(SqlError.BUSY);
         harness.load(2, 28, 1);
         client.send("r2", new Read("item"));
         harness.run(200);
         assertThat(client.last().isSuccess()).isTrue();
-        assertThat(harness.near.runs.get(0).onPrimary()).isTrue();
+        assertThat(harness.near.executedStatements.get(0).onPrimary()).isTrue();
     }
 
     @Test
     void aBoundedReadRunsOnAReplicaThatHoldsTheSampledPosition() {
-        harness.primary.entries = 50;
-        harness.near.entries = 49;
-        harness.far.entries = 50;
+        harness.primary.logEntries = 50;
+        harness.near.logEntries = 49;
+        harness.far.logEntries = 50;
         Client client = harness.open(EngineHarness.BALANCE).send("r1", new Read("item"));
         harness.run(300);
 
         assertThat(client.last().isSuccess()).isTrue();
-        assertThat(harness.near.runs).isEmpty();
+        assertThat(harness.near.executedStatements).isEmpty();
     }
 
     @Test
@@ -119,7 +119,7 @@
 
         assertThat(client.replies.get(0).signature()).isEqualTo("-");
         assertThat(client.last().isSuccess()).isTrue();
-        assertThat(harness.primary.runs.get(2).transaction())
+        assertThat(harness.primary.executedStatements.get(2).transactionIds())
                 .containsExactly("s1", "s2", "c")
                 .inOrder();
     }
@@ -135,9 +135,10 @@
         second.send("w2", new Execute("s", "item", Optional.of("6")));
         harness.run(100);
 
-        assertThat(harness.primary.runs.get(0).values()).isEqualTo(Map.of("zone", "addis"));
-        assertThat(harness.primary.runs.get(1).values()).isEmpty();
-        assertThat(((Execute) harness.primary.runs.get(1).statement()).name()).contains("q2");
+        assertThat(harness.primary.executedStatements.get(0).values()).isEqualTo(Map.of("zone", "addis"));
+        assertThat(harness.primary.executedStatements.get(1).values()).isEmpty();
+        assertThat(((Execute) harness.primary.executedStatements.get(1).statement()).name())
+                .contains("q2");
     }
 
     @ParameterizedTest
@@ -155,7 +156,7 @@
     @ParameterizedTest
     @CsvSource({"BUSY, BUSY", "READ_ONLY, BUSY", "FAILED, FAILED", "TIMEOUT, TIMEOUT"})
     void aWriteThatFailsIsAnsweredWithWhatIsKnown(SqlError met, SqlError told) {
-        harness.primary.fault = request -> request.id().equals("w1") ? Optional.of(met) : Optional.empty();
+        harness.primary.injectedError = request -> request.id().equals("w1") ? Optional.of(met) : Optional.empty();
         Client client = harness.open(EngineHarness.TOPUP).send("w1", new Write("item", "5"));
         harness.run(2_000);
 
@@ -165,14 +166,14 @@
 
     @Test
     void aWriteWhoseConnectionBreaksIsInDoubtAndNotRepeated() {
-        harness.primary.workMs = 50;
+        harness.primary.serviceMs = 50;
         Client client = harness.open(EngineHarness.TOPUP).send("w1", new Write("item", "5"));
         harness.run(20);
         harness.primary.resetConnections();
         harness.run(500);
 
         assertThat(client.last().error()).hasValue(SqlError.IN_DOUBT);
-        assertThat(harness.primary.runs).isEmpty();
+        assertThat(harness.primary.executedStatements).isEmpty();
     }
 
     /** A primary goes dark under a read: another question is not answered either, and the read ends before its timeout. */
@@ -180,7 +181,7 @@
     void aReadAtAPrimaryThatFellSilentIsNotHeldUntilItsTimeout() {
         Client client = harness.open(EngineHarness.TOPUP).send("w0", new Write("item", "5"));
         harness.run(100);
-        harness.primary.silent = true;
+        harness.primary.statementsHang = true;
         client.send("r1", new Read("item"));
         harness.open(EngineHarness.BALANCE).send("r2", new Read("item"));
         harness.run(1_500);
@@ -194,7 +195,7 @@
     void aWriteWithoutAnAnswerIsInDoubtAtItsTimeout() {
         Client client = harness.open(EngineHarness.TOPUP).send("w0", new Write("item", "5"));
         harness.run(100);
-        harness.primary.silent = true;
+        harness.primary.statementsHang = true;
         client.send("w1", new Write("item", "5"));
         harness.run(799);
         assertThat(client.replies).hasSize(1);
@@ -208,7 +209,7 @@
             value = SqlError.class,
             names = {"FAILED", "TIMEOUT", "BUSY"})
     void aBoundedReadIsTriedElsewhere(SqlError met) {
-        harness.near.fault = request -> request.id().equals("r1") ? Optional.of(met) : Optional.empty();
+        harness.near.injectedError = request -> request.id().equals("r1") ? Optional.of(met) : Optional.empty();
         Client client = harness.open(EngineHarness.BALANCE).send("r1", new Read("item"));
         harness.run(300);
 
@@ -248,7 +249,7 @@
     @Test
     void aStatementThatMeetsNoCapacityInsideATransactionIsSentAgain() {
         int[] refusals = {3};
-        harness.primary.fault = request ->
+        harness.primary.injectedError = request ->
                 request.id().equals("s2") && refusals[0]-- > 0 ? Optional.of(SqlError.BUSY) : Optional.empty();
         Client client = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
         client.send("s1", new Read("item")).send("s2", new Write("item", "5"));
@@ -263,11 +264,11 @@
         Client client = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
         client.send("s1", new Read("item"));
         harness.run(4_000);
-        assertThat(harness.primary.open).hasSize(1);
+        assertThat(harness.primary.openConnections).hasSize(1);
         client.send("s2", new Read("item"));
 
         assertThat(client.last().error()).hasValue(SqlError.ABORTED);
-        assertThat(FakeDatabase.ids(harness.primary.runs)).containsExactly("s1");
+        assertThat(FakeDatabase.requestIds(harness.primary.executedStatements)).containsExactly("s1");
     }
 
     /** A client that leaves inside a transaction: what it wrote is rolled back before another uses the connection. */
@@ -282,15 +283,15 @@
         harness.run(100);
 
         assertThat(other.last().isSuccess()).isTrue();
-        assertThat(harness.primary.opened).isEqualTo(1);
-        assertThat(harness.primary.runs.get(1).transaction()).isEmpty();
+        assertThat(harness.primary.openedConnectionCount).isEqualTo(1);
+        assertThat(harness.primary.executedStatements.get(1).transactionIds()).isEmpty();
     }
 
     /** Found by fleetbench score ujaas-core trouble-1: the statement waited for its turn while its client left. */
     @Test
     void aStatementThatWaitsForItsTurnIsNotSentOnceItsClientHasLeft() {
         harness.load(2, 28, 90);
-        harness.primary.workMs = 100;
+        harness.primary.serviceMs = 100;
         Client leaving = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
         leaving.send("s1", new Read("item"));
         harness.run(150);
@@ -306,7 +307,7 @@
         harness.run(500);
 
         busy.forEach(client -> assertThat(client.last().isSuccess()).isTrue());
-        assertThat(FakeDatabase.ids(harness.primary.runs)).containsExactly("s1", "w1", "w2", "w3");
+        assertThat(FakeDatabase.requestIds(harness.primary.executedStatements)).containsExactly("s1", "w1", "w2", "w3");
     }
 
     @Test
@@ -321,7 +322,7 @@
             harness.run(5);
         }
 
-        assertThat(harness.primary.open.size()).isAtMost(4);
+        assertThat(harness.primary.openConnections.size()).isAtMost(4);
     }
 
     @Test
@@ -414,7 +415,7 @@
         harness.promoted(harness.near);
         client.send("w2", new Write("item", "6"));
         harness.run(300);
-        assertThat(FakeDatabase.ids(harness.primary.runs)).containsExactly("w1");
+        assertThat(FakeDatabase.requestIds(harness.primary.executedStatements)).containsExactly("w1");
         assertThat(client.last().error()).hasValue(SqlError.BUSY);
         harness.primary.primary = false;
         harness.near.primary = true;
@@ -422,7 +423,7 @@
         harness.run(200);
 
         assertThat(client.last().isSuccess()).isTrue();
-        assertThat(FakeDatabase.ids(harness.near.runs)).containsExactly("w3");
+        assertThat(FakeDatabase.requestIds(harness.near.executedStatements)).containsExactly("w3");
     }
 
     @Test
@@ -441,7 +442,7 @@
         harness.open(EngineHarness.BALANCE).send("r1", new Read("item"));
         harness.run(300);
 
-        harness.databases.forEach(
-                database -> assertThat(FakeDatabase.ids(database.runs)).doesNotContain(SqlRequest.INTERNAL_ID));
+        harness.databases.forEach(database -> assertThat(FakeDatabase.requestIds(database.executedStatements))
+                .doesNotContain(SqlRequest.INTERNAL_ID));
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionHistoriesTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionHistoriesTest.java
@@ -74,7 +74,7 @@
 
         void run() {
             harness.load(2, 12, proxies);
-            harness.databases.forEach(database -> database.fault = request ->
+            harness.databases.forEach(database -> database.injectedError = request ->
                     random.nextInt(25) == 0 && !request.id().equals("-") ? Optional.of(anyError()) : Optional.empty());
             for (int i = 0; i < CLIENTS; i++) {
                 actors.add(new Actor(i));
@@ -96,8 +96,8 @@
             FakeDatabase database = harness.databases.get(random.nextInt(3));
             switch (random.nextInt(40)) {
                 case 0 -> database.resetConnections();
-                case 1 -> database.silent = !database.silent;
-                case 2 -> database.workMs = 1L + random.nextInt(80);
+                case 1 -> database.statementsHang = !database.statementsHang;
+                case 2 -> database.serviceMs = 1L + random.nextInt(80);
                 case 3 -> {
                     harness.databases.forEach(other -> other.primary = other == database);
                     if (random.nextBoolean()) {
@@ -184,17 +184,17 @@
 
         private void check() {
             for (FakeDatabase database : harness.databases) {
-                for (FakeDatabase.Run run : database.runs) {
+                for (FakeDatabase.ExecutedStatement run : database.executedStatements) {
                     String transaction = transactionById.get(run.id());
                     boolean own = transaction.isEmpty()
-                            ? run.transaction().size() <= 1
-                            : run.transaction().stream()
+                            ? run.transactionIds().size() <= 1
+                            : run.transactionIds().stream()
                                     .allMatch(
                                             other -> transactionById.get(other).equals(transaction));
-                    assertWithMessage("seed %s: %s of %s ran in %s", seed, run.id(), transaction, run.transaction())
+                    assertWithMessage("seed %s: %s of %s ran in %s", seed, run.id(), transaction, run.transactionIds())
                             .that(own
                                     && (transaction.isEmpty()
-                                            || !run.transaction().isEmpty()))
+                                            || !run.transactionIds().isEmpty()))
                             .isTrue();
                     assertWithMessage("seed %s: values of %s", seed, run.id())
                             .that(run.values())
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/DarkInstanceTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/UnresponsiveInstanceTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /** Work that arrives steadily while an instance answers nothing: neither statements nor attempts to connect. */
-final class DarkInstanceTest {
-    private static final int GAP_MS = 10;
+final class UnresponsiveInstanceTest {
+    private static final int INTERVAL_MS = 10;
 
     private final EngineHarness harness = new EngineHarness();
 
@@ -23,10 +23,10 @@
      * measured times stayed short, and were refused as waiting too long while another instance idled.
      */
     @Test
-    void readsGoToTheInstancesThatAnswer() {
-        stream(EngineHarness.SYNC, 100);
-        darken(harness.near);
-        List<Client> clients = stream(EngineHarness.SYNC, 400);
+    void readsAreRoutedToResponsiveInstances() {
+        sendAtIntervals(EngineHarness.SYNC, 100);
+        makeUnresponsive(harness.near);
+        List<Client> clients = sendAtIntervals(EngineHarness.SYNC, 400);
         harness.run(1_000);
 
         assertThat(clients.stream().filter(client -> client.waitedMs() <= 100).count())
@@ -35,20 +35,20 @@
     }
 
     @Test
-    void aReadThatHangsAtADarkInstanceIsRunElsewhereBeforeItsTimeout() {
-        stream(EngineHarness.SYNC, 100);
-        harness.near.silent = true;
+    void readPendingAtAnUnresponsiveInstanceIsRetriedElsewhereBeforeItsTimeout() {
+        sendAtIntervals(EngineHarness.SYNC, 100);
+        harness.near.statementsHang = true;
         Client client = harness.open(EngineHarness.SYNC).send("hanging", new Read("item"));
         harness.run(600);
 
         assertThat(client.last().isSuccess()).isTrue();
-        assertThat(FakeDatabase.ids(harness.near.runs)).doesNotContain("hanging");
+        assertThat(FakeDatabase.requestIds(harness.near.executedStatements)).doesNotContain("hanging");
     }
 
     @Test
-    void aTransactionWhoseBeginHangsAtADarkInstanceIsBegunElsewhere() {
-        stream(EngineHarness.SYNC, 100);
-        harness.near.silent = true;
+    void transactionWhoseBeginIsPendingAtAnUnresponsiveInstanceBeginsElsewhere() {
+        sendAtIntervals(EngineHarness.SYNC, 100);
+        harness.near.statementsHang = true;
         Client client = harness.open(EngineHarness.SYNC).send("b", new Begin(true));
         client.send("s", new Read("item"));
         harness.run(600);
@@ -61,9 +61,9 @@
 
     /** Until its timeout a write may have run; it is neither repeated nor denied. */
     @Test
-    void aWriteThatWasSentToADarkInstanceIsNotRepeated() {
-        stream(EngineHarness.TOPUP, 20);
-        harness.primary.silent = true;
+    void writeSentToAnUnresponsiveInstanceIsNotRetried() {
+        sendAtIntervals(EngineHarness.TOPUP, 20);
+        harness.primary.statementsHang = true;
         Client client = harness.open(EngineHarness.TOPUP).send("w", new Write("item", "5"));
         harness.run(700);
         assertThat(client.replies).isEmpty();
@@ -74,11 +74,11 @@
 
     /** A primary is dark for seven seconds; each unit that found out held a connection for the time of an attempt. */
     @Test
-    void whileThePrimaryIsDarkWritesAreRefusedSoon() {
-        stream(EngineHarness.TOPUP, 20);
-        darken(harness.primary);
-        stream(EngineHarness.TOPUP, 100);
-        List<Client> clients = stream(EngineHarness.TOPUP, 600);
+    void writesAreRefusedQuicklyWhileThePrimaryIsUnresponsive() {
+        sendAtIntervals(EngineHarness.TOPUP, 20);
+        makeUnresponsive(harness.primary);
+        sendAtIntervals(EngineHarness.TOPUP, 100);
+        List<Client> clients = sendAtIntervals(EngineHarness.TOPUP, 600);
         harness.run(1_000);
 
         clients.forEach(client -> assertThat(client.waitedMs()).isAtMost(200));
@@ -86,13 +86,13 @@
 
     /** The times of attempts in vain were taken for the database's pace, and refused work for seconds after its return. */
     @Test
-    void onceThePrimaryIsBackWritesAreServed() {
-        stream(EngineHarness.TOPUP, 20);
-        darken(harness.primary);
-        stream(EngineHarness.TOPUP, 500);
-        harness.primary.dark = false;
+    void writesAreServedOnceThePrimaryRespondsAgain() {
+        sendAtIntervals(EngineHarness.TOPUP, 20);
+        makeUnresponsive(harness.primary);
+        sendAtIntervals(EngineHarness.TOPUP, 500);
+        harness.primary.unresponsive = false;
         harness.run(1_100);
-        List<Client> clients = stream(EngineHarness.TOPUP, 100);
+        List<Client> clients = sendAtIntervals(EngineHarness.TOPUP, 100);
         harness.run(1_000);
 
         clients.forEach(client -> assertThat(client.last().isSuccess()).isTrue());
@@ -100,10 +100,10 @@
 
     /** Units whose turn did not come in time were dropped from the queue and hung until their timeout. */
     @Test
-    void aUnitThatCanNoMoreStartInTimeIsRefusedThen() {
+    void queuedWriteIsRefusedOnceItCannotStartInTime() {
         harness.load(2, 4, 1);
-        harness.primary.workMs = 5;
-        stream(EngineHarness.TOPUP, 50);
+        harness.primary.serviceMs = 5;
+        sendAtIntervals(EngineHarness.TOPUP, 50);
         Client holder = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
         holder.send("s", new Read("item"));
         harness.run(50);
@@ -115,36 +115,36 @@
 
     /** The near instance's only connection is held by a transaction whose client thinks; the others idle. */
     @Test
-    void aReadThatWouldWaitTooLongIsServedWhereThereIsRoom() {
+    void readThatWouldWaitTooLongIsServedByAnotherInstance() {
         harness.load(2, 4, 1);
-        stream(EngineHarness.SYNC, 20);
+        sendAtIntervals(EngineHarness.SYNC, 20);
         Client holder = harness.open(EngineHarness.SYNC).send("b", new Begin(true));
         holder.send("s", new Read("item"));
         harness.run(50);
         Client client = harness.open(EngineHarness.SYNC).send("r", new Read("item"));
-        run(700);
+        runInSteps(700);
 
         assertThat(client.last().isSuccess()).isTrue();
     }
 
     /** In steps that are no jump of the clock. */
-    private void run(long forMs) {
-        for (long ms = 0; ms < forMs; ms += GAP_MS) {
-            harness.run(GAP_MS);
+    private void runInSteps(long forMs) {
+        for (long ms = 0; ms < forMs; ms += INTERVAL_MS) {
+            harness.run(INTERVAL_MS);
         }
     }
 
-    private void darken(FakeDatabase database) {
-        database.dark = true;
+    private void makeUnresponsive(FakeDatabase database) {
+        database.unresponsive = true;
     }
 
-    private List<Client> stream(String route, int requests) {
+    private List<Client> sendAtIntervals(String route, int requests) {
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < requests; i++) {
             Client client = harness.open(route);
             client.send(route + i, route.equals(EngineHarness.TOPUP) ? new Write("item", "5") : new Read("item"));
             clients.add(client);
-            harness.run(GAP_MS);
+            harness.run(INTERVAL_MS);
         }
         return clients;
     }
