--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnectionPool.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnectionPool.java
@@ -19,11 +19,12 @@
 import org.hornbeamspread.core.sql.SqlConnector;
 
 /**
- * This proxy's connections to one instance, and the units that wait for one. A unit has a connection from its first statement
- * to its last; who gets the next one is decided by {@link RankScheduler}. Used on the engine's thread.
+ * The pool of this proxy's connections to one instance, with the queue of units that wait for a connection. A unit, which is
+ * a statement or a transaction, holds a connection from its first statement to its last. {@link RankScheduler} decides which
+ * unit gets the next connection. Confined to the engine's thread.
  */
 final class InstanceConnectionPool {
-    /** How much of a new measurement goes into the running mean of service times. */
+    /** Weight of a new measurement in the moving average of service times. */
     private static final double SERVICE_TIME_WEIGHT = 0.1;
 
     private static final double INITIAL_SERVICE_TIME_MS = 10;
@@ -33,10 +34,10 @@
     private final BiConsumer<Unit, RetryReason> reroute;
     private final InstanceConnections connections;
 
-    /** Units by ticket: each stay of a unit at this link has a ticket of its own. */
+    /** Queued units by ticket. A unit gets a new ticket each time it joins the queue of this pool. */
     private final Map<Long, Unit> waitingUnits = new LinkedHashMap<>();
 
-    /** Units for which a connection is being opened. */
+    /** Units for which a connection is being opened, by ticket. */
     private final Map<Long, Unit> connectingUnits = new LinkedHashMap<>();
 
     private final Map<Long, SlotRequest> runningRequests = new HashMap<>();
@@ -48,11 +49,11 @@
     private long laggingUntilMs;
 
     /**
-     * A link without connections.
+     * Creates a pool without connections.
      *
-     * @param limit how many connections this proxy may have there
-     * @param proxies how many proxies share the database
-     * @param replace takes a unit that must be placed anew
+     * @param limit maximum number of connections that this proxy may hold to the instance
+     * @param proxies number of proxies that share the database
+     * @param reroute receives each unit that must be routed again
      */
     InstanceConnectionPool(
             DatabaseInstance instance,
@@ -61,10 +62,10 @@
             SqlConnector connector,
             Clock clock,
             EventLog events,
-            BiConsumer<Unit, RetryReason> replace) {
+            BiConsumer<Unit, RetryReason> reroute) {
         this.instance = instance;
         this.clock = clock;
-        this.reroute = replace;
+        this.reroute = reroute;
         this.connections =
                 new InstanceConnections(instance, limit, connector, clock, events, this::onConnectionsAvailable);
         this.limiter = new StatementLimiter(new AdaptiveConcurrencyLimit(instance.slots(), proxies));
@@ -79,7 +80,7 @@
         return limiter;
     }
 
-    /** Statements that wait or are in flight, with the units that have no connection yet. */
+    /** Number of statements that wait or are in flight, plus the queued units that have no connection yet. */
     int outstanding() {
         return waitingUnits.size() + limiter.outstanding();
     }
@@ -96,23 +97,24 @@
         return connections.isUsable();
     }
 
-    /** For how long the instance has owed an answer without giving any. */
+    /** Time without a response while requests to the instance are pending. */
     long silentMs() {
         return connections.silentMs();
     }
 
-    /** Whether {@link #check} has something to look for. */
+    /** Whether {@link #check} must be called again. */
     boolean needsCheck() {
         return !waitingUnits.isEmpty() || !runningRequests.isEmpty() || connections.needsCheck();
     }
 
     /**
-     * Looks whether the instance has fallen silent or may be back, and takes out units that can't start in time any more.
+     * Applies the silence timeout, probes an instance that may be reachable again, and removes units that can no longer start
+     * in time.
      *
-     * @param stoodStill whether this proxy itself did
+     * @param localPause whether this proxy itself was paused since the previous check
      */
-    void check(boolean stoodStill) {
-        if (stoodStill) {
+    void check(boolean localPause) {
+        if (localPause) {
             connections.onLocalPause();
         }
         if (connections.isSilenceTimeoutExceeded()) {
@@ -122,7 +124,7 @@
         connections.check(!waitingUnits.isEmpty());
     }
 
-    /** How much longer the instance is expected to lack recent positions. */
+    /** Remaining time during which the instance is expected to lag behind the positions that reads require. */
     long laggingForMs() {
         return Math.max(0, laggingUntilMs - clock.millis());
     }
@@ -131,19 +133,22 @@
         laggingUntilMs = Math.max(laggingUntilMs, clock.millis() + forMs);
     }
 
-    /** A statement took this long, with the database's own queue. */
+    /** Records the duration of a statement, including the wait in the database's own queue. */
     void recordServiceTime(long elapsedMs) {
         serviceMs += SERVICE_TIME_WEIGHT * (elapsedMs - serviceMs);
     }
 
-    /** A question on an open connection had no answer: nothing idle is trusted any more, and reads are run elsewhere. */
+    /**
+     * Handles a request on an open connection that got no response in time: idle connections are closed, waiting units are
+     * rerouted, and connections in use by repeatable statements are discarded, so that these are retried elsewhere.
+     */
     void onSilenceTimeout() {
         connections.onSilenceTimeout();
         rerouteWaiting();
         List.copyOf(leases.values()).stream().filter(Lease::isRepeatable).forEach(Lease::discard);
     }
 
-    /** Takes new limits over; what runs keeps its connection. */
+    /** Applies new limits. Running units keep their connections. */
     void resize(int newLimit, int proxies) {
         limiter.resize(instance.slots(), proxies);
         connections.resize(newLimit);
@@ -155,7 +160,7 @@
         startNext();
     }
 
-    /** Queues a unit, or refuses it at once when it can't start in time. */
+    /** Queues a unit. A unit that cannot start in time is refused or rerouted at once. */
     void acquire(Unit unit) {
         enqueue(unit);
         startNext();
@@ -172,18 +177,18 @@
         startNext();
     }
 
-    /** Closes what is idle, and has every waiting unit placed elsewhere. What runs goes on. */
+    /** Closes idle connections and reroutes every waiting unit. Running units continue. */
     void close() {
         connections.close();
         rerouteWaiting();
     }
 
-    private void freeSlot(long ticket, boolean served) {
+    private void freeSlot(long ticket, boolean completed) {
         SlotRequest request = runningRequests.remove(ticket);
         if (request == null) {
             return;
         }
-        if (served) {
+        if (completed) {
             scheduler.complete(request, clock.instant());
         } else {
             scheduler.abandon(request, clock.instant());
@@ -210,7 +215,7 @@
         };
     }
 
-    /** Another instance may have room for a read; what only this one can run is refused at once. */
+    /** Reroutes a read, since another instance may have capacity; refuses a unit that only the primary can run. */
     private void refuseOrReroute(Unit unit, RefusalReason reason) {
         if (unit.needsPrimary) {
             unit.refuse(reason);
@@ -222,8 +227,8 @@
     }
 
     private void removeExpired() {
-        for (SlotRequest late : scheduler.removeExpired(clock.instant())) {
-            Unit unit = waitingUnits.remove(late.requestId());
+        for (SlotRequest expired : scheduler.removeExpired(clock.instant())) {
+            Unit unit = waitingUnits.remove(expired.requestId());
             if (unit != null) {
                 unit.cancellation = null;
                 refuseOrReroute(unit, RefusalReason.WAIT_TOO_LONG);
@@ -293,17 +298,17 @@
         }
     }
 
-    /** Has everything that waits, for its turn or for a connection, placed elsewhere. */
+    /** Reroutes all units that are queued or for which a connection is being opened. */
     private void rerouteWaiting() {
-        List<Unit> moved = new ArrayList<>(connectingUnits.values());
+        List<Unit> rerouted = new ArrayList<>(connectingUnits.values());
         connectingUnits.clear();
         List<Unit> queued = List.copyOf(waitingUnits.values());
         queued.forEach(unit -> {
             unit.cancellation.accept(unit);
             unit.cancellation = null;
         });
-        moved.addAll(queued);
-        moved.forEach(unit -> {
+        rerouted.addAll(queued);
+        rerouted.forEach(unit -> {
             unit.tried.add(instance.instanceId());
             reroute.accept(unit, RetryReason.CONNECT_FAILED);
         });
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnections.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnections.java
@@ -16,15 +16,16 @@
 import org.hornbeamspread.core.sql.SqlConnector;
 
 /**
- * This proxy's connections to one instance: how many there may be is decided by {@link AdaptiveConnectionLimit}, whether the instance
- * answers by {@link Reachability}. Connections that were not needed of late are closed: what an instance holds for a machine
- * that loses power takes the room of those that return. Used on the engine's thread.
+ * This proxy's connections to one instance. {@link AdaptiveConnectionLimit} limits their number; {@link Reachability} detects
+ * whether the instance responds. Connections that have been idle for some time are closed: when a machine loses power, the
+ * instance still holds that machine's connections for a while, and they use up the connection limit that the proxies need
+ * when they restart. Confined to the engine's thread.
  */
 final class InstanceConnections {
-    /** Four round trips between regions and a connection's set-up at a busy database. */
+    /** Four round trips between regions, and the set-up of a connection at a busy database. */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
-    /** A hundred times what a connection takes to be set up at a database. */
+    /** A hundred times the set-up time of a connection at a database. */
     private static final long IDLE_TIMEOUT_MS = 1_500;
 
     private final DatabaseInstance instance;
@@ -37,19 +38,22 @@
     private final AdaptiveConnectionLimit adaptiveLimit;
     private int configuredLimit;
 
-    /** Open ones and those that are being opened. */
+    /** Open connections and connections that are being opened. */
     private int connectionCount;
 
     private int openingCount;
     private boolean closed;
 
-    /** Whether the last attempt to connect failed for another reason than the database's limit of connections. */
+    /**
+     * Whether the last connection attempt failed for a reason other than the database's connection limit, or the silence timeout
+     * was exceeded since.
+     */
     private boolean connectFailed;
 
     /**
-     * No connections.
+     * Creates an instance without open connections.
      *
-     * @param onRoom called when a connection has come that nobody asked for, or room for one
+     * @param onConnectionsAvailable called after a probe has opened a connection that no unit requested
      */
     InstanceConnections(
             DatabaseInstance instance,
@@ -57,36 +61,36 @@
             SqlConnector connector,
             Clock clock,
             EventLog events,
-            Runnable onRoom) {
+            Runnable onConnectionsAvailable) {
         this.instance = instance;
         this.configuredLimit = limit;
         this.adaptiveLimit = new AdaptiveConnectionLimit(limit);
         this.connector = connector;
         this.clock = clock;
         this.events = events;
-        this.onConnectionsAvailable = onRoom;
+        this.onConnectionsAvailable = onConnectionsAvailable;
     }
 
     boolean hasConnectFailed() {
         return connectFailed;
     }
 
-    /** Whether work may be sent there. */
+    /** Whether units may be sent to the instance. */
     boolean isUsable() {
         return reachability.isReachable() && adaptiveLimit.effectiveLimit() > 0;
     }
 
-    /** For how long the instance has owed an answer without giving any. */
+    /** Time without a response while requests to the instance are pending. */
     long silentMs() {
         return reachability.silentMs(clock.millis());
     }
 
-    /** Connections that work may use at once. */
+    /** Number of connections that units may use at once; at least one. */
     int usableConnections() {
         return Math.max(1, adaptiveLimit.effectiveLimit());
     }
 
-    /** Whether {@link #check} has something to look for. */
+    /** Whether {@link #check} must be called again. */
     boolean needsCheck() {
         return idle.size() > 1 || !isUsable();
     }
@@ -99,25 +103,30 @@
         }
     }
 
-    /** This proxy itself stood still. */
+    /** Records a pause of this proxy itself. */
     void onLocalPause() {
         reachability.onLocalPause(clock.millis());
     }
 
-    /** Whether the instance has just become silent for so long that it counts as lost. */
+    /** Whether a reachable instance has been silent for so long that it must be treated as unreachable. */
     boolean isSilenceTimeoutExceeded() {
         return reachability.isSilenceTimeoutExceeded(clock.millis());
     }
 
-    /** Nothing idle is trusted any more. */
+    /** Marks the instance unreachable and closes the idle connections, which may be broken. */
     void onSilenceTimeout() {
         long nowMs = clock.millis();
         onFailure(nowMs, new FailureException(FailureType.REQUEST_TIMEOUT, "silent"));
         closeIdle();
     }
 
-    /** Closes what has not been needed, and asks for a connection on nobody's behalf where one may be had. */
-    void check(boolean workWaits) {
+    /**
+     * Closes connections past the idle timeout, except for one, and probes the instance when a probe is due: a connection attempt
+     * that no unit waits for.
+     *
+     * @param unitsWaiting whether units wait for a connection
+     */
+    void check(boolean unitsWaiting) {
         long nowMs = clock.millis();
         while (idle.size() > 1 && nowMs - idle.peekLast().idleSinceMs() > IDLE_TIMEOUT_MS) {
             discard(idle.removeLast());
@@ -125,11 +134,11 @@
         if (closed || connectionCount >= configuredLimit) {
             return;
         }
-        boolean lost = reachability.isProbeDue(nowMs);
-        boolean full = reachability.isReachable()
-                && (workWaits || adaptiveLimit.effectiveLimit() == 0)
+        boolean reachabilityProbeDue = reachability.isProbeDue(nowMs);
+        boolean limitProbeDue = reachability.isReachable()
+                && (unitsWaiting || adaptiveLimit.effectiveLimit() == 0)
                 && adaptiveLimit.isProbeDue(nowMs);
-        if (lost || full) {
+        if (reachabilityProbeDue || limitProbeDue) {
             probe();
         }
     }
@@ -147,29 +156,28 @@
         });
     }
 
-    /** Opens a connection. */
-    void open(BiConsumer<PooledConnection, Throwable> end) {
+    void open(BiConsumer<PooledConnection, Throwable> callback) {
         connectionCount++;
         openingCount++;
-        long beganMs = clock.millis();
-        reachability.onRequestSent(beganMs);
+        long startedAtMs = clock.millis();
+        reachability.onRequestSent(startedAtMs);
         connector.connect(instance, CONNECT_TIMEOUT).whenComplete((opened, error) -> {
             openingCount--;
             if (error != null) {
                 connectionCount--;
-                onConnectError(beganMs, FailureException.of(error));
-                end.accept(null, error);
+                onConnectError(startedAtMs, FailureException.of(error));
+                callback.accept(null, error);
                 return;
             }
             reachability.onResponse(clock.millis());
             onReached();
             connectFailed = false;
             adaptiveLimit.onOpened(openCount(), clock.millis());
-            end.accept(new PooledConnection(opened, reachability, clock), null);
+            callback.accept(new PooledConnection(opened, reachability, clock), null);
         });
     }
 
-    /** An idle connection, one that holds a session's values before others; null when there is none. */
+    /** Takes an idle connection, preferably one that already has the session's values; null when none is idle. */
     PooledConnection takeIdle(Map<String, String> values) {
         List.copyOf(idle).stream().filter(connection -> !connection.isOpen()).forEach(connection -> {
             idle.remove(connection);
@@ -184,7 +192,7 @@
         return idle.pollFirst();
     }
 
-    /** Keeps a connection that stands outside of any transaction, unless it is one too many. */
+    /** Adds a connection outside of any transaction to the idle ones, or closes a connection above the limit. */
     void putIdle(PooledConnection connection) {
         if (connection.isOpen() && !closed && connectionCount <= configuredLimit) {
             connection.onIdle();
@@ -194,13 +202,12 @@
         }
     }
 
-    /** Closes a connection. */
     void discard(PooledConnection connection) {
         connectionCount--;
         connection.close();
     }
 
-    /** Closes what is idle, and keeps nothing from now on. */
+    /** Closes the idle connections; connections returned later are closed at once. */
     void close() {
         closed = true;
         closeIdle();
@@ -216,16 +223,16 @@
         return connectionCount - openingCount;
     }
 
-    private void onConnectError(long beganMs, FailureException failure) {
+    private void onConnectError(long startedAtMs, FailureException failure) {
         if (failure.type() != FailureType.CONNECTION_LIMIT) {
             reachability.onRequestAbandoned();
-            onFailure(beganMs, failure);
+            onFailure(startedAtMs, failure);
             return;
         }
         reachability.onResponse(clock.millis());
         onReached();
         connectFailed = false;
-        if (adaptiveLimit.onRefused(openCount(), beganMs, clock.millis())) {
+        if (adaptiveLimit.onRefused(openCount(), startedAtMs, clock.millis())) {
             record("database_connection_limit", adaptiveLimit.backoffMs(), failure);
         }
     }
@@ -236,14 +243,14 @@
         }
     }
 
-    private void onFailure(long beganMs, FailureException failure) {
+    private void onFailure(long startedAtMs, FailureException failure) {
         connectFailed = true;
-        if (reachability.onFailed(beganMs, clock.millis())) {
+        if (reachability.onFailed(startedAtMs, clock.millis())) {
             record("database_lost", reachability.backoffMs(), failure);
         }
     }
 
-    private void record(String event, long pauseMs, FailureException failure) {
+    private void record(String event, long backoffMs, FailureException failure) {
         events.record(
                 event,
                 "instance",
@@ -253,7 +260,7 @@
                 "connections",
                 connectionCount,
                 "backoff_ms",
-                pauseMs,
+                backoffMs,
                 "cause",
                 failure.getMessage());
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/PooledConnection.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/PooledConnection.java
@@ -16,11 +16,12 @@
 import org.hornbeamspread.core.sql.SqlStatement.PreparedDefinition;
 
 /**
- * A database connection that sessions use by turns, with the values and prepared statements that it holds. A prepared name is
- * made from its shape, so that sessions with the same shape share it and no name stands for two shapes.
+ * A database connection that sessions use in turn, with the session values and prepared statements set on the connection. The
+ * name of a prepared statement is derived from its definition: sessions with the same definition share the prepared statement,
+ * and no name stands for two definitions.
  */
 final class PooledConnection {
-    /** Prepared statements kept on one connection before it is reset. */
+    /** Prepared statements on one connection before the connection is reset. */
     private static final int MAX_PREPARED_STATEMENTS = 256;
 
     private final SqlConnection connection;
@@ -36,7 +37,7 @@
         this.clock = clock;
     }
 
-    /** Nobody uses it from now on. */
+    /** Records that the connection is idle from now on. */
     void onIdle() {
         idleSinceMs = clock.millis();
     }
@@ -53,31 +54,35 @@
         connection.close();
     }
 
-    boolean hasValues(Map<String, String> wanted) {
-        return values.equals(wanted);
+    boolean hasValues(Map<String, String> sessionValues) {
+        return values.equals(sessionValues);
     }
 
-    /** The name under which a shape is prepared here. */
-    static String preparedName(PreparedDefinition shape) {
-        return (shape.write() ? "w_" : "r_") + shape.text().replace(' ', '_');
+    /** The name of the prepared statement for a definition. */
+    static String preparedName(PreparedDefinition definition) {
+        return (definition.write() ? "w_" : "r_") + definition.text().replace(' ', '_');
     }
 
-    /** What must be sent first, so that the connection holds a session's values and a shape; null for no shape. */
-    List<SqlRequest> setUpRequests(Map<String, String> wanted, PreparedDefinition shape) {
+    /**
+     * The requests that must be sent first, so that the connection has a session's values and a prepared statement.
+     *
+     * @param definition of the prepared statement; null for none
+     */
+    List<SqlRequest> setUpRequests(Map<String, String> sessionValues, PreparedDefinition definition) {
         List<SqlRequest> requests = new ArrayList<>();
-        boolean surplus = !wanted.keySet().containsAll(values.keySet());
+        boolean surplus = !sessionValues.keySet().containsAll(values.keySet());
         if (surplus || prepared.size() >= MAX_PREPARED_STATEMENTS) {
             requests.add(SqlRequest.internal(new SqlStatement.Reset()));
             values.clear();
             prepared.clear();
         }
-        wanted.forEach((name, value) -> {
+        sessionValues.forEach((name, value) -> {
             if (!value.equals(values.put(name, value))) {
                 requests.add(SqlRequest.internal(new SqlStatement.SetValue(name, value)));
             }
         });
-        if (shape != null && prepared.add(shape)) {
-            requests.add(SqlRequest.internal(new SqlStatement.Prepare(preparedName(shape), shape)));
+        if (definition != null && prepared.add(definition)) {
+            requests.add(SqlRequest.internal(new SqlStatement.Prepare(preparedName(definition), definition)));
         }
         return requests;
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/PriorityRanks.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/PriorityRanks.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import org.hornbeamspread.core.admission.RankSettings;
 
-/** The ranks of work at a database, one for each priority of routes. */
+/** The scheduler ranks at a database, one for each priority of routes. */
 final class PriorityRanks {
     private static final int QUEUE_LIMIT_REQUESTS = 512;
 
-    /** Guaranteed shares in percent, the most urgent priority first; the rest goes by urgency. */
+    /** Guaranteed shares, the most urgent priority first. The remaining capacity goes to the most urgent requests. */
     private static final int[] GUARANTEED_SHARES_PERCENT = {50, 25, 10, 5};
 
     private PriorityRanks() {}
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ServiceState.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ServiceState.java
@@ -6,73 +6,76 @@
 import org.hornbeamspread.core.placement.PositionSamples;
 import org.hornbeamspread.core.placement.PositionSamples.Sample;
 
-/** What this proxy has learned of a service from its answers. Used on the engine's thread. */
+/** State of a service as derived from the responses to this proxy. Confined to the engine's thread. */
 final class ServiceState {
     final PositionSamples positionSamples = new PositionSamples();
 
-    /** When each write that waits for its answer was sent, by unit. */
+    /** Send time of each write without a response, by unit id. */
     final Map<Long, Long> pendingWriteSentAtMs = new HashMap<>();
 
-    /** Whether a question for the primary's position is under way. */
+    /** Whether a position probe at the primary is in flight. */
     boolean probing;
 
-    /** Whether reads wait for a position that this proxy can't ask for itself. */
+    /** Whether reads wait for a position that this proxy cannot request itself. */
     boolean positionsWanted;
 
     private long unreachableSinceMs;
 
-    /** Since when an instance that was asked has denied to lead, without a proof of another; 0 for not at all. */
+    /**
+     * When an instance that was taken for the primary first answered that it is not, with no proof from a primary since; 0 for
+     * none.
+     */
     private long notPrimarySinceMs;
 
     private long clockEpoch;
     private String provenPrimaryId = "";
     private long lastProofAtMs = Long.MIN_VALUE / 4;
 
-    /** Forgets ages that the clock can't prove any more. */
-    void updateClockEpoch(long present) {
-        if (present != clockEpoch) {
-            clockEpoch = present;
+    /** Drops the samples when a new epoch has begun, since their ages can no longer be derived from the clock. */
+    void updateClockEpoch(long currentEpoch) {
+        if (currentEpoch != clockEpoch) {
+            clockEpoch = currentEpoch;
             positionSamples.clear();
         }
     }
 
-    /** An instance proved to be the primary in its answer to a question sent at a time, in an epoch. */
-    void onPrimaryProof(String instanceId, long askedMs, long askedEpoch, LogPosition position) {
+    /** Records that an instance proved to be the primary in its response to a request. */
+    void onPrimaryProof(String instanceId, long requestedAtMs, long requestEpoch, LogPosition position) {
         provenPrimaryId = instanceId;
-        lastProofAtMs = Math.max(lastProofAtMs, askedMs);
+        lastProofAtMs = Math.max(lastProofAtMs, requestedAtMs);
         unreachableSinceMs = 0;
         notPrimarySinceMs = 0;
-        addSample(askedMs, askedEpoch, position);
+        addSample(requestedAtMs, requestEpoch, position);
     }
 
-    /** A position that control was told by a proven primary. */
-    void addSample(long askedMs, long askedEpoch, LogPosition position) {
-        if (askedEpoch == clockEpoch) {
-            positionSamples.add(new Sample(askedMs, position));
+    /** Adds a position that a proven primary reported, to this proxy or to control. */
+    void addSample(long requestedAtMs, long requestEpoch, LogPosition position) {
+        if (requestEpoch == clockEpoch) {
+            positionSamples.add(new Sample(requestedAtMs, position));
             positionsWanted = false;
         }
     }
 
-    /** An attempt to reach the primary failed. */
+    /** Records a failed attempt to reach the primary. */
     void onPrimaryUnreachable(long nowMs) {
         if (unreachableSinceMs == 0) {
             unreachableSinceMs = nowMs;
         }
     }
 
-    /** An instance that was taken for the primary is not. */
+    /** Records that an instance that was taken for the primary is not the primary. */
     void onNotPrimary(long nowMs) {
         if (notPrimarySinceMs == 0) {
             notPrimarySinceMs = nowMs;
         }
     }
 
-    /** Control tells who leads. */
+    /** Clears the state of {@link #onNotPrimary}, once control is reachable again and names the primary. */
     void clearNotPrimary() {
         notPrimarySinceMs = 0;
     }
 
-    /** Since when no primary was found, whether out of reach or denied; 0 when one was. */
+    /** Since when no primary was found, because it was unreachable or was not the primary; 0 when there is one. */
     long withoutPrimarySinceMs() {
         if (unreachableSinceMs == 0 || notPrimarySinceMs == 0) {
             return Math.max(unreachableSinceMs, notPrimarySinceMs);
@@ -80,7 +83,7 @@
         return Math.min(unreachableSinceMs, notPrimarySinceMs);
     }
 
-    /** Since when attempts to reach the primary have failed; 0 when the last one succeeded. */
+    /** Since when attempts to reach the primary have failed; 0 after a success. */
     long unreachableSinceMs() {
         return unreachableSinceMs;
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementLimiter.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementLimiter.java
@@ -5,8 +5,8 @@
 import org.hornbeamspread.core.admission.AdaptiveConcurrencyLimit;
 
 /**
- * Lets statements through to one database, the most urgent first and in order of arrival within a priority, no more at once
- * than the {@link AdaptiveConcurrencyLimit}. Used on the engine's thread.
+ * Limits the statements in flight at one database to the {@link AdaptiveConcurrencyLimit}. Waiting statements are sent in order
+ * of priority, the most urgent first, and in order of arrival within a priority. Confined to the engine's thread.
  */
 final class StatementLimiter {
     private final AdaptiveConcurrencyLimit limit;
@@ -18,13 +18,17 @@
         this.limit = limit;
     }
 
-    /** Calls back, now or later, when the statement may be sent; {@link #release} is owed after its end. */
+    /** Runs {@code send}, now or later, when the statement may be sent. {@link #release} must be called after its end. */
     void submit(int priority, Runnable send) {
         queue.add(new WaitingStatement(priority, nextArrivalOrder++, send));
         sendWaiting();
     }
 
-    /** A statement that was let through has ended. */
+    /**
+     * Records the end of a statement that was sent.
+     *
+     * @param refused whether the database had no capacity for the statement
+     */
     void release(boolean refused) {
         limit.release(refused);
         sendWaiting();
@@ -35,7 +39,7 @@
         sendWaiting();
     }
 
-    /** Statements that wait or are in flight. */
+    /** Number of statements that wait or are in flight. */
     int outstanding() {
         return queue.size() + limit.inFlight();
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRouter.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRouter.java
@@ -22,38 +22,38 @@
 import org.hornbeamspread.core.sql.SqlConnector;
 
 /**
- * Sends each unit to the instance that should run it.
+ * Routes each unit, which is a statement or a transaction, to an instance.
  *
- * <p>Writes, plain transactions and the reads of primary routes go to the primary, which proves to lead by accepting a plain
- * transaction. Other reads go to whichever instance is expected to end first; the position that its log must hold comes from
- * {@link org.hornbeamspread.core.placement.PositionSamples} and the session's own commits, and the instance checks it. A unit
- * for which no instance is known waits a little, since a promotion may be under way, and is then refused as not run. Used on
- * the engine's thread.
+ * <p>Writes, read-write transactions and the reads of primary routes go to the primary, which proves its role by accepting a
+ * read-write transaction. Other reads go to the instance with the earliest expected completion. The position that the log of
+ * that instance must contain comes from {@link org.hornbeamspread.core.placement.PositionSamples} and from the session's own
+ * commits; the instance validates that its log contains the position. A unit without a usable instance waits for a short time,
+ * since a promotion may be in progress, and is then refused as not run. Confined to the engine's thread.
  */
 final class StatementRouter {
-    /** Kept free of each database's connections for control. */
+    /** Connections of each database that are reserved for control. */
     private static final int RESERVED_CONNECTIONS = 3;
 
-    /** Taken off an allowance for the rounding of ages. */
+    /** Subtracted from a staleness allowance, since ages are rounded. */
     private static final long STALENESS_MARGIN_MS = 100;
 
-    /** A sample older than this part of the allowance is renewed ahead of need. */
+    /** Samples older than this fraction of the staleness allowance are refreshed before they expire. */
     private static final double SAMPLE_REFRESH_FRACTION = 0.5;
 
     private static final long PARKED_RETRY_INTERVAL_MS = 25;
 
-    /** A promoted instance begins to lead some hundred ms after the order. */
+    /** A promoted instance becomes the primary about a hundred ms after the promotion request. */
     private static final long NOT_PRIMARY_BACKOFF_MS = 60;
 
-    /** Between two looks for silent instances and for units that can't start in time any more. */
+    /** Interval of the checks for silent instances and for units that can no longer start in time. */
     private static final long CHECK_INTERVAL_MS = 50;
 
-    /** A look that comes so much later than planned shows that this proxy itself stood still. */
+    /** A check that runs later than scheduled by more than this time shows that this proxy itself was paused. */
     private static final long LOCAL_PAUSE_THRESHOLD_MS = 150;
 
     private static final int MAX_ATTEMPTS = 6;
 
-    /** A departing primary without a successor serves until shortly before the limit for new work. */
+    /** A draining primary without a successor serves until shortly before the time limit for new work. */
     private static final long DRAINING_PRIMARY_LIMIT_MS = 4_000;
 
     private static final double SAME_DOMAIN_RTT_MS = 0.5;
@@ -72,7 +72,7 @@
     private final Map<String, ServiceState> serviceStates = new HashMap<>();
     private final Map<String, Long> drainingSinceMs = new HashMap<>();
 
-    /** Instances that said they are not the primary, and until when they are not asked again. */
+    /** Until when an instance that answered that it is not the primary gets no further requests for the primary. */
     private final Map<String, Long> notPrimaryUntilMs = new HashMap<>();
 
     private final Deque<Unit> parked = new ArrayDeque<>();
@@ -83,7 +83,7 @@
     private boolean controlReachable = true;
     private PrimaryProbe probe;
 
-    /** Asks a primary for its position; the answer goes to {@link ServiceState#onPrimaryProof}. */
+    /** Requests the primary's log position; the response is passed to {@link ServiceState#onPrimaryProof}. */
     interface PrimaryProbe {
         void requestPosition(String service);
     }
@@ -93,8 +93,8 @@
             Map<String, String> regionByDomain,
             SqlConnector connector,
             Clock clock,
-            ClockJumpDetector guard,
-            ScheduledExecutorService loop,
+            ClockJumpDetector clockJumpDetector,
+            ScheduledExecutorService executor,
             EventLog events,
             SessionMetrics metrics) {
         this.metrics = metrics;
@@ -102,8 +102,8 @@
         this.regionByDomain = Map.copyOf(regionByDomain);
         this.connector = connector;
         this.clock = clock;
-        this.clockJumpDetector = guard;
-        this.executor = loop;
+        this.clockJumpDetector = clockJumpDetector;
+        this.executor = executor;
         this.events = events;
     }
 
@@ -119,23 +119,23 @@
         return serviceStates.computeIfAbsent(name, key -> new ServiceState());
     }
 
-    /** Takes a newer view over. */
+    /** Applies a newer view. */
     void onView(SystemView next) {
         view = next;
         notPrimaryUntilMs.clear();
-        Map<String, DatabaseInstance> present = new HashMap<>();
-        next.instances().forEach(instance -> present.put(instance.instanceId(), instance));
-        drainingSinceMs.keySet().removeIf(id -> !present.containsKey(id));
-        for (InstanceConnectionPool link : List.copyOf(pools.values())) {
-            DatabaseInstance now = present.get(link.instance().instanceId());
-            boolean same = now != null
-                    && now.bornMs() == link.instance().bornMs()
-                    && now.address().equals(link.instance().address());
-            if (!same) {
-                pools.remove(link.instance().instanceId());
-                link.close();
+        Map<String, DatabaseInstance> currentInstances = new HashMap<>();
+        next.instances().forEach(instance -> currentInstances.put(instance.instanceId(), instance));
+        drainingSinceMs.keySet().removeIf(id -> !currentInstances.containsKey(id));
+        for (InstanceConnectionPool pool : List.copyOf(pools.values())) {
+            DatabaseInstance current = currentInstances.get(pool.instance().instanceId());
+            boolean sameIncarnation = current != null
+                    && current.bornMs() == pool.instance().bornMs()
+                    && current.address().equals(pool.instance().address());
+            if (!sameIncarnation) {
+                pools.remove(pool.instance().instanceId());
+                pool.close();
             } else {
-                link.resize(connectionLimit(now), next.proxyCount());
+                pool.resize(connectionLimit(current), next.proxyCount());
             }
         }
         for (DatabaseInstance instance : next.instances()) {
@@ -146,44 +146,44 @@
         retryParked();
     }
 
-    /** An instance answered that it is not the primary. */
+    /** Records the answer of an instance that it is not the primary. */
     void onNotPrimary(String instanceId) {
-        Long deniedMs = notPrimaryUntilMs.put(instanceId, clock.millis() + NOT_PRIMARY_BACKOFF_MS);
-        if (deniedMs == null) {
+        Long previousUntilMs = notPrimaryUntilMs.put(instanceId, clock.millis() + NOT_PRIMARY_BACKOFF_MS);
+        if (previousUntilMs == null) {
             events.record("not_primary", "instance", instanceId, "pause_ms", NOT_PRIMARY_BACKOFF_MS);
         }
-        InstanceConnectionPool link = pools.get(instanceId);
-        if (link != null) {
-            serviceState(link.instance().service()).onNotPrimary(clock.millis());
+        InstanceConnectionPool pool = pools.get(instanceId);
+        if (pool != null) {
+            serviceState(pool.instance().service()).onNotPrimary(clock.millis());
         }
     }
 
-    /** Whether control is heard, and the view with it up to date. */
-    void onControlReachable(boolean heard) {
-        controlReachable = heard;
-        if (heard) {
+    /** Records whether control is reachable, and the view therefore up to date. */
+    void onControlReachable(boolean reachable) {
+        controlReachable = reachable;
+        if (reachable) {
             serviceStates.values().forEach(ServiceState::clearNotPrimary);
         }
     }
 
-    /** An instance proved to be the primary. */
-    void onPrimaryProof(DatabaseInstance instance, long askedMs, long askedEpoch, LogPosition position) {
+    /** Records that an instance proved to be the primary. */
+    void onPrimaryProof(DatabaseInstance instance, long requestedAtMs, long requestEpoch, LogPosition position) {
         notPrimaryUntilMs.remove(instance.instanceId());
         ServiceState state = serviceState(instance.service());
         state.updateClockEpoch(clockJumpDetector.epoch());
-        state.onPrimaryProof(instance.instanceId(), askedMs, askedEpoch, position);
+        state.onPrimaryProof(instance.instanceId(), requestedAtMs, requestEpoch, position);
         if (!parked.isEmpty()) {
             retryParked();
         }
     }
 
-    /** Places a unit whose last place could not run it. */
+    /** Routes a unit again that the previous instance could not run. */
     void retry(Unit unit, RetryReason reason) {
         metrics.onRetry(reason);
         route(unit);
     }
 
-    /** Places a unit. */
+    /** Routes a unit. */
     void route(Unit unit) {
         if (unit.ended) {
             return;
@@ -192,9 +192,9 @@
             unit.refuse(RefusalReason.ATTEMPTS_SPENT);
             return;
         }
-        Optional<InstanceConnectionPool> link = unit.needsPrimary ? primaryPool(unit) : readPool(unit);
-        if (link.isPresent()) {
-            link.get().acquire(unit);
+        Optional<InstanceConnectionPool> pool = unit.needsPrimary ? primaryPool(unit) : readPool(unit);
+        if (pool.isPresent()) {
+            pool.get().acquire(unit);
             scheduleCheck();
         } else if (!unit.ended) {
             park(unit);
@@ -205,25 +205,25 @@
         String service = unit.route.service();
         String provenId = serviceState(service).provenPrimaryId();
         Optional<DatabaseInstance> announced = view.primary(service).filter(this::mayBePrimary);
-        // The primary before a promotion may lead on until it takes effect; what it acknowledged meanwhile would be
-        // lost.
-        boolean superseded = controlReachable && view.hasPromotedInstance(service);
+        // The previous primary stays the primary until the promotion takes effect, but writes that it
+        // acknowledges in that time would be lost.
+        boolean promotionKnown = controlReachable && view.hasPromotedInstance(service);
         Optional<DatabaseInstance> proven = view.instances(service).stream()
-                .filter(instance -> !superseded)
+                .filter(instance -> !promotionKnown)
                 .filter(instance -> instance.instanceId().equals(provenId))
                 .filter(this::mayBePrimary)
                 .findFirst();
-        Optional<InstanceConnectionPool> link =
+        Optional<InstanceConnectionPool> pool =
                 announced.or(() -> proven).or(() -> possiblePrimary(service)).map(this::pool);
-        if (link.isPresent() && !link.get().isReachable() && link.get().hasConnectFailed()) {
+        if (pool.isPresent() && !pool.get().isReachable() && pool.get().hasConnectFailed()) {
             serviceState(service).onPrimaryUnreachable(clock.millis());
         }
-        return link.filter(InstanceConnectionPool::isReachable);
+        return pool.filter(InstanceConnectionPool::isReachable);
     }
 
     /**
-     * Some instance that has not denied to lead a moment ago. Without control nobody tells who was promoted; whoever is asked proves
-     * it or refuses, and nothing ran.
+     * While control is unreachable, any reachable instance that has not recently answered that it is not the primary: the proxy
+     * receives no promotions then. The instance proves to be the primary, or refuses the unit, which then did not run.
      */
     private Optional<DatabaseInstance> possiblePrimary(String service) {
         if (controlReachable) {
@@ -235,15 +235,15 @@
                 .findFirst();
     }
 
-    /** A position that control was told by a proven primary, no older than the time given. */
-    void onSharedPosition(String service, long askedMs, long askedEpoch, LogPosition position) {
+    /** Adds a position that control received from a proven primary at or after the given time. */
+    void onSharedPosition(String service, long requestedAtMs, long requestEpoch, LogPosition position) {
         ServiceState state = serviceState(service);
         state.updateClockEpoch(clockJumpDetector.epoch());
-        state.addSample(askedMs, askedEpoch, position);
+        state.addSample(requestedAtMs, requestEpoch, position);
         retryParked();
     }
 
-    /** Whether a service's primary has been out of reach, or not to be found, for longer than a time. */
+    /** Whether the primary of any service has been unreachable or unknown for longer than a time. */
     boolean lacksPrimary(long longerThanMs) {
         long nowMs = clock.millis();
         return serviceStates.values().stream()
@@ -251,16 +251,16 @@
                         state.withoutPrimarySinceMs() > 0 && nowMs - state.withoutPrimarySinceMs() > longerThanMs);
     }
 
-    /** Whether reads wait for positions that this proxy can't ask for itself. */
+    /** Whether reads wait for positions that this proxy cannot request itself. */
     boolean wantsPositions() {
         return serviceStates.values().stream().anyMatch(state -> state.positionsWanted);
     }
 
     private boolean mayBePrimary(DatabaseInstance instance) {
         Long sinceMs = drainingSinceMs.get(instance.instanceId());
-        boolean departed = sinceMs != null && clock.millis() - sinceMs > DRAINING_PRIMARY_LIMIT_MS;
-        boolean denied = notPrimaryUntilMs.getOrDefault(instance.instanceId(), Long.MIN_VALUE) > clock.millis();
-        return !departed && !denied;
+        boolean drainingTooLong = sinceMs != null && clock.millis() - sinceMs > DRAINING_PRIMARY_LIMIT_MS;
+        boolean notPrimary = notPrimaryUntilMs.getOrDefault(instance.instanceId(), Long.MIN_VALUE) > clock.millis();
+        return !drainingTooLong && !notPrimary;
     }
 
     private Optional<InstanceConnectionPool> readPool(Unit unit) {
@@ -270,9 +270,9 @@
         long allowanceMs = Math.max(0, unit.route.maxStalenessMs() - STALENESS_MARGIN_MS);
         Optional<Sample> sample = state.positionSamples.oldestWithin(unit.arrivedMs, allowanceMs);
         Optional<Sample> latest = state.positionSamples.latest();
-        boolean ageing = latest.isEmpty()
+        boolean refreshDue = latest.isEmpty()
                 || clock.millis() - latest.get().requestedAtMs() > SAMPLE_REFRESH_FRACTION * allowanceMs;
-        if (ageing) {
+        if (refreshDue) {
             probe.requestPosition(service);
             state.positionsWanted |= state.unreachableSinceMs() > 0;
         }
@@ -286,9 +286,9 @@
         List<Candidate> candidates = new ArrayList<>();
         for (DatabaseInstance instance : view.instances(service)) {
             if (!instance.draining() && !unit.tried.contains(instance.instanceId())) {
-                InstanceConnectionPool link = pool(instance);
-                if (link.isReachable()) {
-                    candidates.add(candidate(link));
+                InstanceConnectionPool pool = pool(instance);
+                if (pool.isReachable()) {
+                    candidates.add(candidate(pool));
                 }
             }
         }
@@ -298,15 +298,15 @@
         return InstanceSelector.select(candidates).map(best -> pools.get(best.instanceId()));
     }
 
-    private Candidate candidate(InstanceConnectionPool link) {
+    private Candidate candidate(InstanceConnectionPool pool) {
         return new Candidate(
-                link.instance().instanceId(),
-                roundTripMs(link.instance()),
-                link.serviceMs(),
-                link.outstanding(),
-                link.limiter().concurrencyLimit(),
-                link.silentMs(),
-                link.laggingForMs() > 0 ? link.serviceMs() + OTHER_REGION_RTT_MS : 0);
+                pool.instance().instanceId(),
+                roundTripMs(pool.instance()),
+                pool.serviceMs(),
+                pool.outstanding(),
+                pool.limiter().concurrencyLimit(),
+                pool.silentMs(),
+                pool.laggingForMs() > 0 ? pool.serviceMs() + OTHER_REGION_RTT_MS : 0);
     }
 
     private double roundTripMs(DatabaseInstance instance) {
@@ -314,8 +314,8 @@
             return SAME_DOMAIN_RTT_MS;
         }
         String region = regionByDomain.getOrDefault(instance.failureDomain(), "");
-        boolean same = region.equals(regionByDomain.getOrDefault(failureDomain, "-"));
-        return same ? SAME_REGION_RTT_MS : OTHER_REGION_RTT_MS;
+        boolean sameRegion = region.equals(regionByDomain.getOrDefault(failureDomain, "-"));
+        return sameRegion ? SAME_REGION_RTT_MS : OTHER_REGION_RTT_MS;
     }
 
     InstanceConnectionPool pool(DatabaseInstance instance) {
@@ -325,13 +325,13 @@
                         instance, connectionLimit(instance), view.proxyCount(), connector, clock, events, this::retry));
     }
 
-    /** This proxy's part of the connections that a database takes from all of them. */
+    /** This proxy's share of the connections that a database accepts from all proxies. */
     private int connectionLimit(DatabaseInstance instance) {
-        int most = view.configuration()
+        int maxConnections = view.configuration()
                 .service(instance.service())
                 .map(RoutedService::maxConnections)
                 .orElse(0);
-        return Math.max(1, (most - RESERVED_CONNECTIONS) / Math.max(1, view.proxyCount()));
+        return Math.max(1, (maxConnections - RESERVED_CONNECTIONS) / Math.max(1, view.proxyCount()));
     }
 
     private void scheduleCheck() {
@@ -344,8 +344,8 @@
 
     private void checkPools() {
         checkScheduled = false;
-        boolean stoodStill = clock.millis() - checkScheduledAtMs > CHECK_INTERVAL_MS + LOCAL_PAUSE_THRESHOLD_MS;
-        List.copyOf(pools.values()).forEach(link -> link.check(stoodStill));
+        boolean localPause = clock.millis() - checkScheduledAtMs > CHECK_INTERVAL_MS + LOCAL_PAUSE_THRESHOLD_MS;
+        List.copyOf(pools.values()).forEach(pool -> pool.check(localPause));
         if (pools.values().stream().anyMatch(InstanceConnectionPool::needsCheck)) {
             scheduleCheck();
         }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemView.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemView.java
@@ -10,12 +10,12 @@
 import org.hornbeamspread.core.route.RouteConfiguration;
 
 /**
- * What a proxy believes of the system. Immutable.
+ * A proxy's view of the system: configuration, instances and primaries. Immutable.
  *
- * @param configuration in force
- * @param instances that announced themselves
+ * @param configuration the configuration in force
+ * @param instances the instances that announced themselves
  * @param promotedIds the instance that control promoted last, by service
- * @param proxies how many proxies share the connections
+ * @param proxyCount number of proxies that share the connections
  */
 public record SystemView(
         RouteConfiguration configuration,
@@ -23,21 +23,21 @@
         Map<String, String> promotedIds,
         int proxyCount,
         Map<String, Route> routesByDatabase) {
-    /** Of a proxy that has heard nothing yet. */
+    /** The view of a proxy that has not received any update from control yet. */
     public static final SystemView NONE = of(RouteConfiguration.NONE, List.of(), Map.of(), 1);
 
-    /** Builds the index of routes. */
+    /** Creates a view and its index of routes by database name. */
     public static SystemView of(
             RouteConfiguration configuration,
             List<DatabaseInstance> instances,
             Map<String, String> promotedIds,
-            int proxies) {
+            int proxyCount) {
         Map<String, Route> routes = new HashMap<>();
         configuration.routes().forEach(route -> routes.put(route.database(), route));
-        return new SystemView(configuration, List.copyOf(instances), Map.copyOf(promotedIds), proxies, routes);
+        return new SystemView(configuration, List.copyOf(instances), Map.copyOf(promotedIds), proxyCount, routes);
     }
 
-    /** Whether a configuration is known. */
+    /** Whether a configuration was received. */
     public boolean isLoaded() {
         return configuration.version() > 0;
     }
@@ -54,7 +54,10 @@
                 .toList();
     }
 
-    /** The instance most likely to lead a service: one that says so, the one that control promoted before others. */
+    /**
+     * The instance most likely to be the primary of a service: preferably the one that control promoted last, otherwise one that
+     * announced itself as primary, preferably one that is not draining.
+     */
     public Optional<DatabaseInstance> primary(String service) {
         String promotedId = promotedIds.getOrDefault(service, "");
         return instances(service).stream()
@@ -64,7 +67,7 @@
                         .thenComparing(DatabaseInstance::draining));
     }
 
-    /** Whether control has promoted an instance that is present, so that no other may lead. */
+    /** Whether control has promoted an instance that is in the view, so that no other instance may be the primary. */
     public boolean hasPromotedInstance(String service) {
         String promotedId = promotedIds.getOrDefault(service, "");
         return instances(service).stream()
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemWatch.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemWatch.java
@@ -33,26 +33,26 @@
 import org.hornbeamspread.transport.RouteMessages;
 
 /**
- * Keeps a proxy's view up to date: one question after the other to the leading control member, which answers when there is
- * news. A configuration is never replaced by an older one, nor anything by what an earlier leader says. Used on the engine's
- * thread.
+ * Keeps a proxy's view up to date by long polling: one request after the other to the control leader, which responds when
+ * something has changed. An older configuration never replaces a newer one, and updates from a leader of an earlier term are
+ * ignored. Confined to the engine's thread.
  */
 public final class SystemWatch {
-    /** Above the time for which the leader holds a question. */
+    /** Longer than the leader holds a request before it responds. */
     private static final Duration RESPONSE_TIMEOUT = Duration.ofMillis(1_300);
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(400);
     private static final long INITIAL_BACKOFF_MS = 40;
 
-    /** Of a proxy that has just started; operators run six to eight today. */
+    /** The assumed number of proxies until control reports it; operators run six to eight today. */
     private static final int INITIAL_PROXY_COUNT = 8;
 
-    /** Between two questions while positions are wanted; control asks primaries about as often. */
+    /** Poll interval while positions are wanted; control requests positions from the primaries about as often. */
     private static final long POSITIONS_POLL_INTERVAL_MS = 200;
 
     private static final long MAX_BACKOFF_MS = 400;
 
-    /** A proxy that knows nothing yet can't serve, and asks more often. */
+    /** A proxy without a configuration cannot serve, and polls more often. */
     private static final long MAX_UNLOADED_BACKOFF_MS = 80;
 
     private final String proxyId;
@@ -78,9 +78,9 @@
     private long requestEpoch;
 
     /**
-     * A watch that has not begun.
+     * Creates a watch that has not started.
      *
-     * @param seeds peer endpoints of control members, as the settings have them now
+     * @param seeds peer endpoints of control members in the current settings
      */
     public SystemWatch(
             String proxyId,
@@ -88,7 +88,7 @@
             long incarnation,
             SessionEngine engine,
             PeerTransport transport,
-            ScheduledExecutorService loop,
+            ScheduledExecutorService executor,
             Supplier<List<Endpoint>> seeds,
             Clock clock,
             EventLog events) {
@@ -98,12 +98,12 @@
         this.incarnation = incarnation;
         this.engine = engine;
         this.transport = transport;
-        this.executor = loop;
+        this.executor = executor;
         this.seeds = seeds;
         this.events = events;
     }
 
-    /** Begins. */
+    /** Starts polling. */
     public void start() {
         executor.execute(this::poll);
     }
@@ -113,7 +113,8 @@
         CompletableFuture<PeerConnection> peer = connection
                 .filter(PeerConnection::isOpen)
                 .map(CompletableFuture::completedFuture)
-                .orElseGet(() -> transport.connect(target, CONNECT_TIMEOUT, (from, request, answer) -> from.close()));
+                .orElseGet(
+                        () -> transport.connect(target, CONNECT_TIMEOUT, (from, request, responder) -> from.close()));
         peer.thenComposeAsync(
                         open -> {
                             connection = Optional.of(open);
@@ -121,9 +122,9 @@
                         },
                         executor)
                 .whenCompleteAsync(
-                        (answer, error) -> {
+                        (response, error) -> {
                             if (error == null) {
-                                onUpdate(answer.getSystemUpdate());
+                                onUpdate(response.getSystemUpdate());
                             } else {
                                 onFailure(target, FailureException.of(error));
                             }
@@ -132,14 +133,14 @@
     }
 
     private Endpoint nextPeer() {
-        Set<Endpoint> known = new LinkedHashSet<>(controlPeers);
-        known.addAll(seeds.get());
-        List<Endpoint> all = new ArrayList<>(known);
+        Set<Endpoint> endpoints = new LinkedHashSet<>(controlPeers);
+        endpoints.addAll(seeds.get());
+        List<Endpoint> all = new ArrayList<>(endpoints);
         return all.get(Math.floorMod(nextPeerIndex++ + (int) incarnation, all.size()));
     }
 
     private Envelope buildRequest() {
-        WatchSystem.Builder question = WatchSystem.newBuilder()
+        WatchSystem.Builder request = WatchSystem.newBuilder()
                 .setProxyId(proxyId)
                 .setIncarnation(incarnation)
                 .setFailureDomain(failureDomain)
@@ -149,14 +150,14 @@
                 .setPositionsWanted(engine.wantsPositions())
                 .setDraining(!engine.isReady() && engine.view().isLoaded());
         engine.sightings()
-                .forEach(seen -> question.addObservations(PrimaryObservation.newBuilder()
-                        .setInstanceId(seen.instanceId())
-                        .setSinceSuccessMs((int) seen.sinceProofMs())
-                        .setOldestWriteMs((int) seen.oldestWriteMs())
-                        .setUnreachableMs((int) seen.unreachableMs())));
+                .forEach(sighting -> request.addObservations(PrimaryObservation.newBuilder()
+                        .setInstanceId(sighting.instanceId())
+                        .setSinceSuccessMs((int) sighting.sinceProofMs())
+                        .setOldestWriteMs((int) sighting.oldestWriteMs())
+                        .setUnreachableMs((int) sighting.unreachableMs())));
         requestedAtMs = clock.millis();
         requestEpoch = engine.clockEpoch();
-        return Envelope.newBuilder().setWatchSystem(question).build();
+        return Envelope.newBuilder().setWatchSystem(request).build();
     }
 
     private void onUpdate(SystemUpdate update) {
@@ -174,8 +175,9 @@
         }
         leaderTerm = update.getLeaderTerm();
         systemVersion = update.getSystemVersion();
-        boolean newer = update.hasConfiguration() && update.getConfiguration().getVersion() > configuration.version();
-        if (newer) {
+        boolean newConfiguration =
+                update.hasConfiguration() && update.getConfiguration().getVersion() > configuration.version();
+        if (newConfiguration) {
             configuration = RouteMessages.configuration(update.getConfiguration());
             events.record(
                     "configuration_in_force",
@@ -189,18 +191,18 @@
         if (update.getChanged()) {
             controlPeers = update.getControlPeersList();
             onViewChanged(update);
-        } else if (newer
+        } else if (newConfiguration
                 || proxyCountEstimate.current(clock.millis()) != engine.view().proxyCount()) {
             SystemView view = engine.view();
             engine.onView(SystemView.of(
                     configuration, view.instances(), view.promotedIds(), proxyCountEstimate.current(clock.millis())));
         }
-        for (PrimaryPosition shared : update.getPositionsList()) {
+        for (PrimaryPosition primaryPosition : update.getPositionsList()) {
             engine.onSharedPosition(
-                    shared.getService(),
-                    requestedAtMs - shared.getAgeMs(),
+                    primaryPosition.getService(),
+                    requestedAtMs - primaryPosition.getAgeMs(),
                     requestEpoch,
-                    Envelopes.position(shared.getPosition()));
+                    Envelopes.position(primaryPosition.getPosition()));
         }
         if (engine.wantsPositions()) {
             executor.schedule(this::poll, POSITIONS_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -250,7 +252,7 @@
             return;
         }
         executor.schedule(this::poll, backoffMs, TimeUnit.MILLISECONDS);
-        long longestMs = engine.view().isLoaded() ? MAX_BACKOFF_MS : MAX_UNLOADED_BACKOFF_MS;
-        backoffMs = Math.min(longestMs, backoffMs * 2);
+        long maxBackoffMs = engine.view().isLoaded() ? MAX_BACKOFF_MS : MAX_UNLOADED_BACKOFF_MS;
+        backoffMs = Math.min(maxBackoffMs, backoffMs * 2);
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/ConnectionLimitTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/ConnectionLimitTest.java
@@ -10,13 +10,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Databases that still hold the connections of machines that lost power, and have room for few. Found by fleetbench run ujaas-core
- * scale-2: proxies that had two of four connections left them idle for a second at a time, and refused for want of a primary.
+ * A database that still holds the connections of machines that lost power accepts only a few new ones. Proxies must use the
+ * connections that they do get: in fleetbench run ujaas-core scale-2, proxies with two of four connections left them idle for a
+ * second at a time, and refused requests with NO_PRIMARY.
  */
 final class ConnectionLimitTest {
     private static final int INTERVAL_MS = 10;
 
-    /** Several at once need more connections than there are. */
+    /** Writes sent at the same time; more than there are connections. */
     private static final int CONCURRENT_WRITES = 3;
 
     private final EngineHarness harness = new EngineHarness();
@@ -59,7 +60,10 @@
         assertThat(harness.primary.openConnections.size()).isAtLeast(6);
     }
 
-    /** What a database holds for a proxy that loses power takes the room of those that return. */
+    /**
+     * A database keeps the connections of a proxy that loses power for some time, and they use up the connection limit that the
+     * proxies need when they restart.
+     */
     @Test
     void recentlyUnusedConnectionsAreClosed() {
         harness.primary.serviceMs = 40;
@@ -85,9 +89,9 @@
         return clients;
     }
 
-    /** In steps that are no jump of the clock. */
-    private void runInSteps(long forMs) {
-        for (long ms = 0; ms < forMs; ms += INTERVAL_MS) {
+    /** Advances the time in steps too small to count as a clock jump or a local pause. */
+    private void runInSteps(long durationMs) {
+        for (long ms = 0; ms < durationMs; ms += INTERVAL_MS) {
             harness.run(INTERVAL_MS);
         }
     }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/FakeDatabase.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/FakeDatabase.java
@@ -26,26 +26,31 @@
 import org.hornbeamspread.core.sql.SqlStatement;
 import org.hornbeamspread.core.sql.TransactionState;
 
-/** A database on the engine's executor: roles, positions, transactions, values, prepared names, and switches for faults. */
+/**
+ * A simulated database on the engine's executor, with roles, log positions, transactions, session values, prepared statements
+ * and injected faults.
+ */
 final class FakeDatabase {
     static final String SERVICE = "ledger";
 
     final String id;
     boolean primary;
     boolean reachable = true;
+
+    /** Whether statements get no response; connection attempts still succeed. */
     boolean statementsHang;
 
-    /** Answers nothing, not even attempts to connect. */
+    /** Whether neither statements nor connection attempts get a response. */
     boolean unresponsive;
 
     long logEntries = 10;
     int connectionLimit = Integer.MAX_VALUE;
     long serviceMs = 10;
 
-    /** What a statement meets; no error by default. */
+    /** The error that a statement gets; none by default. */
     Function<SqlRequest, Optional<SqlError>> injectedError = request -> Optional.empty();
 
-    /** Everything that ran, as the client's id and what the connection held. */
+    /** Every executed statement, with the client's request id and the session values of the connection. */
     final List<ExecutedStatement> executedStatements = new ArrayList<>();
 
     final List<Connection> openConnections = new ArrayList<>();
@@ -60,9 +65,9 @@
     }
 
     /**
-     * A statement that ran.
+     * An executed statement.
      *
-     * @param transaction the ids that ran in its transaction so far, itself included; empty outside of one
+     * @param transactionIds request ids executed in its transaction so far, including this one; empty outside of a transaction
      */
     record ExecutedStatement(
             String id,
@@ -118,7 +123,7 @@
         private boolean readWrite;
         private boolean closed;
 
-        /** Nothing that was sent since passes any more. */
+        /** Whether a fault has hit the connection; statements sent from then on never get a response. */
         private boolean hung;
 
         private long busyUntilMs;
@@ -136,7 +141,7 @@
                 pendingResults.add(result);
                 long nowMs = executor.nowMs();
                 busyUntilMs = Math.max(busyUntilMs, nowMs) + (isClientRequest(request) ? serviceMs : 1);
-                executor.schedule(() -> answer(request, result), busyUntilMs - nowMs, TimeUnit.MILLISECONDS);
+                executor.schedule(() -> respond(request, result), busyUntilMs - nowMs, TimeUnit.MILLISECONDS);
             }
             return results;
         }
@@ -153,20 +158,20 @@
             }
             closed = true;
             openConnections.remove(this);
-            List<CompletableFuture<SqlResult>> lost = List.copyOf(pendingResults);
+            List<CompletableFuture<SqlResult>> unanswered = List.copyOf(pendingResults);
             pendingResults.clear();
-            executor.execute(() -> lost.forEach(
+            executor.execute(() -> unanswered.forEach(
                     result -> result.completeExceptionally(new FailureException(FailureType.CONNECTION_LOST, id))));
         }
 
-        private void answer(SqlRequest request, CompletableFuture<SqlResult> result) {
+        private void respond(SqlRequest request, CompletableFuture<SqlResult> result) {
             hung |= statementsHang || unresponsive;
             if (closed || hung) {
                 return;
             }
-            SqlResult answer = execute(request);
+            SqlResult response = execute(request);
             pendingResults.remove();
-            result.complete(answer);
+            result.complete(response);
         }
 
         private SqlResult execute(SqlRequest request) {
@@ -186,9 +191,9 @@
             if (statement instanceof SqlStatement.Begin begin) {
                 return begin(begin);
             } else if (statement instanceof SqlStatement.Rollback) {
-                boolean open = state != TransactionState.IDLE;
+                boolean inTransaction = state != TransactionState.IDLE;
                 endTransaction();
-                return open ? success() : failure(SqlError.MALFORMED);
+                return inTransaction ? success() : failure(SqlError.MALFORMED);
             } else if (statement instanceof SqlStatement.SetValue set) {
                 values.put(set.name(), set.value());
                 return success();
@@ -223,20 +228,20 @@
             if (statement instanceof SqlStatement.Execute execute && !prepared.containsKey(execute.name())) {
                 return failure(SqlError.UNKNOWN_PREPARED);
             }
-            boolean inside = state == TransactionState.OPEN;
-            if (inside) {
+            boolean inTransaction = state == TransactionState.OPEN;
+            if (inTransaction) {
                 transactionIds.add(request.id());
             }
             executedStatements.add(new ExecutedStatement(
                     request.id(),
                     statement,
-                    inside ? List.copyOf(transactionIds) : List.of(),
+                    inTransaction ? List.copyOf(transactionIds) : List.of(),
                     Map.copyOf(values),
                     primary));
             if (statement instanceof SqlStatement.Commit) {
                 endTransaction();
                 logEntries++;
-            } else if (write && !inside) {
+            } else if (write && !inTransaction) {
                 logEntries++;
             }
             return new SqlResult(List.of("row"), "signed-" + id, Optional.empty(), "", state, Optional.of(position()));
@@ -252,8 +257,8 @@
         }
 
         private SqlResult failure(SqlError error) {
-            boolean keeps = error == SqlError.BUSY || error == SqlError.REPLICA_LAGGING;
-            if (state == TransactionState.OPEN && !keeps) {
+            boolean transactionContinues = error == SqlError.BUSY || error == SqlError.REPLICA_LAGGING;
+            if (state == TransactionState.OPEN && !transactionContinues) {
                 state = TransactionState.FAILED;
             }
             return new SqlResult(List.of(), "-", Optional.of(error), id, state, Optional.of(position()));
@@ -268,9 +273,9 @@
         }
     }
 
-    static Set<String> requestIds(List<ExecutedStatement> runs) {
+    static Set<String> requestIds(List<ExecutedStatement> statements) {
         Set<String> ids = new TreeSet<>();
-        runs.forEach(run -> ids.add(run.id()));
+        statements.forEach(statement -> ids.add(statement.id()));
         return ids;
     }
 }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/ManualExecutor.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/ManualExecutor.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.hornbeamspread.core.misc.ManualClock;
 
-/** Runs tasks in order of their time, moving a paused clock on. */
+/** Runs scheduled tasks in order of their due time, and advances a manual clock to each. */
 final class ManualExecutor extends AbstractExecutorService implements ScheduledExecutorService {
     private final ManualClock clock;
     private final PriorityQueue<Task<?>> tasks = new PriorityQueue<>(
@@ -29,9 +29,9 @@
         return clock.millis();
     }
 
-    /** Runs everything that is due within a time. */
-    void run(long forMs) {
-        long endMs = clock.millis() + forMs;
+    /** Runs every task that is due within a time, and advances the clock by that time. */
+    void run(long durationMs) {
+        long endMs = clock.millis() + durationMs;
         while (!tasks.isEmpty() && tasks.peek().dueAtMs <= endMs) {
             Task<?> task = tasks.remove();
             clock.advance(Duration.ofMillis(Math.max(0, task.dueAtMs - clock.millis())));
@@ -58,12 +58,12 @@
     }
 
     @Override
-    public ScheduledFuture<?> scheduleAtFixedRate(Runnable command, long first, long period, TimeUnit unit) {
+    public ScheduledFuture<?> scheduleAtFixedRate(Runnable command, long initialDelay, long period, TimeUnit unit) {
         throw new UnsupportedOperationException();
     }
 
     @Override
-    public ScheduledFuture<?> scheduleWithFixedDelay(Runnable command, long first, long delay, TimeUnit unit) {
+    public ScheduledFuture<?> scheduleWithFixedDelay(Runnable command, long initialDelay, long delay, TimeUnit unit) {
         throw new UnsupportedOperationException();
     }
 
@@ -91,7 +91,7 @@
     }
 
     @Override
-    public <T> List<java.util.concurrent.Future<T>> invokeAll(Collection<? extends Callable<T>> all) {
+    public <T> List<java.util.concurrent.Future<T>> invokeAll(Collection<? extends Callable<T>> callables) {
         throw new UnsupportedOperationException();
     }
 
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/UnresponsiveInstanceTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/UnresponsiveInstanceTest.java
@@ -12,15 +12,15 @@
 import org.hornbeamspread.proxy.session.EngineHarness.Client;
 import org.junit.jupiter.api.Test;
 
-/** Work that arrives steadily while an instance answers nothing: neither statements nor attempts to connect. */
+/** Requests arrive at a steady rate while an instance responds to neither statements nor connection attempts. */
 final class UnresponsiveInstanceTest {
     private static final int INTERVAL_MS = 10;
 
     private final EngineHarness harness = new EngineHarness();
 
     /**
-     * Found by fleetbench run ujaas-core trouble-1 (a cut between proxies and instances): reads queued at the dark instances, whose
-     * measured times stayed short, and were refused as waiting too long while another instance idled.
+     * Reads must not queue at unresponsive instances, whose measured service times stay short, and be refused with WAIT_TOO_LONG
+     * while another instance is idle. Fleetbench run ujaas-core trouble-1, a network partition between proxies and instances.
      */
     @Test
     void readsAreRoutedToResponsiveInstances() {
@@ -59,7 +59,7 @@
         client.replies.forEach(reply -> assertThat(reply.isSuccess()).isTrue());
     }
 
-    /** Until its timeout a write may have run; it is neither repeated nor denied. */
+    /** A write that was sent may have run, so the proxy neither retries it nor reports an outcome before the timeout. */
     @Test
     void writeSentToAnUnresponsiveInstanceIsNotRetried() {
         sendAtIntervals(EngineHarness.TOPUP, 20);
@@ -72,7 +72,10 @@
         assertThat(client.last().error()).hasValue(SqlError.IN_DOUBT);
     }
 
-    /** A primary is dark for seven seconds; each unit that found out held a connection for the time of an attempt. */
+    /**
+     * The primary is unresponsive for seven seconds. Writes must not each hold a connection slot for the time of a failing
+     * connection attempt.
+     */
     @Test
     void writesAreRefusedQuicklyWhileThePrimaryIsUnresponsive() {
         sendAtIntervals(EngineHarness.TOPUP, 20);
@@ -84,7 +87,10 @@
         clients.forEach(client -> assertThat(client.waitedMs()).isAtMost(200));
     }
 
-    /** The times of attempts in vain were taken for the database's pace, and refused work for seconds after its return. */
+    /**
+     * The durations of failed connection attempts must not count as service times, which would refuse writes for seconds after
+     * the primary responds again.
+     */
     @Test
     void writesAreServedOnceThePrimaryRespondsAgain() {
         sendAtIntervals(EngineHarness.TOPUP, 20);
@@ -98,14 +104,14 @@
         clients.forEach(client -> assertThat(client.last().isSuccess()).isTrue());
     }
 
-    /** Units whose turn did not come in time were dropped from the queue and hung until their timeout. */
+    /** A unit that expires in the queue must be refused, not dropped silently and left to its timeout. */
     @Test
     void queuedWriteIsRefusedOnceItCannotStartInTime() {
         harness.load(2, 4, 1);
         harness.primary.serviceMs = 5;
         sendAtIntervals(EngineHarness.TOPUP, 50);
-        Client holder = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
-        holder.send("s", new Read("item"));
+        Client transactionClient = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
+        transactionClient.send("s", new Read("item"));
         harness.run(50);
         Client waiting = harness.open(EngineHarness.TOPUP).send("w", new Write("item", "5"));
         harness.run(200);
@@ -113,13 +119,13 @@
         assertThat(waiting.last().error()).hasValue(SqlError.BUSY);
     }
 
-    /** The near instance's only connection is held by a transaction whose client thinks; the others idle. */
+    /** An open transaction of an idle client holds the nearest instance's only connection; the other instances are idle. */
     @Test
     void readThatWouldWaitTooLongIsServedByAnotherInstance() {
         harness.load(2, 4, 1);
         sendAtIntervals(EngineHarness.SYNC, 20);
-        Client holder = harness.open(EngineHarness.SYNC).send("b", new Begin(true));
-        holder.send("s", new Read("item"));
+        Client transactionClient = harness.open(EngineHarness.SYNC).send("b", new Begin(true));
+        transactionClient.send("s", new Read("item"));
         harness.run(50);
         Client client = harness.open(EngineHarness.SYNC).send("r", new Read("item"));
         runInSteps(700);
@@ -127,9 +133,9 @@
         assertThat(client.last().isSuccess()).isTrue();
     }
 
-    /** In steps that are no jump of the clock. */
-    private void runInSteps(long forMs) {
-        for (long ms = 0; ms < forMs; ms += INTERVAL_MS) {
+    /** Advances the time in steps too small to count as a clock jump or a local pause. */
+    private void runInSteps(long durationMs) {
+        for (long ms = 0; ms < durationMs; ms += INTERVAL_MS) {
             harness.run(INTERVAL_MS);
         }
     }
