--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SingleStatement.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/AutocommitStatement.java
@@ -18,39 +18,39 @@
  * proves that it did not run. The reads of primary routes run inside a plain transaction of the proxy's own, which a database
  * that has lost the lead refuses.
  */
-final class SingleStatement implements Operation, Unit.Owner {
+final class AutocommitStatement implements SessionOperation, ConnectionRequest.Listener {
     private final SessionContext context;
     private final ClientSession session;
     private final Route route;
     private final ForwardedStatement statement;
-    private final Unit unit;
-    private Optional<Lease> lease = Optional.empty();
+    private final ConnectionRequest connectionRequest;
+    private Optional<ConnectionLease> lease = Optional.empty();
     private long sentMs;
     private long sentEpoch;
     private boolean sent;
     private boolean timedOut;
-    private boolean ended;
+    private boolean completed;
 
-    SingleStatement(SessionContext context, ClientSession session, Route route, ForwardedStatement statement) {
+    AutocommitStatement(SessionContext context, ClientSession session, Route route, ForwardedStatement statement) {
         this.context = context;
         this.session = session;
         this.route = route;
         this.statement = statement;
-        this.unit = new Unit(
-                context.nextUnitId(),
+        this.connectionRequest = new ConnectionRequest(
+                context.nextConnectionRequestId(),
                 statement.request().id(),
                 route,
                 isWrite() || route.kind() == RouteKind.PRIMARY,
-                session.floor(route.service()),
+                session.minPosition(route.service()),
                 session.values(),
                 context.nowMs(),
-                context.startByMs(route),
+                context.startDeadlineMs(route),
                 this);
     }
 
     @Override
     public void start() {
-        context.placement().place(unit);
+        context.placement().place(connectionRequest);
     }
 
     @Override
@@ -59,45 +59,45 @@
         if (lease.isPresent() && sent) {
             lease.get().discard();
         } else {
-            lease.ifPresent(Lease::discard);
-            unit.cancel();
+            lease.ifPresent(ConnectionLease::discard);
+            connectionRequest.cancel();
             onRefused(RefusalReason.NOT_SENT_IN_TIME);
         }
     }
 
     @Override
-    public void abandon() {
-        ended = true;
+    public void onClientDisconnected() {
+        completed = true;
         if (lease.isEmpty()) {
-            unit.cancel();
+            connectionRequest.cancel();
         }
     }
 
     @Override
     public void onRefused(RefusalReason reason) {
         context.onRefused(reason);
-        end(SqlResult.failure(SqlError.BUSY, "", TransactionState.IDLE), "", reason.name());
+        complete(SqlResult.failure(SqlError.BUSY, "", TransactionState.IDLE), "", reason.name());
     }
 
     @Override
-    public void onLease(Lease granted) {
-        if (ended) {
+    public void onLease(ConnectionLease granted) {
+        if (completed) {
             granted.release();
             return;
         }
         lease = Optional.of(granted);
         if (!isWrite()) {
-            granted.setRepeatable(true);
+            granted.setRetryable(true);
         }
         sentMs = context.nowMs();
-        sentEpoch = context.epoch();
+        sentEpoch = context.clockEpoch();
         sent = false;
         if (isWrite()) {
             send(granted, statement.request(), List.of());
-        } else if (unit.after.isPresent()) {
-            send(granted, statement.request().requiringPosition(unit.after.get()), List.of());
+        } else if (connectionRequest.requiredPosition.isPresent()) {
+            send(granted, statement.request().requiringPosition(connectionRequest.requiredPosition.get()), List.of());
         } else {
-            beginGuard(granted);
+            beginReadWriteTransaction(granted);
         }
     }
 
@@ -105,7 +105,7 @@
         return statement.kind() == ForwardedStatement.Kind.WRITE;
     }
 
-    private void beginGuard(Lease granted) {
+    private void beginReadWriteTransaction(ConnectionLease granted) {
         granted.connection()
                 .send(List.of(SqlRequest.internal(new SqlStatement.Begin(false))))
                 .get(0)
@@ -114,7 +114,7 @@
                         onResult(granted, begun, error);
                     } else {
                         onProof(granted, begun);
-                        if (ended) {
+                        if (completed) {
                             granted.discard();
                             return;
                         }
@@ -124,48 +124,49 @@
                 });
     }
 
-    private void send(Lease granted, SqlRequest request, List<SqlRequest> behind) {
-        StatementRun.send(
+    private void send(ConnectionLease granted, SqlRequest request, List<SqlRequest> behind) {
+        StatementSender.send(
                 granted,
                 session,
                 request,
-                statement.shape().orElse(null),
+                statement.preparedDefinition().orElse(null),
                 behind,
                 route.priority(),
-                () -> onSend(granted),
+                () -> beforeSend(granted),
                 (result, error) -> onResult(granted, result, error));
     }
 
-    private boolean onSend(Lease granted) {
-        if (ended) {
+    private boolean beforeSend(ConnectionLease granted) {
+        if (completed) {
             granted.discard();
             return false;
         }
         if (isWrite() && !granted.link().isReachable()) {
             granted.discard();
             lease = Optional.empty();
-            onLost(granted.instance().instanceId(), new FailureException(FailureType.CONNECTION_LOST, "silent"));
+            onConnectionLost(
+                    granted.instance().instanceId(), new FailureException(FailureType.CONNECTION_LOST, "silent"));
             return false;
         }
         sent = granted.connection().isOpen();
         sentMs = context.nowMs();
-        sentEpoch = context.epoch();
+        sentEpoch = context.clockEpoch();
         if (isWrite()) {
-            context.placement().service(route.service()).writesSentMs.put(unit.id, sentMs);
+            context.placement().service(route.service()).writesSentMs.put(connectionRequest.id, sentMs);
         }
         return true;
     }
 
-    private void onResult(Lease granted, SqlResult result, Throwable error) {
-        context.placement().service(route.service()).writesSentMs.remove(unit.id);
+    private void onResult(ConnectionLease granted, SqlResult result, Throwable error) {
+        context.placement().service(route.service()).writesSentMs.remove(connectionRequest.id);
         lease = Optional.empty();
         String instanceId = granted.instance().instanceId();
         if (error != null) {
             granted.discard();
-            onLost(instanceId, FailureException.of(error));
+            onConnectionLost(instanceId, FailureException.of(error));
             return;
         }
-        boolean guarded = !isWrite() && unit.after.isEmpty();
+        boolean guarded = !isWrite() && connectionRequest.requiredPosition.isEmpty();
         if (result.state() == TransactionState.IDLE || (guarded && result.isSuccess())) {
             granted.release();
         } else {
@@ -179,20 +180,20 @@
         }
     }
 
-    private void onSuccess(Lease granted, SqlResult result) {
+    private void onSuccess(ConnectionLease granted, SqlResult result) {
         if (isWrite()) {
             onProof(granted, result);
-            result.position().ifPresent(position -> session.raiseFloor(route.service(), position));
+            result.position().ifPresent(position -> session.raiseMinPosition(route.service(), position));
         }
-        end(result.withState(TransactionState.IDLE), granted.instance().instanceId(), "");
+        complete(result.withState(TransactionState.IDLE), granted.instance().instanceId(), "");
     }
 
-    private void onProof(Lease granted, SqlResult result) {
+    private void onProof(ConnectionLease granted, SqlResult result) {
         LogPosition position = result.position().orElse(LogPosition.NONE);
         context.placement().onProof(granted.instance(), sentMs, sentEpoch, position);
     }
 
-    private void onError(Lease granted, SqlResult result) {
+    private void onError(ConnectionLease granted, SqlResult result) {
         SqlError error = result.error().orElseThrow();
         String instanceId = granted.instance().instanceId();
         if (error == SqlError.READ_ONLY) {
@@ -200,32 +201,32 @@
         } else if (error == SqlError.REPLICA_LAGGING) {
             granted.link().onLagging(Math.max(1, route.maxStalenessMs() / 4));
         }
-        unit.tried.add(instanceId);
+        connectionRequest.triedInstanceIds.add(instanceId);
         boolean repeatable = error.isNotRun() || !isWrite();
-        if (repeatable && error != SqlError.MALFORMED && !timedOut && !ended) {
-            context.placement().retry(unit, RetryReason.of(error));
+        if (repeatable && error != SqlError.MALFORMED && !timedOut && !completed) {
+            context.placement().retry(connectionRequest, RetryReason.of(error));
         } else {
-            end(result.withState(TransactionState.IDLE), instanceId, result.detail());
+            complete(result.withState(TransactionState.IDLE), instanceId, result.detail());
         }
     }
 
-    private void onLost(String instanceId, FailureException failure) {
-        unit.tried.add(instanceId);
-        if ((!isWrite() || !sent) && !timedOut && !ended) {
-            context.placement().retry(unit, RetryReason.CONNECTION_LOST);
+    private void onConnectionLost(String instanceId, FailureException failure) {
+        connectionRequest.triedInstanceIds.add(instanceId);
+        if ((!isWrite() || !sent) && !timedOut && !completed) {
+            context.placement().retry(connectionRequest, RetryReason.CONNECTION_LOST);
             return;
         }
         SqlError lost = isWrite() ? SqlError.IN_DOUBT : SqlError.TIMEOUT;
         SqlError error = sent ? lost : SqlError.BUSY;
         String reason = timedOut ? "no answer within " + route.statementTimeoutMs() + " ms" : failure.getMessage();
-        end(SqlResult.failure(error, "", TransactionState.IDLE), instanceId, reason);
+        complete(SqlResult.failure(error, "", TransactionState.IDLE), instanceId, reason);
     }
 
-    private void end(SqlResult result, String instanceId, String reason) {
-        if (!ended) {
-            ended = true;
-            context.record(statement.request().id(), route, instanceId, unit.arrivedMs, result, reason);
-            session.finish(this, result);
+    private void complete(SqlResult result, String instanceId, String reason) {
+        if (!completed) {
+            completed = true;
+            context.record(statement.request().id(), route, instanceId, connectionRequest.arrivedMs, result, reason);
+            session.complete(this, result);
         }
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientPort.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientConnection.java
@@ -4,7 +4,7 @@
 import org.hornbeamspread.core.sql.SqlResult;
 
 /** The client's end of a session, as the engine sees it. Used on the engine's thread. */
-public interface ClientPort {
+public interface ClientConnection {
     /** The session is open. */
     void accept();
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientSession.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientSession.java
@@ -26,11 +26,11 @@
 
     private final SessionContext context;
     private final String database;
-    private final ClientPort port;
+    private final ClientConnection client;
     private final Map<String, String> values = new TreeMap<>();
     private final Map<String, PreparedDefinition> prepared = new HashMap<>();
-    private final Map<String, LogPosition> floors = new HashMap<>();
-    private final Deque<SqlRequest> pending = new ArrayDeque<>();
+    private final Map<String, LogPosition> minPositions = new HashMap<>();
+    private final Deque<SqlRequest> pendingRequests = new ArrayDeque<>();
     private TransactionState state = TransactionState.IDLE;
 
     /** Present from BEGIN to the transaction's end, and until then in state FAILED too. */
@@ -39,16 +39,16 @@
     /** Why the transaction was ended from this side, until the client has been told. */
     private Optional<String> abortReason = Optional.empty();
 
-    private Optional<Operation> current = Optional.empty();
-    private ScheduledFuture<?> timer;
+    private Optional<SessionOperation> currentOperation = Optional.empty();
+    private ScheduledFuture<?> statementTimer;
     private boolean closeWhenIdle;
     private boolean closed;
     private long idleSinceMs;
 
-    ClientSession(SessionContext context, String database, ClientPort port) {
+    ClientSession(SessionContext context, String database, ClientConnection port) {
         this.context = context;
         this.database = database;
-        this.port = port;
+        this.client = port;
         this.idleSinceMs = context.nowMs();
     }
 
@@ -57,13 +57,13 @@
         if (closed) {
             return;
         }
-        if (pending.size() >= MAX_PENDING_REQUESTS) {
-            port.refuse(SqlError.TOO_LARGE, "too many requests without an answer");
+        if (pendingRequests.size() >= MAX_PENDING_REQUESTS) {
+            client.refuse(SqlError.TOO_LARGE, "too many requests without an answer");
             onClosed();
             return;
         }
-        pending.add(request);
-        next();
+        pendingRequests.add(request);
+        handlePendingRequests();
     }
 
     /** A request that can't be understood. */
@@ -78,17 +78,17 @@
             return;
         }
         closed = true;
-        stopTimer();
-        current.ifPresent(Operation::abandon);
+        cancelStatementTimer();
+        currentOperation.ifPresent(SessionOperation::onClientDisconnected);
         transaction.ifPresent(SessionTransaction::rollBack);
         transaction = Optional.empty();
-        context.forget(this);
+        context.removeSession(this);
     }
 
     /** Ends the session as soon as it stands outside of a transaction and waits for nothing. */
     void closeWhenIdle() {
         closeWhenIdle = true;
-        closeIfDue();
+        closeIfIdle();
     }
 
     /** Rolls an open transaction back; the client is told with its next request. */
@@ -96,7 +96,7 @@
         if (state == TransactionState.OPEN && abortReason.isEmpty()) {
             abortReason = Optional.of(reason);
             context.events().record("transaction_aborted", "database", database, "reason", reason);
-            if (current.isEmpty()) {
+            if (currentOperation.isEmpty()) {
                 transaction.ifPresent(SessionTransaction::rollBack);
             } else {
                 transaction.ifPresent(SessionTransaction::discard);
@@ -106,7 +106,7 @@
 
     /** How long the session has had an open transaction without a request; 0 when it has none. */
     long idleInTransactionMs() {
-        boolean idle = state == TransactionState.OPEN && current.isEmpty();
+        boolean idle = state == TransactionState.OPEN && currentOperation.isEmpty();
         return idle ? context.nowMs() - idleSinceMs : 0;
     }
 
@@ -114,35 +114,35 @@
         return values;
     }
 
-    LogPosition floor(String service) {
-        return floors.getOrDefault(service, LogPosition.NONE);
+    LogPosition minPosition(String service) {
+        return minPositions.getOrDefault(service, LogPosition.NONE);
     }
 
-    void raiseFloor(String service, LogPosition position) {
-        floors.merge(service, position, LogPosition::max);
+    void raiseMinPosition(String service, LogPosition position) {
+        minPositions.merge(service, position, LogPosition::max);
     }
 
     /** The operation's answer. */
-    void finish(Operation operation, SqlResult result) {
-        if (closed || current.filter(operation::equals).isEmpty()) {
+    void complete(SessionOperation operation, SqlResult result) {
+        if (closed || currentOperation.filter(operation::equals).isEmpty()) {
             return;
         }
-        current = Optional.empty();
-        stopTimer();
+        currentOperation = Optional.empty();
+        cancelStatementTimer();
         reply(result);
     }
 
-    private void next() {
-        while (current.isEmpty() && !closed) {
-            SqlRequest request = pending.poll();
+    private void handlePendingRequests() {
+        while (currentOperation.isEmpty() && !closed) {
+            SqlRequest request = pendingRequests.poll();
             if (request == null) {
                 return;
             }
-            handle(request);
+            handleRequest(request);
         }
     }
 
-    private void handle(SqlRequest request) {
+    private void handleRequest(SqlRequest request) {
         SqlStatement statement = request.statement();
         if (abortReason.isPresent()) {
             String reason = abortReason.get();
@@ -155,7 +155,7 @@
                             : SqlResult.failure(
                                     SqlError.ABORTED, reason, ends ? TransactionState.IDLE : TransactionState.FAILED));
         } else if (state == TransactionState.FAILED) {
-            handleFailed(statement);
+            handleInFailedTransaction(statement);
         } else if (statement instanceof SqlStatement.Begin begin) {
             begin(begin);
         } else if (statement instanceof SqlStatement.Rollback) {
@@ -174,7 +174,7 @@
         }
     }
 
-    private void handleFailed(SqlStatement statement) {
+    private void handleInFailedTransaction(SqlStatement statement) {
         if (statement instanceof SqlStatement.Rollback) {
             endTransaction();
             reply(SqlResult.success(TransactionState.IDLE));
@@ -219,7 +219,7 @@
         if (forwarded.isEmpty() || commitOutside) {
             boolean unknownName = request.statement() instanceof SqlStatement.Execute;
             SqlError error = unknownName ? SqlError.UNKNOWN_PREPARED : SqlError.MALFORMED;
-            reply(SqlResult.failure(error, "", failedState()));
+            reply(SqlResult.failure(error, "", stateAfterError()));
             return;
         }
         Optional<Route> route = transaction
@@ -229,15 +229,15 @@
             reply(SqlResult.failure(SqlError.UNKNOWN_DATABASE, database, state));
             return;
         }
-        Operation operation = transaction.isPresent()
+        SessionOperation operation = transaction.isPresent()
                 ? transaction.get().operation(forwarded.get())
-                : new SingleStatement(context, this, route.get(), forwarded.get());
-        current = Optional.of(operation);
-        timer = context.schedule(operation::onTimeout, route.get().statementTimeoutMs());
+                : new AutocommitStatement(context, this, route.get(), forwarded.get());
+        currentOperation = Optional.of(operation);
+        statementTimer = context.schedule(operation::onTimeout, route.get().statementTimeoutMs());
         operation.start();
     }
 
-    private TransactionState failedState() {
+    private TransactionState stateAfterError() {
         return state == TransactionState.IDLE ? TransactionState.IDLE : TransactionState.FAILED;
     }
 
@@ -247,22 +247,26 @@
             transaction = Optional.empty();
         }
         idleSinceMs = context.nowMs();
-        port.reply(result);
-        closeIfDue();
-        next();
+        client.reply(result);
+        closeIfIdle();
+        handlePendingRequests();
     }
 
-    private void closeIfDue() {
-        if (closeWhenIdle && !closed && state == TransactionState.IDLE && current.isEmpty() && pending.isEmpty()) {
-            port.close();
+    private void closeIfIdle() {
+        if (closeWhenIdle
+                && !closed
+                && state == TransactionState.IDLE
+                && currentOperation.isEmpty()
+                && pendingRequests.isEmpty()) {
+            client.close();
             onClosed();
         }
     }
 
-    private void stopTimer() {
-        if (timer != null) {
-            timer.cancel(false);
-            timer = null;
+    private void cancelStatementTimer() {
+        if (statementTimer != null) {
+            statementTimer.cancel(false);
+            statementTimer = null;
         }
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/Lease.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionLease.java
@@ -3,16 +3,16 @@
 import org.hornbeamspread.core.route.DatabaseInstance;
 
 /** A connection that one statement or one transaction has for itself. */
-final class Lease {
+final class ConnectionLease {
     private final InstanceLink link;
-    private final long ticket;
+    private final long slotRequestId;
     private final PooledConnection connection;
     private boolean released;
-    private boolean repeatable;
+    private boolean retryable;
 
-    Lease(InstanceLink link, long ticket, PooledConnection connection) {
+    ConnectionLease(InstanceLink link, long ticket, PooledConnection connection) {
         this.link = link;
-        this.ticket = ticket;
+        this.slotRequestId = ticket;
         this.connection = connection;
     }
 
@@ -29,28 +29,28 @@
     }
 
     /** Whether what runs on it may be run again elsewhere. */
-    void setRepeatable(boolean mayRunAgain) {
-        repeatable = mayRunAgain;
+    void setRetryable(boolean mayRunAgain) {
+        retryable = mayRunAgain;
     }
 
-    boolean isRepeatable() {
-        return repeatable;
+    boolean isRetryable() {
+        return retryable;
     }
 
     /** Gives the connection back; it stands outside of any transaction and waits for no answer. */
     void release() {
-        end(true);
+        returnConnection(true);
     }
 
     /** Closes the connection, which rolls back what is open there. */
     void discard() {
-        end(false);
+        returnConnection(false);
     }
 
-    private void end(boolean reusable) {
+    private void returnConnection(boolean reusable) {
         if (!released) {
             released = true;
-            link.giveBack(ticket, connection, reusable);
+            link.giveBack(slotRequestId, connection, reusable);
         }
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/Unit.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionRequest.java
@@ -9,11 +9,11 @@
 import org.hornbeamspread.core.route.Route;
 
 /** A statement or a transaction that needs a database connection. */
-final class Unit {
+final class ConnectionRequest {
     /** Who waits for the connection. */
-    interface Owner {
+    interface Listener {
         /** The connection is there. */
-        void onLease(Lease lease);
+        void onLease(ConnectionLease lease);
 
         /** It will not come; nothing ran. */
         void onRefused(RefusalReason reason);
@@ -23,28 +23,28 @@
     final String requestId;
     final Route route;
     final boolean needsPrimary;
-    final LogPosition floor;
+    final LogPosition minPosition;
     final Map<String, String> values;
     final long arrivedMs;
-    final long startByMs;
-    final Owner owner;
+    final long startDeadlineMs;
+    final Listener listener;
 
     /** Instances that were tried in vain. */
-    final Set<String> tried = new HashSet<>();
+    final Set<String> triedInstanceIds = new HashSet<>();
 
     /** What the database's log must hold; absent where the primary proves itself instead. */
-    Optional<LogPosition> after = Optional.empty();
+    Optional<LogPosition> requiredPosition = Optional.empty();
 
     /** Why the last instance with room for no more refused it; null when none did. */
-    RefusalReason queueRefusal;
+    RefusalReason lastQueueRefusal;
 
     int attempts;
     boolean ended;
 
     /** Called when the unit need not wait any longer; null while it waits nowhere. */
-    Consumer<Unit> cancellation;
+    Consumer<ConnectionRequest> cancelHandler;
 
-    Unit(
+    ConnectionRequest(
             long id,
             String requestId,
             Route route,
@@ -53,16 +53,16 @@
             Map<String, String> values,
             long arrivedMs,
             long startByMs,
-            Owner owner) {
+            Listener owner) {
         this.id = id;
         this.requestId = requestId;
         this.route = route;
         this.needsPrimary = needsPrimary;
-        this.floor = floor;
+        this.minPosition = floor;
         this.values = values;
         this.arrivedMs = arrivedMs;
-        this.startByMs = startByMs;
-        this.owner = owner;
+        this.startDeadlineMs = startByMs;
+        this.listener = owner;
     }
 
     String rank() {
@@ -72,15 +72,15 @@
     void refuse(RefusalReason reason) {
         if (!ended) {
             ended = true;
-            owner.onRefused(reason);
+            listener.onRefused(reason);
         }
     }
 
     /** The client has gone. */
     void cancel() {
         ended = true;
-        if (cancellation != null) {
-            cancellation.accept(this);
+        if (cancelHandler != null) {
+            cancelHandler.accept(this);
         }
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ForwardedStatement.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ForwardedStatement.java
@@ -13,7 +13,7 @@
  * @param kind what it does
  * @param shape what must be prepared first, if it executes a prepared statement
  */
-record ForwardedStatement(SqlRequest request, Kind kind, Optional<PreparedDefinition> shape) {
+record ForwardedStatement(SqlRequest request, Kind kind, Optional<PreparedDefinition> preparedDefinition) {
     /** What a forwarded statement does. */
     enum Kind {
         READ,
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceLink.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceLink.java
@@ -30,17 +30,17 @@
 
     private final DatabaseInstance instance;
     private final Clock clock;
-    private final BiConsumer<Unit, RetryReason> replace;
+    private final BiConsumer<ConnectionRequest, RetryReason> replace;
     private final LinkConnections connections;
 
     /** Units by ticket: each stay of a unit at this link has a ticket of its own. */
-    private final Map<Long, Unit> waiting = new LinkedHashMap<>();
+    private final Map<Long, ConnectionRequest> waiting = new LinkedHashMap<>();
 
     /** Units for which a connection is being opened. */
-    private final Map<Long, Unit> connecting = new LinkedHashMap<>();
+    private final Map<Long, ConnectionRequest> connecting = new LinkedHashMap<>();
 
     private final Map<Long, SlotRequest> running = new HashMap<>();
-    private final Map<Long, Lease> leases = new HashMap<>();
+    private final Map<Long, ConnectionLease> leases = new HashMap<>();
     private final StatementGate gate;
     private final RankScheduler scheduler;
     private long nextTicket;
@@ -61,7 +61,7 @@
             SqlConnector connector,
             Clock clock,
             EventLog events,
-            BiConsumer<Unit, RetryReason> replace) {
+            BiConsumer<ConnectionRequest, RetryReason> replace) {
         this.instance = instance;
         this.clock = clock;
         this.replace = replace;
@@ -139,7 +139,9 @@
     void onSilent() {
         connections.onSilent();
         moveWaiting();
-        List.copyOf(leases.values()).stream().filter(Lease::isRepeatable).forEach(Lease::discard);
+        List.copyOf(leases.values()).stream()
+                .filter(ConnectionLease::isRetryable)
+                .forEach(ConnectionLease::discard);
     }
 
     /** Takes new limits over; what runs keeps its connection. */
@@ -155,7 +157,7 @@
     }
 
     /** Queues a unit, or refuses it at once when it can't start in time. */
-    void acquire(Unit unit) {
+    void acquire(ConnectionRequest unit) {
         offer(unit);
         startNext();
     }
@@ -189,13 +191,13 @@
         }
     }
 
-    private void offer(Unit unit) {
+    private void offer(ConnectionRequest unit) {
         long ticket = nextTicket++;
         SlotRequest request = new SlotRequest(
                 ticket,
                 unit.rank(),
                 clock.instant(),
-                Instant.ofEpochMilli(Math.max(unit.startByMs, clock.millis() + 1)));
+                Instant.ofEpochMilli(Math.max(unit.startDeadlineMs, clock.millis() + 1)));
         Optional<FailureException> refusal = scheduler.offer(request);
         if (refusal.isPresent()) {
             boolean full = refusal.get().type() == FailureType.QUEUE_FULL;
@@ -203,28 +205,28 @@
             return;
         }
         waiting.put(ticket, unit);
-        unit.cancellation = cancelled -> {
+        unit.cancelHandler = cancelled -> {
             waiting.remove(ticket);
             scheduler.cancel(request);
         };
     }
 
     /** Another instance may have room for a read; what only this one can run is refused at once. */
-    private void turnAway(Unit unit, RefusalReason reason) {
+    private void turnAway(ConnectionRequest unit, RefusalReason reason) {
         if (unit.needsPrimary) {
             unit.refuse(reason);
             return;
         }
-        unit.tried.add(instance.instanceId());
-        unit.queueRefusal = reason;
+        unit.triedInstanceIds.add(instance.instanceId());
+        unit.lastQueueRefusal = reason;
         replace.accept(unit, RetryReason.WAIT_TOO_LONG);
     }
 
     private void takeOutLate() {
         for (SlotRequest late : scheduler.removeExpired(clock.instant())) {
-            Unit unit = waiting.remove(late.requestId());
+            ConnectionRequest unit = waiting.remove(late.requestId());
             if (unit != null) {
-                unit.cancellation = null;
+                unit.cancelHandler = null;
                 turnAway(unit, RefusalReason.WAIT_TOO_LONG);
             }
         }
@@ -236,18 +238,18 @@
             if (next.isEmpty()) {
                 return;
             }
-            Unit unit = waiting.remove(next.get().requestId());
+            ConnectionRequest unit = waiting.remove(next.get().requestId());
             if (unit == null || unit.ended) {
                 scheduler.complete(next.get(), clock.instant());
                 continue;
             }
-            unit.cancellation = null;
+            unit.cancelHandler = null;
             running.put(next.get().requestId(), next.get());
             start(next.get().requestId(), unit);
         }
     }
 
-    private void start(long ticket, Unit unit) {
+    private void start(long ticket, ConnectionRequest unit) {
         PooledConnection connection = connections.takeIdle(unit.values);
         if (connection != null) {
             hand(ticket, unit, connection);
@@ -257,18 +259,18 @@
         connections.open((opened, error) -> onConnected(ticket, opened, error));
     }
 
-    private void hand(long ticket, Unit unit, PooledConnection connection) {
-        Lease lease = new Lease(this, ticket, connection);
+    private void hand(long ticket, ConnectionRequest unit, PooledConnection connection) {
+        ConnectionLease lease = new ConnectionLease(this, ticket, connection);
         leases.put(ticket, lease);
         if (unit.ended) {
             lease.release();
         } else {
-            unit.owner.onLease(lease);
+            unit.listener.onLease(lease);
         }
     }
 
     private void onConnected(long ticket, PooledConnection opened, Throwable error) {
-        Unit unit = connecting.remove(ticket);
+        ConnectionRequest unit = connecting.remove(ticket);
         if (error == null && unit != null) {
             scheduler.resize(connections.room());
             hand(ticket, unit, opened);
@@ -281,7 +283,7 @@
         scheduler.resize(connections.room());
         if (error != null && unit != null) {
             if (!isReachable()) {
-                unit.tried.add(instance.instanceId());
+                unit.triedInstanceIds.add(instance.instanceId());
             }
             replace.accept(unit, RetryReason.CONNECT_FAILED);
         }
@@ -294,16 +296,16 @@
 
     /** Has everything that waits, for its turn or for a connection, placed elsewhere. */
     private void moveWaiting() {
-        List<Unit> moved = new ArrayList<>(connecting.values());
+        List<ConnectionRequest> moved = new ArrayList<>(connecting.values());
         connecting.clear();
-        List<Unit> queued = List.copyOf(waiting.values());
+        List<ConnectionRequest> queued = List.copyOf(waiting.values());
         queued.forEach(unit -> {
-            unit.cancellation.accept(unit);
-            unit.cancellation = null;
+            unit.cancelHandler.accept(unit);
+            unit.cancelHandler = null;
         });
         moved.addAll(queued);
         moved.forEach(unit -> {
-            unit.tried.add(instance.instanceId());
+            unit.triedInstanceIds.add(instance.instanceId());
             replace.accept(unit, RetryReason.CONNECT_FAILED);
         });
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/Placement.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/Placement.java
@@ -75,7 +75,7 @@
     /** Instances that said they are not the primary, and until when they are not asked again. */
     private final Map<String, Long> notPrimaryUntilMs = new HashMap<>();
 
-    private final Deque<Unit> parked = new ArrayDeque<>();
+    private final Deque<ConnectionRequest> parked = new ArrayDeque<>();
     private SystemView view = SystemView.NONE;
     private boolean retryScheduled;
     private boolean checkScheduled;
@@ -178,13 +178,13 @@
     }
 
     /** Places a unit whose last place could not run it. */
-    void retry(Unit unit, RetryReason reason) {
+    void retry(ConnectionRequest unit, RetryReason reason) {
         metrics.onRetry(reason);
         place(unit);
     }
 
     /** Places a unit. */
-    void place(Unit unit) {
+    void place(ConnectionRequest unit) {
         if (unit.ended) {
             return;
         }
@@ -201,7 +201,7 @@
         }
     }
 
-    private Optional<InstanceLink> primaryLink(Unit unit) {
+    private Optional<InstanceLink> primaryLink(ConnectionRequest unit) {
         String service = unit.route.service();
         String provenId = service(service).provenId();
         Optional<DatabaseInstance> announced = view.primary(service).filter(this::mayLead);
@@ -263,7 +263,7 @@
         return !departed && !denied;
     }
 
-    private Optional<InstanceLink> readLink(Unit unit) {
+    private Optional<InstanceLink> readLink(ConnectionRequest unit) {
         String service = unit.route.service();
         ServiceState state = service(service);
         state.checkEpoch(guard.epoch());
@@ -276,23 +276,25 @@
             state.positionsWanted |= state.unreachableSinceMs() > 0;
         }
         if (sample.isEmpty()) {
-            unit.after = Optional.empty();
+            unit.requiredPosition = Optional.empty();
             return Optional.empty();
         }
         LogPosition position = sample.get().position();
-        unit.after = Optional.of(
-                unit.route.kind() == RouteKind.READ_YOUR_WRITES ? LogPosition.max(position, unit.floor) : position);
+        unit.requiredPosition = Optional.of(
+                unit.route.kind() == RouteKind.READ_YOUR_WRITES
+                        ? LogPosition.max(position, unit.minPosition)
+                        : position);
         List<Candidate> candidates = new ArrayList<>();
         for (DatabaseInstance instance : view.instances(service)) {
-            if (!instance.draining() && !unit.tried.contains(instance.instanceId())) {
+            if (!instance.draining() && !unit.triedInstanceIds.contains(instance.instanceId())) {
                 InstanceLink link = link(instance);
                 if (link.isReachable()) {
                     candidates.add(candidate(link));
                 }
             }
         }
-        if (candidates.isEmpty() && unit.queueRefusal != null) {
-            unit.refuse(unit.queueRefusal);
+        if (candidates.isEmpty() && unit.lastQueueRefusal != null) {
+            unit.refuse(unit.lastQueueRefusal);
         }
         return InstanceSelector.select(candidates).map(best -> links.get(best.instanceId()));
     }
@@ -350,16 +352,16 @@
         }
     }
 
-    private void park(Unit unit) {
-        unit.tried.clear();
-        unit.queueRefusal = null;
-        if (clock.millis() >= unit.startByMs) {
+    private void park(ConnectionRequest unit) {
+        unit.triedInstanceIds.clear();
+        unit.lastQueueRefusal = null;
+        if (clock.millis() >= unit.startDeadlineMs) {
             unit.refuse(unit.needsPrimary ? RefusalReason.NO_PRIMARY : RefusalReason.NO_RECENT_POSITION);
             return;
         }
         unit.attempts = 0;
         parked.add(unit);
-        unit.cancellation = parked::remove;
+        unit.cancelHandler = parked::remove;
         if (!retryScheduled) {
             retryScheduled = true;
             loop.schedule(this::onRetry, RETRY_MS, TimeUnit.MILLISECONDS);
@@ -372,9 +374,9 @@
     }
 
     private void retryParked() {
-        List<Unit> waiting = List.copyOf(parked);
+        List<ConnectionRequest> waiting = List.copyOf(parked);
         parked.clear();
-        waiting.forEach(unit -> unit.cancellation = null);
+        waiting.forEach(unit -> unit.cancelHandler = null);
         waiting.forEach(this::place);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
@@ -12,18 +12,18 @@
 /** What the sessions of an engine share. Used on the engine's thread. */
 final class SessionContext {
     /** Of an operation's target: waiting longer for a connection makes an answer in time unlikely. */
-    private static final double PATIENCE_PART = 0.5;
+    private static final double MAX_WAIT_FRACTION_OF_TARGET = 0.5;
 
-    private static final long LEAST_PATIENCE_MS = 50;
+    private static final long MIN_CONNECTION_WAIT_MS = 50;
 
     private final Placement placement;
     private final Clock clock;
-    private final ClockJumpDetector guard;
-    private final ScheduledExecutorService loop;
+    private final ClockJumpDetector clockJumpDetector;
+    private final ScheduledExecutorService executor;
     private final EventLog events;
     private final SessionMetrics metrics;
-    private final java.util.function.Consumer<ClientSession> forget;
-    private long nextUnitId = 1;
+    private final java.util.function.Consumer<ClientSession> sessionRemover;
+    private long nextConnectionRequestId = 1;
 
     SessionContext(
             Placement placement,
@@ -35,11 +35,11 @@
             java.util.function.Consumer<ClientSession> forget) {
         this.placement = placement;
         this.clock = clock;
-        this.guard = guard;
-        this.loop = loop;
+        this.clockJumpDetector = guard;
+        this.executor = loop;
         this.events = events;
         this.metrics = metrics;
-        this.forget = forget;
+        this.sessionRemover = forget;
     }
 
     Placement placement() {
@@ -58,27 +58,27 @@
         return clock.millis();
     }
 
-    long epoch() {
-        return guard.epoch();
+    long clockEpoch() {
+        return clockJumpDetector.epoch();
     }
 
-    long nextUnitId() {
-        return nextUnitId++;
+    long nextConnectionRequestId() {
+        return nextConnectionRequestId++;
     }
 
     /** The latest time to start a statement that arrived now. */
-    long startByMs(Route route) {
+    long startDeadlineMs(Route route) {
         long targetMs = route.targetMs() > 0 ? route.targetMs() : route.statementTimeoutMs();
-        long patienceMs = Math.max(LEAST_PATIENCE_MS, Math.round(PATIENCE_PART * targetMs));
+        long patienceMs = Math.max(MIN_CONNECTION_WAIT_MS, Math.round(MAX_WAIT_FRACTION_OF_TARGET * targetMs));
         return nowMs() + Math.min(patienceMs, route.statementTimeoutMs());
     }
 
     ScheduledFuture<?> schedule(Runnable task, long delayMs) {
-        return loop.schedule(task, delayMs, TimeUnit.MILLISECONDS);
+        return executor.schedule(task, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    void forget(ClientSession session) {
-        forget.accept(session);
+    void removeSession(ClientSession session) {
+        sessionRemover.accept(session);
     }
 
     /** Counts a refusal. */
@@ -95,7 +95,7 @@
     void record(String requestId, Route route, String instanceId, long arrivedMs, SqlResult result, String reason) {
         long elapsedMs = nowMs() - arrivedMs;
         metrics.onAnswer(route, result, elapsedMs);
-        if (result.isSuccess() && !metrics.isSampled()) {
+        if (result.isSuccess() && !metrics.sampleNext()) {
             return;
         }
         events.record(
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
@@ -30,33 +30,33 @@
  */
 public final class SessionEngine {
     /** Below the two seconds that clients wait for a session to open. */
-    private static final long OPEN_LIMIT_MS = 1_500;
+    private static final long OPEN_TIMEOUT_MS = 1_500;
 
     private static final long OPEN_RETRY_MS = 50;
 
     /** Twenty round trips between regions: the question takes no slot. */
-    private static final long PROBE_LIMIT_MS = 400;
+    private static final long PROBE_TIMEOUT_MS = 400;
 
-    private static final long SWEEP_MS = 500;
+    private static final long SWEEP_INTERVAL_MS = 500;
 
     /** Two attempts to connect, and a round of all control members. */
-    private static final long ISOLATED_MS = 1_200;
+    private static final long ISOLATION_THRESHOLD_MS = 1_200;
 
     /** The part of the grace that open transactions have to end. */
-    private static final double TRANSACTION_GRACE_PART = 0.5;
+    private static final double TRANSACTION_GRACE_FRACTION = 0.5;
 
     /** The balancer stops sending new connections after two missed answers, a second apart. */
-    private static final long BALANCER_NOTICE_MS = 2_200;
+    private static final long LOAD_BALANCER_DETECTION_MS = 2_200;
 
     /** Idle sessions are closed in this many steps, so that they do not return all at once. */
-    private static final int CLOSING_STEPS = 20;
+    private static final int DRAIN_STEPS = 20;
 
     /** Stands for never. */
-    private static final long FAR_PAST_MS = 3_600_000;
+    private static final long MAX_REPORTED_AGE_MS = 3_600_000;
 
     private final Clock clock;
-    private final ClockJumpDetector guard;
-    private final ScheduledExecutorService loop;
+    private final ClockJumpDetector clockJumpDetector;
+    private final ScheduledExecutorService executor;
     private final EventLog events;
     private final Placement placement;
     private final SessionContext context;
@@ -64,7 +64,7 @@
     private boolean draining;
 
     /** Since when control has not been heard; 0 while it is. */
-    private long controlLostMs;
+    private long controlLostSinceMs;
 
     /** Since when this proxy takes itself for isolated; 0 while it does not. */
     private long isolatedSinceMs;
@@ -91,19 +91,20 @@
             EventLog events,
             PrometheusRegistry registry) {
         this.clock = clock;
-        this.guard = new ClockJumpDetector(clock, timeOfDay);
-        this.loop = loop;
+        this.clockJumpDetector = new ClockJumpDetector(clock, timeOfDay);
+        this.executor = loop;
         this.events = events;
         SessionMetrics metrics = new SessionMetrics(registry);
-        this.placement = new Placement(failureDomain, regionByDomain, connector, clock, guard, loop, events, metrics);
-        this.context = new SessionContext(placement, clock, guard, loop, events, metrics, sessions::remove);
+        this.placement = new Placement(
+                failureDomain, regionByDomain, connector, clock, clockJumpDetector, loop, events, metrics);
+        this.context = new SessionContext(placement, clock, clockJumpDetector, loop, events, metrics, sessions::remove);
         GaugeWithCallback.builder()
                 .name("hornbeamspread_sessions")
                 .help("Open sessions")
                 .callback(gauge -> gauge.call(sessions.size()))
                 .register(registry);
-        placement.setProbe(this::probe);
-        loop.schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+        placement.setProbe(this::probePrimaryPosition);
+        loop.schedule(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** What opening a session came to; called once, on the engine's thread. */
@@ -113,8 +114,8 @@
     }
 
     /** Opens a session on a database name, and waits a little for a configuration if there is none yet. */
-    public void open(String database, ClientPort port, OpenListener listener) {
-        open(database, port, listener, clock.millis() + OPEN_LIMIT_MS);
+    public void open(String database, ClientConnection port, OpenListener listener) {
+        open(database, port, listener, clock.millis() + OPEN_TIMEOUT_MS);
     }
 
     /** Whether this proxy can serve. */
@@ -123,12 +124,12 @@
     }
 
     /** Control is heard, or has not been heard since a time. */
-    public void onControlHeard(boolean heard) {
+    public void onControlReachability(boolean heard) {
         placement.onControlHeard(heard);
         if (heard) {
-            controlLostMs = 0;
-        } else if (controlLostMs == 0) {
-            controlLostMs = clock.millis();
+            controlLostSinceMs = 0;
+        } else if (controlLostSinceMs == 0) {
+            controlLostSinceMs = clock.millis();
         }
     }
 
@@ -137,8 +138,8 @@
      * control alone a proxy goes on with what it knows.
      */
     private boolean isIsolated() {
-        boolean unheard = controlLostMs > 0 && clock.millis() - controlLostMs > ISOLATED_MS;
-        return unheard && placement.lacksPrimary(ISOLATED_MS);
+        boolean unheard = controlLostSinceMs > 0 && clock.millis() - controlLostSinceMs > ISOLATION_THRESHOLD_MS;
+        return unheard && placement.lacksPrimary(ISOLATION_THRESHOLD_MS);
     }
 
     /** Takes a newer view over. */
@@ -152,21 +153,22 @@
     }
 
     /** What this proxy has seen of each service's primary: the instance, since its last proof, the oldest write. */
-    public List<PrimarySighting> sightings() {
+    public List<PrimaryHealth> primaryHealth() {
         long nowMs = clock.millis();
-        List<PrimarySighting> sightings = new ArrayList<>();
+        List<PrimaryHealth> sightings = new ArrayList<>();
         for (String service : services()) {
             ServiceState state = placement.service(service);
             Optional<String> primaryId = placement.view().primary(service).map(DatabaseInstance::instanceId);
             if (primaryId.isPresent()) {
-                long provenMs = state.provenId().equals(primaryId.get()) ? state.provenMs() : nowMs - FAR_PAST_MS;
+                long provenMs =
+                        state.provenId().equals(primaryId.get()) ? state.provenMs() : nowMs - MAX_REPORTED_AGE_MS;
                 long oldestMs = state.writesSentMs.values().stream()
                         .mapToLong(sentMs -> nowMs - sentMs)
                         .max()
                         .orElse(0);
-                sightings.add(new PrimarySighting(
+                sightings.add(new PrimaryHealth(
                         primaryId.get(),
-                        Math.min(FAR_PAST_MS, nowMs - provenMs),
+                        Math.min(MAX_REPORTED_AGE_MS, nowMs - provenMs),
                         oldestMs,
                         state.unreachableSinceMs() == 0 ? 0 : nowMs - state.unreachableSinceMs()));
             }
@@ -182,16 +184,17 @@
      * @param oldestWriteMs age of the oldest write that waits for its answer; 0 for none
      * @param unreachableMs for how long attempts to reach it have failed; 0 when the last one succeeded
      */
-    public record PrimarySighting(String instanceId, long sinceProofMs, long oldestWriteMs, long unreachableMs) {}
+    public record PrimaryHealth(
+            String instanceId, long sinceLastProofMs, long oldestPendingWriteMs, long unreachableMs) {}
 
     /** Whether reads wait for positions that this proxy can't ask for itself. */
-    public boolean wantsPositions() {
+    public boolean needsSharedPositions() {
         return placement.wantsPositions();
     }
 
     /** The epoch of the steady clock. */
     public long clockEpoch() {
-        return guard.epoch();
+        return clockJumpDetector.epoch();
     }
 
     /** A position that control was told by a proven primary which it asked no earlier than the time given. */
@@ -209,13 +212,13 @@
             return;
         }
         draining = true;
-        acceptUntilMs = clock.millis() + Math.min(BALANCER_NOTICE_MS, graceMs / 2);
+        acceptUntilMs = clock.millis() + Math.min(LOAD_BALANCER_DETECTION_MS, graceMs / 2);
         events.record("drain_started", "sessions", sessions.size(), "grace_ms", graceMs);
-        long transactionMs = Math.round(graceMs * TRANSACTION_GRACE_PART);
-        long noticedMs = Math.min(BALANCER_NOTICE_MS, transactionMs);
-        long intervalMs = Math.max(1, (transactionMs - noticedMs) / CLOSING_STEPS);
-        loop.schedule(() -> closeStep(1, intervalMs), noticedMs, TimeUnit.MILLISECONDS);
-        loop.schedule(
+        long transactionMs = Math.round(graceMs * TRANSACTION_GRACE_FRACTION);
+        long noticedMs = Math.min(LOAD_BALANCER_DETECTION_MS, transactionMs);
+        long intervalMs = Math.max(1, (transactionMs - noticedMs) / DRAIN_STEPS);
+        executor.schedule(() -> drainStep(1, intervalMs), noticedMs, TimeUnit.MILLISECONDS);
+        executor.schedule(
                 () -> List.copyOf(sessions).forEach(session -> {
                     session.abortTransaction("the proxy is shutting down");
                     session.closeWhenIdle();
@@ -229,16 +232,16 @@
         return draining && sessions.isEmpty() && clock.millis() > acceptUntilMs;
     }
 
-    private void closeStep(int step, long intervalMs) {
+    private void drainStep(int step, long intervalMs) {
         List<ClientSession> open = List.copyOf(sessions);
-        int part = open.size() / (CLOSING_STEPS - Math.min(step, CLOSING_STEPS) + 1) + 1;
+        int part = open.size() / (DRAIN_STEPS - Math.min(step, DRAIN_STEPS) + 1) + 1;
         open.stream().limit(part).forEach(ClientSession::closeWhenIdle);
-        if (step < CLOSING_STEPS) {
-            loop.schedule(() -> closeStep(step + 1, intervalMs), intervalMs, TimeUnit.MILLISECONDS);
+        if (step < DRAIN_STEPS) {
+            executor.schedule(() -> drainStep(step + 1, intervalMs), intervalMs, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void open(String database, ClientPort port, OpenListener listener, long untilMs) {
+    private void open(String database, ClientConnection port, OpenListener listener, long untilMs) {
         if (draining && clock.millis() > acceptUntilMs) {
             refuse(database, port, SqlError.BUSY, RefusalReason.SHUTTING_DOWN);
         } else if (placement.view().route(database).isPresent()) {
@@ -249,13 +252,13 @@
         } else if (placement.view().isLoaded()) {
             refuse(database, port, SqlError.UNKNOWN_DATABASE, RefusalReason.NO_ROUTE);
         } else if (clock.millis() < untilMs) {
-            loop.schedule(() -> open(database, port, listener, untilMs), OPEN_RETRY_MS, TimeUnit.MILLISECONDS);
+            executor.schedule(() -> open(database, port, listener, untilMs), OPEN_RETRY_MS, TimeUnit.MILLISECONDS);
         } else {
             refuse(database, port, SqlError.BUSY, RefusalReason.NO_CONFIGURATION);
         }
     }
 
-    private void refuse(String database, ClientPort port, SqlError error, RefusalReason reason) {
+    private void refuse(String database, ClientConnection port, SqlError error, RefusalReason reason) {
         context.onRefused(reason);
         long version = placement.view().configuration().version();
         events.record("session_refused", "database", database, "reason", reason, "configuration", version);
@@ -268,8 +271,9 @@
             isolatedSinceMs = 0;
         } else if (isolatedSinceMs == 0) {
             isolatedSinceMs = clock.millis();
-            events.record("isolated", "control_lost_ms", clock.millis() - controlLostMs, "sessions", sessions.size());
-        } else if (clock.millis() - isolatedSinceMs > BALANCER_NOTICE_MS) {
+            events.record(
+                    "isolated", "control_lost_ms", clock.millis() - controlLostSinceMs, "sessions", sessions.size());
+        } else if (clock.millis() - isolatedSinceMs > LOAD_BALANCER_DETECTION_MS) {
             List.copyOf(sessions).forEach(ClientSession::closeWhenIdle);
         }
     }
@@ -284,7 +288,7 @@
                 }
             }
         }
-        loop.schedule(this::sweep, SWEEP_MS, TimeUnit.MILLISECONDS);
+        executor.schedule(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private List<String> services() {
@@ -295,28 +299,28 @@
     }
 
     /** Asks a service's primary for its position, unless such a question is under way. */
-    private void probe(String service) {
+    private void probePrimaryPosition(String service) {
         ServiceState state = placement.service(service);
         if (state.probing) {
             return;
         }
         state.probing = true;
-        Route route = new Route("position probe", "", service, RouteKind.PRIMARY, 0, OPEN_LIMIT_MS, 0, 0);
-        Unit unit = new Unit(
-                context.nextUnitId(),
+        Route route = new Route("position probe", "", service, RouteKind.PRIMARY, 0, OPEN_TIMEOUT_MS, 0, 0);
+        ConnectionRequest unit = new ConnectionRequest(
+                context.nextConnectionRequestId(),
                 SqlRequest.INTERNAL_ID,
                 route,
                 true,
                 LogPosition.NONE,
                 Map.of(),
                 clock.millis(),
-                clock.millis() + OPEN_LIMIT_MS,
+                clock.millis() + OPEN_TIMEOUT_MS,
                 new PositionProbe(state));
         placement.place(unit);
     }
 
     /** Opens and ends a plain transaction at the primary, which tells its position. */
-    private final class PositionProbe implements Unit.Owner {
+    private final class PositionProbe implements ConnectionRequest.Listener {
         private final ServiceState state;
 
         PositionProbe(ServiceState state) {
@@ -330,14 +334,14 @@
         }
 
         @Override
-        public void onLease(Lease lease) {
+        public void onLease(ConnectionLease lease) {
             long askedMs = clock.millis();
-            long askedEpoch = guard.epoch();
+            long askedEpoch = clockJumpDetector.epoch();
             List<CompletableFuture<SqlResult>> results = lease.connection()
                     .send(List.of(
                             SqlRequest.internal(new SqlStatement.Begin(false)),
                             SqlRequest.internal(new SqlStatement.Rollback())));
-            loop.schedule(
+            executor.schedule(
                     () -> {
                         if (!results.get(1).isDone()) {
                             lease.link().onSilent();
@@ -345,7 +349,7 @@
                             lease.discard();
                         }
                     },
-                    PROBE_LIMIT_MS,
+                    PROBE_TIMEOUT_MS,
                     TimeUnit.MILLISECONDS);
             results.get(1).whenComplete((end, error) -> {
                 state.probing = false;
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionMetrics.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionMetrics.java
@@ -8,16 +8,16 @@
 
 /** Counters of statements by outcome, and their times by rank. */
 final class SessionMetrics {
-    private static final double[] BOUNDS_SECONDS = {0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 5};
+    private static final double[] BUCKET_BOUNDS_SECONDS = {0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 5};
     private static final double MILLIS_PER_SECOND = 1000;
 
     /** One served statement of this many has a line in the log. */
-    private static final long SAMPLED_ONE_OF = 64;
+    private static final long SAMPLING_INTERVAL = 64;
 
     private final Counter answers;
     private final Counter refusals;
     private final Counter retries;
-    private final Histogram times;
+    private final Histogram durations;
     private long served;
 
     SessionMetrics(PrometheusRegistry registry) {
@@ -36,19 +36,19 @@
                 .help("Statements tried again, by reason")
                 .labelNames("reason")
                 .register(registry);
-        times = Histogram.builder()
+        durations = Histogram.builder()
                 .name("hornbeamspread_session_statement_seconds")
                 .help("Time from a statement's arrival to its answer, by rank")
                 .labelNames("rank")
                 .classicOnly()
-                .classicUpperBounds(BOUNDS_SECONDS)
+                .classicUpperBounds(BUCKET_BOUNDS_SECONDS)
                 .register(registry);
     }
 
     void onAnswer(Route route, SqlResult result, long elapsedMs) {
         String rank = Ranks.name(route.priority());
         answers.labelValues(rank, result.error().map(Enum::name).orElse("DONE")).inc();
-        times.labelValues(rank).observe(elapsedMs / MILLIS_PER_SECOND);
+        durations.labelValues(rank).observe(elapsedMs / MILLIS_PER_SECOND);
     }
 
     void onRefused(RefusalReason reason) {
@@ -59,7 +59,7 @@
         retries.labelValues(reason.name()).inc();
     }
 
-    boolean isSampled() {
-        return served++ % SAMPLED_ONE_OF == 0;
+    boolean sampleNext() {
+        return served++ % SAMPLING_INTERVAL == 0;
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionTransaction.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionTransaction.java
@@ -22,12 +22,12 @@
     private final ClientSession session;
     private final Route route;
     private final boolean readOnly;
-    private Optional<Lease> lease = Optional.empty();
+    private Optional<ConnectionLease> lease = Optional.empty();
 
     /** Whether the connection's transaction is open. */
     private boolean begun;
 
-    private boolean wrote;
+    private boolean hasWrites;
     private boolean ended;
 
     SessionTransaction(SessionContext context, ClientSession session, Route route, boolean readOnly) {
@@ -41,8 +41,8 @@
         return route;
     }
 
-    Operation operation(ForwardedStatement statement) {
-        return new InTransaction(statement);
+    SessionOperation operation(ForwardedStatement statement) {
+        return new TransactionStatement(statement);
     }
 
     /** Ends it without keeping anything; to be called while no statement runs, or when the client has gone. */
@@ -51,7 +51,7 @@
         if (lease.isEmpty()) {
             return;
         }
-        Lease held = lease.get();
+        ConnectionLease held = lease.get();
         lease = Optional.empty();
         if (!begun) {
             held.discard();
@@ -71,37 +71,37 @@
 
     /** Ends it by closing its connection, under a statement that runs. */
     void discard() {
-        lease.ifPresent(Lease::discard);
+        lease.ifPresent(ConnectionLease::discard);
     }
 
-    private boolean isPrimaryOnly() {
+    private boolean needsPrimary() {
         return !readOnly || route.kind() == RouteKind.PRIMARY;
     }
 
     /** One statement of the transaction. */
-    private final class InTransaction implements Operation, Unit.Owner {
+    private final class TransactionStatement implements SessionOperation, ConnectionRequest.Listener {
         /** Before a statement that the database had no capacity for is sent again on its connection. */
         private static final long BUSY_RETRY_MS = 20;
 
         private final ForwardedStatement statement;
-        private final Unit unit;
+        private final ConnectionRequest connectionRequest;
         private long sentMs;
         private long sentEpoch;
         private boolean sent;
         private boolean timedOut;
-        private boolean over;
+        private boolean completed;
 
-        InTransaction(ForwardedStatement statement) {
+        TransactionStatement(ForwardedStatement statement) {
             this.statement = statement;
-            this.unit = new Unit(
-                    context.nextUnitId(),
+            this.connectionRequest = new ConnectionRequest(
+                    context.nextConnectionRequestId(),
                     statement.request().id(),
                     route,
-                    isPrimaryOnly(),
-                    session.floor(route.service()),
+                    needsPrimary(),
+                    session.minPosition(route.service()),
                     session.values(),
                     context.nowMs(),
-                    context.startByMs(route),
+                    context.startDeadlineMs(route),
                     this);
         }
 
@@ -109,11 +109,11 @@
         public void start() {
             if (readOnly && statement.kind() == ForwardedStatement.Kind.WRITE) {
                 context.onRefused(RefusalReason.READ_ONLY_TRANSACTION);
-                end(SqlError.READ_ONLY, "", RefusalReason.READ_ONLY_TRANSACTION.name());
+                fail(SqlError.READ_ONLY, "", RefusalReason.READ_ONLY_TRANSACTION.name());
             } else if (lease.isPresent()) {
                 send(lease.get());
             } else {
-                context.placement().place(unit);
+                context.placement().place(connectionRequest);
             }
         }
 
@@ -124,51 +124,51 @@
                 lease.get().discard();
                 return;
             }
-            lease.ifPresent(Lease::discard);
+            lease.ifPresent(ConnectionLease::discard);
             lease = Optional.empty();
-            unit.cancel();
+            connectionRequest.cancel();
             onRefused(RefusalReason.NOT_SENT_IN_TIME);
         }
 
         @Override
-        public void abandon() {
-            over = true;
-            unit.cancel();
+        public void onClientDisconnected() {
+            completed = true;
+            connectionRequest.cancel();
             // A commit that was sent runs to its end; anything else is rolled back behind the statement that runs.
         }
 
         @Override
         public void onRefused(RefusalReason reason) {
             context.onRefused(reason);
-            end(SqlError.BUSY, "", reason.name());
+            fail(SqlError.BUSY, "", reason.name());
         }
 
         @Override
-        public void onLease(Lease granted) {
-            if (over || ended) {
+        public void onLease(ConnectionLease granted) {
+            if (completed || ended) {
                 granted.release();
                 return;
             }
             lease = Optional.of(granted);
             sentMs = context.nowMs();
-            sentEpoch = context.epoch();
-            granted.setRepeatable(true);
-            boolean plain = unit.after.isEmpty();
+            sentEpoch = context.clockEpoch();
+            granted.setRetryable(true);
+            boolean plain = connectionRequest.requiredPosition.isEmpty();
             SqlRequest begin = SqlRequest.internal(new SqlStatement.Begin(!plain));
             granted.connection()
-                    .send(List.of(plain ? begin : begin.requiringPosition(unit.after.get())))
+                    .send(List.of(plain ? begin : begin.requiringPosition(connectionRequest.requiredPosition.get())))
                     .get(0)
-                    .whenComplete((result, error) -> onBegun(granted, plain, result, error));
+                    .whenComplete((result, error) -> onBeginResult(granted, plain, result, error));
         }
 
-        private void onBegun(Lease granted, boolean plain, SqlResult result, Throwable error) {
+        private void onBeginResult(ConnectionLease granted, boolean plain, SqlResult result, Throwable error) {
             if (error == null && result.isSuccess()) {
                 begun = true;
-                granted.setRepeatable(false);
+                granted.setRetryable(false);
                 if (plain) {
                     onProof(granted, result);
                 }
-                if (over || ended) {
+                if (completed || ended) {
                     rollBack();
                 } else {
                     send(granted);
@@ -176,7 +176,7 @@
                 return;
             }
             lease = Optional.empty();
-            unit.tried.add(granted.instance().instanceId());
+            connectionRequest.triedInstanceIds.add(granted.instance().instanceId());
             if (error != null || result.state() != TransactionState.IDLE) {
                 granted.discard();
             } else {
@@ -188,60 +188,60 @@
                 granted.link().onLagging(Math.max(1, route.maxStalenessMs() / 4));
             }
             if (timedOut) {
-                end(SqlError.ABORTED, granted.instance().instanceId(), "no answer to BEGIN in time");
-            } else if (!over && !ended) {
+                fail(SqlError.ABORTED, granted.instance().instanceId(), "no answer to BEGIN in time");
+            } else if (!completed && !ended) {
                 context.placement()
                         .retry(
-                                unit,
+                                connectionRequest,
                                 error == null
                                         ? RetryReason.of(result.error().orElseThrow())
                                         : RetryReason.CONNECTION_LOST);
             }
         }
 
-        private void send(Lease held) {
-            StatementRun.send(
+        private void send(ConnectionLease held) {
+            StatementSender.send(
                     held,
                     session,
                     statement.request(),
-                    statement.shape().orElse(null),
+                    statement.preparedDefinition().orElse(null),
                     List.of(),
                     route.priority(),
-                    () -> onSend(held),
+                    () -> beforeSend(held),
                     (result, error) -> onResult(held, result, error));
         }
 
-        private boolean onSend(Lease held) {
-            if (over || ended || lease.filter(held::equals).isEmpty()) {
+        private boolean beforeSend(ConnectionLease held) {
+            if (completed || ended || lease.filter(held::equals).isEmpty()) {
                 return false;
             }
             sent = held.connection().isOpen();
             sentMs = context.nowMs();
-            sentEpoch = context.epoch();
+            sentEpoch = context.clockEpoch();
             if (statement.kind() != ForwardedStatement.Kind.READ) {
-                context.placement().service(route.service()).writesSentMs.put(unit.id, sentMs);
+                context.placement().service(route.service()).writesSentMs.put(connectionRequest.id, sentMs);
             }
             return true;
         }
 
-        private void onResult(Lease held, SqlResult result, Throwable error) {
-            context.placement().service(route.service()).writesSentMs.remove(unit.id);
+        private void onResult(ConnectionLease held, SqlResult result, Throwable error) {
+            context.placement().service(route.service()).writesSentMs.remove(connectionRequest.id);
             String instanceId = held.instance().instanceId();
             boolean commit = statement.kind() == ForwardedStatement.Kind.COMMIT;
             if (error != null) {
                 held.discard();
                 lease = Optional.empty();
-                if (over) {
+                if (completed) {
                     return;
                 }
                 String reason = timedOut
                         ? "no answer within " + route.statementTimeoutMs() + " ms"
                         : FailureException.of(error).getMessage();
-                end(commit && sent ? SqlError.IN_DOUBT : SqlError.ABORTED, instanceId, reason);
+                fail(commit && sent ? SqlError.IN_DOUBT : SqlError.ABORTED, instanceId, reason);
                 return;
             }
             held.link().onServed(context.nowMs() - sentMs);
-            if (over && !commit) {
+            if (completed && !commit) {
                 return;
             }
             if (!result.isSuccess()) {
@@ -249,13 +249,13 @@
                 return;
             }
             if (statement.kind() == ForwardedStatement.Kind.WRITE) {
-                wrote = true;
+                hasWrites = true;
             }
             if (!commit) {
-                if (isPrimaryOnly()) {
+                if (needsPrimary()) {
                     onProof(held, result);
                 }
-                finish(result.withState(TransactionState.OPEN), instanceId, "");
+                complete(result.withState(TransactionState.OPEN), instanceId, "");
                 return;
             }
             lease = Optional.empty();
@@ -264,17 +264,17 @@
             } else {
                 held.discard();
             }
-            if (wrote) {
+            if (hasWrites) {
                 onProof(held, result);
-                result.position().ifPresent(position -> session.raiseFloor(route.service(), position));
+                result.position().ifPresent(position -> session.raiseMinPosition(route.service(), position));
             }
-            finish(result.withState(TransactionState.IDLE), instanceId, "");
+            complete(result.withState(TransactionState.IDLE), instanceId, "");
         }
 
-        private void onError(Lease held, SqlResult result, boolean commit) {
+        private void onError(ConnectionLease held, SqlResult result, boolean commit) {
             if (result.hasError(SqlError.BUSY) && result.state() == TransactionState.OPEN && !timedOut && !ended) {
                 context.onRetry(RetryReason.BUSY);
-                context.schedule(() -> sendAgain(held), BUSY_RETRY_MS);
+                context.schedule(() -> resend(held), BUSY_RETRY_MS);
                 return;
             }
             lease = Optional.empty();
@@ -284,33 +284,34 @@
                 context.placement().onNotPrimary(held.instance().instanceId());
             }
             boolean certain = error.isNotRun() || !commit;
-            end(certain ? SqlError.ABORTED : error, held.instance().instanceId(), error + " " + result.detail());
+            fail(certain ? SqlError.ABORTED : error, held.instance().instanceId(), error + " " + result.detail());
         }
 
-        private void sendAgain(Lease held) {
-            if (held.connection().isOpen() && !over && !ended) {
+        private void resend(ConnectionLease held) {
+            if (held.connection().isOpen() && !completed && !ended) {
                 send(held);
             } else {
                 onResult(held, null, new FailureException(FailureType.CONNECTION_LOST, "closed before a repetition"));
             }
         }
 
-        private void onProof(Lease held, SqlResult result) {
+        private void onProof(ConnectionLease held, SqlResult result) {
             LogPosition position = result.position().orElse(LogPosition.NONE);
             context.placement().onProof(held.instance(), sentMs, sentEpoch, position);
         }
 
-        private void end(SqlError error, String instanceId, String reason) {
+        private void fail(SqlError error, String instanceId, String reason) {
             boolean commit = statement.kind() == ForwardedStatement.Kind.COMMIT;
             TransactionState next = commit ? TransactionState.IDLE : TransactionState.FAILED;
-            finish(SqlResult.failure(error, "", next), instanceId, reason);
+            complete(SqlResult.failure(error, "", next), instanceId, reason);
         }
 
-        private void finish(SqlResult result, String instanceId, String reason) {
-            if (!over) {
-                over = true;
-                context.record(statement.request().id(), route, instanceId, unit.arrivedMs, result, reason);
-                session.finish(this, result);
+        private void complete(SqlResult result, String instanceId, String reason) {
+            if (!completed) {
+                completed = true;
+                context.record(
+                        statement.request().id(), route, instanceId, connectionRequest.arrivedMs, result, reason);
+                session.complete(this, result);
             }
         }
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRun.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementSender.java
@@ -11,8 +11,8 @@
 import org.hornbeamspread.core.sql.SqlStatement.PreparedDefinition;
 
 /** Sends a statement on a leased connection, behind what the connection must hold for its session. */
-final class StatementRun {
-    private StatementRun() {}
+final class StatementSender {
+    private StatementSender() {}
 
     /**
      * Runs one statement, as soon as the database's gate lets it through.
@@ -24,7 +24,7 @@
      * @param end told the statement's result, or why there is none
      */
     static void send(
-            Lease lease,
+            ConnectionLease lease,
             ClientSession session,
             SqlRequest request,
             PreparedDefinition shape,
@@ -46,7 +46,7 @@
     }
 
     private static void sendNow(
-            Lease lease,
+            ConnectionLease lease,
             ClientSession session,
             SqlRequest request,
             PreparedDefinition shape,
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemWatch.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemWatch.java
@@ -146,13 +146,13 @@
                 .setLeaderTerm(leaderTerm)
                 .setSystemVersion(systemVersion)
                 .setConfigurationVersion(configuration.version())
-                .setPositionsWanted(engine.wantsPositions())
+                .setPositionsWanted(engine.needsSharedPositions())
                 .setDraining(!engine.isReady() && engine.view().isLoaded());
-        engine.sightings()
+        engine.primaryHealth()
                 .forEach(seen -> question.addObservations(PrimaryObservation.newBuilder()
                         .setInstanceId(seen.instanceId())
-                        .setSinceSuccessMs((int) seen.sinceProofMs())
-                        .setOldestWriteMs((int) seen.oldestWriteMs())
+                        .setSinceSuccessMs((int) seen.sinceLastProofMs())
+                        .setOldestWriteMs((int) seen.oldestPendingWriteMs())
                         .setUnreachableMs((int) seen.unreachableMs())));
         askedMs = clock.millis();
         askedEpoch = engine.clockEpoch();
@@ -167,7 +167,7 @@
                     new FailureException(FailureType.NOT_LEADER, ""));
             return;
         }
-        engine.onControlHeard(true);
+        engine.onControlReachability(true);
         if (!inTouch) {
             inTouch = true;
             events.record("control_regained", "leader_term", update.getLeaderTerm());
@@ -201,7 +201,7 @@
                     askedEpoch,
                     Envelopes.position(shared.getPosition()));
         }
-        if (engine.wantsPositions()) {
+        if (engine.needsSharedPositions()) {
             loop.schedule(this::ask, POSITIONS_PAUSE_MS, TimeUnit.MILLISECONDS);
         } else {
             ask();
@@ -235,7 +235,7 @@
         boolean redirected = failure.type() == FailureType.NOT_LEADER
                 && !failure.detail().isEmpty()
                 && failure.detail().contains(":");
-        engine.onControlHeard(false);
+        engine.onControlReachability(false);
         connection.ifPresent(PeerConnection::close);
         connection = Optional.empty();
         Optional<Endpoint> previous = leader;
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/DarkInstanceTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/DarkInstanceTest.java
@@ -24,32 +24,34 @@
      */
     @Test
     void readsGoToTheInstancesThatAnswer() {
-        stream(EngineHarness.SYNC, 100);
-        darken(harness.near);
-        List<Client> clients = stream(EngineHarness.SYNC, 400);
+        stream(EngineHarness.READ_YOUR_WRITES_ROUTE, 100);
+        darken(harness.nearReplica);
+        List<Client> clients = stream(EngineHarness.READ_YOUR_WRITES_ROUTE, 400);
         harness.run(1_000);
 
-        assertThat(clients.stream().filter(client -> client.waitedMs() <= 100).count())
+        assertThat(clients.stream()
+                        .filter(client -> client.replyTimeMs() <= 100)
+                        .count())
                 .isAtLeast(380);
-        clients.forEach(client -> assertThat(client.last().isSuccess()).isTrue());
+        clients.forEach(client -> assertThat(client.lastReply().isSuccess()).isTrue());
     }
 
     @Test
     void aReadThatHangsAtADarkInstanceIsRunElsewhereBeforeItsTimeout() {
-        stream(EngineHarness.SYNC, 100);
-        harness.near.silent = true;
-        Client client = harness.open(EngineHarness.SYNC).send("hanging", new Read("item"));
+        stream(EngineHarness.READ_YOUR_WRITES_ROUTE, 100);
+        harness.nearReplica.silent = true;
+        Client client = harness.open(EngineHarness.READ_YOUR_WRITES_ROUTE).send("hanging", new Read("item"));
         harness.run(600);
 
-        assertThat(client.last().isSuccess()).isTrue();
-        assertThat(FakeDatabase.ids(harness.near.runs)).doesNotContain("hanging");
+        assertThat(client.lastReply().isSuccess()).isTrue();
+        assertThat(FakeDatabase.ids(harness.nearReplica.runs)).doesNotContain("hanging");
     }
 
     @Test
     void aTransactionWhoseBeginHangsAtADarkInstanceIsBegunElsewhere() {
-        stream(EngineHarness.SYNC, 100);
-        harness.near.silent = true;
-        Client client = harness.open(EngineHarness.SYNC).send("b", new Begin(true));
+        stream(EngineHarness.READ_YOUR_WRITES_ROUTE, 100);
+        harness.nearReplica.silent = true;
+        Client client = harness.open(EngineHarness.READ_YOUR_WRITES_ROUTE).send("b", new Begin(true));
         client.send("s", new Read("item"));
         harness.run(600);
         client.send("c", new Commit());
@@ -62,69 +64,69 @@
     /** Until its timeout a write may have run; it is neither repeated nor denied. */
     @Test
     void aWriteThatWasSentToADarkInstanceIsNotRepeated() {
-        stream(EngineHarness.TOPUP, 20);
+        stream(EngineHarness.PRIMARY_ROUTE, 20);
         harness.primary.silent = true;
-        Client client = harness.open(EngineHarness.TOPUP).send("w", new Write("item", "5"));
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("w", new Write("item", "5"));
         harness.run(700);
         assertThat(client.replies).isEmpty();
         harness.run(200);
 
-        assertThat(client.last().error()).hasValue(SqlError.IN_DOUBT);
+        assertThat(client.lastReply().error()).hasValue(SqlError.IN_DOUBT);
     }
 
     /** A primary is dark for seven seconds; each unit that found out held a connection for the time of an attempt. */
     @Test
     void whileThePrimaryIsDarkWritesAreRefusedSoon() {
-        stream(EngineHarness.TOPUP, 20);
+        stream(EngineHarness.PRIMARY_ROUTE, 20);
         darken(harness.primary);
-        stream(EngineHarness.TOPUP, 100);
-        List<Client> clients = stream(EngineHarness.TOPUP, 600);
+        stream(EngineHarness.PRIMARY_ROUTE, 100);
+        List<Client> clients = stream(EngineHarness.PRIMARY_ROUTE, 600);
         harness.run(1_000);
 
-        clients.forEach(client -> assertThat(client.waitedMs()).isAtMost(200));
+        clients.forEach(client -> assertThat(client.replyTimeMs()).isAtMost(200));
     }
 
     /** The times of attempts in vain were taken for the database's pace, and refused work for seconds after its return. */
     @Test
     void onceThePrimaryIsBackWritesAreServed() {
-        stream(EngineHarness.TOPUP, 20);
+        stream(EngineHarness.PRIMARY_ROUTE, 20);
         darken(harness.primary);
-        stream(EngineHarness.TOPUP, 500);
+        stream(EngineHarness.PRIMARY_ROUTE, 500);
         harness.primary.dark = false;
         harness.run(1_100);
-        List<Client> clients = stream(EngineHarness.TOPUP, 100);
+        List<Client> clients = stream(EngineHarness.PRIMARY_ROUTE, 100);
         harness.run(1_000);
 
-        clients.forEach(client -> assertThat(client.last().isSuccess()).isTrue());
+        clients.forEach(client -> assertThat(client.lastReply().isSuccess()).isTrue());
     }
 
     /** Units whose turn did not come in time were dropped from the queue and hung until their timeout. */
     @Test
     void aUnitThatCanNoMoreStartInTimeIsRefusedThen() {
-        harness.load(2, 4, 1);
+        harness.loadConfiguration(2, 4, 1);
         harness.primary.workMs = 5;
-        stream(EngineHarness.TOPUP, 50);
-        Client holder = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
+        stream(EngineHarness.PRIMARY_ROUTE, 50);
+        Client holder = harness.open(EngineHarness.PRIMARY_ROUTE).send("b", new Begin(false));
         holder.send("s", new Read("item"));
         harness.run(50);
-        Client waiting = harness.open(EngineHarness.TOPUP).send("w", new Write("item", "5"));
+        Client waiting = harness.open(EngineHarness.PRIMARY_ROUTE).send("w", new Write("item", "5"));
         harness.run(200);
 
-        assertThat(waiting.last().error()).hasValue(SqlError.BUSY);
+        assertThat(waiting.lastReply().error()).hasValue(SqlError.BUSY);
     }
 
     /** The near instance's only connection is held by a transaction whose client thinks; the others idle. */
     @Test
     void aReadThatWouldWaitTooLongIsServedWhereThereIsRoom() {
-        harness.load(2, 4, 1);
-        stream(EngineHarness.SYNC, 20);
-        Client holder = harness.open(EngineHarness.SYNC).send("b", new Begin(true));
+        harness.loadConfiguration(2, 4, 1);
+        stream(EngineHarness.READ_YOUR_WRITES_ROUTE, 20);
+        Client holder = harness.open(EngineHarness.READ_YOUR_WRITES_ROUTE).send("b", new Begin(true));
         holder.send("s", new Read("item"));
         harness.run(50);
-        Client client = harness.open(EngineHarness.SYNC).send("r", new Read("item"));
+        Client client = harness.open(EngineHarness.READ_YOUR_WRITES_ROUTE).send("r", new Read("item"));
         run(700);
 
-        assertThat(client.last().isSuccess()).isTrue();
+        assertThat(client.lastReply().isSuccess()).isTrue();
     }
 
     /** In steps that are no jump of the clock. */
@@ -142,7 +144,8 @@
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < requests; i++) {
             Client client = harness.open(route);
-            client.send(route + i, route.equals(EngineHarness.TOPUP) ? new Write("item", "5") : new Read("item"));
+            client.send(
+                    route + i, route.equals(EngineHarness.PRIMARY_ROUTE) ? new Write("item", "5") : new Read("item"));
             clients.add(client);
             harness.run(GAP_MS);
         }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/EngineHarness.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/EngineHarness.java
@@ -23,19 +23,19 @@
 
 /** An engine before one primary and two replicas, on a paused clock. */
 final class EngineHarness {
-    static final String TOPUP = "topup";
-    static final String BALANCE = "balance";
-    static final String SYNC = "fieldsync";
+    static final String PRIMARY_ROUTE = "topup";
+    static final String BOUNDED_STALENESS_ROUTE = "balance";
+    static final String READ_YOUR_WRITES_ROUTE = "fieldsync";
 
     final ManualClock clock = new ManualClock();
     final ManualClock timeOfDay = new ManualClock();
     final ManualExecutor executor = new ManualExecutor(clock);
     final FakeDatabase primary = new FakeDatabase("p", 1, executor);
-    final FakeDatabase near = new FakeDatabase("a", 2, executor);
-    final FakeDatabase far = new FakeDatabase("b", 3, executor);
-    final List<FakeDatabase> databases = List.of(primary, near, far);
+    final FakeDatabase nearReplica = new FakeDatabase("a", 2, executor);
+    final FakeDatabase farReplica = new FakeDatabase("b", 3, executor);
+    final List<FakeDatabase> databases = List.of(primary, nearReplica, farReplica);
     final SessionEngine engine;
-    private SystemView loaded = SystemView.NONE;
+    private SystemView view = SystemView.NONE;
 
     EngineHarness() {
         primary.primary = true;
@@ -54,38 +54,50 @@
                 executor,
                 EventLog.NONE,
                 new PrometheusRegistry());
-        load(1, 28, 1);
+        loadConfiguration(1, 28, 1);
     }
 
     /** Loads a configuration with the three routes. */
-    void load(long version, int maxConnections, int proxies) {
-        load(
+    void loadConfiguration(long version, int maxConnections, int proxies) {
+        loadConfiguration(
                 version,
                 List.of(
-                        new Route("1", TOPUP, FakeDatabase.SERVICE, RouteKind.PRIMARY, 0, 800, 250, 0),
+                        new Route("1", PRIMARY_ROUTE, FakeDatabase.SERVICE, RouteKind.PRIMARY, 0, 800, 250, 0),
                         new Route(
-                                "2", BALANCE, FakeDatabase.SERVICE, RouteKind.BOUNDED_STALENESS, 1, 1_200, 500, 1_500),
-                        new Route("3", SYNC, FakeDatabase.SERVICE, RouteKind.READ_YOUR_WRITES, 2, 800, 1_000, 2_500)),
+                                "2",
+                                BOUNDED_STALENESS_ROUTE,
+                                FakeDatabase.SERVICE,
+                                RouteKind.BOUNDED_STALENESS,
+                                1,
+                                1_200,
+                                500,
+                                1_500),
+                        new Route(
+                                "3",
+                                READ_YOUR_WRITES_ROUTE,
+                                FakeDatabase.SERVICE,
+                                RouteKind.READ_YOUR_WRITES,
+                                2,
+                                800,
+                                1_000,
+                                2_500)),
                 maxConnections,
                 proxies);
     }
 
-    void load(long version, List<Route> routes, int maxConnections, int proxies) {
+    void loadConfiguration(long version, List<Route> routes, int maxConnections, int proxies) {
         RouteConfiguration configuration = new RouteConfiguration(
                 version, routes, List.of(new RoutedService(FakeDatabase.SERVICE, maxConnections, 1)), 3_000);
         List<DatabaseInstance> instances =
                 databases.stream().map(FakeDatabase::instance).toList();
-        loaded = SystemView.of(configuration, instances, Map.of(), proxies);
-        engine.onView(loaded);
+        view = SystemView.of(configuration, instances, Map.of(), proxies);
+        engine.onView(view);
     }
 
     /** Control tells that it has promoted a database. */
-    void promoted(FakeDatabase database) {
+    void announcePromotion(FakeDatabase database) {
         engine.onView(SystemView.of(
-                loaded.configuration(),
-                loaded.instances(),
-                Map.of(FakeDatabase.SERVICE, database.id),
-                loaded.proxies()));
+                view.configuration(), view.instances(), Map.of(FakeDatabase.SERVICE, database.id), view.proxies()));
     }
 
     void run(long forMs) {
@@ -107,7 +119,7 @@
     }
 
     /** A client that keeps what it is told. */
-    static final class Client implements ClientPort {
+    static final class Client implements ClientConnection {
         private final ManualClock clock;
         private long sentMs;
         private long repliedMs;
@@ -122,7 +134,7 @@
         }
 
         /** From the last request to the last reply; without end while that is missing. */
-        long waitedMs() {
+        long replyTimeMs() {
             return repliedMs < sentMs ? Long.MAX_VALUE : repliedMs - sentMs;
         }
 
@@ -154,7 +166,7 @@
             return this;
         }
 
-        SqlResult last() {
+        SqlResult lastReply() {
             return replies.get(replies.size() - 1);
         }
     }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/FullDatabaseTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/FullDatabaseTest.java
@@ -23,13 +23,13 @@
 
     @Test
     void whatConnectionsThereAreAreUsed() {
-        harness.load(2, 28, 3);
+        harness.loadConfiguration(2, 28, 3);
         harness.primary.connectionLimit = 2;
         harness.primary.workMs = 4;
         List<Client> clients = stream(100);
         run(1_000);
 
-        clients.forEach(client -> assertThat(client.last().isSuccess()).isTrue());
+        clients.forEach(client -> assertThat(client.lastReply().isSuccess()).isTrue());
         assertThat(harness.primary.opened).isEqualTo(2);
     }
 
@@ -38,18 +38,18 @@
         harness.primary.connectionLimit = 0;
         List<Client> refused = stream(200);
         run(200);
-        refused.forEach(client -> assertThat(client.last().error()).hasValue(SqlError.BUSY));
+        refused.forEach(client -> assertThat(client.lastReply().error()).hasValue(SqlError.BUSY));
         harness.primary.connectionLimit = 28;
         run(300);
         List<Client> served = stream(100);
         run(300);
 
-        served.forEach(client -> assertThat(client.last().isSuccess()).isTrue());
+        served.forEach(client -> assertThat(client.lastReply().isSuccess()).isTrue());
     }
 
     @Test
     void onceThereIsRoomTheProxyTakesItsPart() {
-        harness.load(2, 28, 3);
+        harness.loadConfiguration(2, 28, 3);
         harness.primary.connectionLimit = 1;
         stream(50);
         harness.primary.connectionLimit = 28;
@@ -67,7 +67,7 @@
         assertThat(harness.primary.open.size()).isAtLeast(6);
         harness.primary.workMs = 4;
         for (int i = 0; i < 300; i++) {
-            harness.open(EngineHarness.TOPUP).send("slow" + i, new Write("item", "5"));
+            harness.open(EngineHarness.PRIMARY_ROUTE).send("slow" + i, new Write("item", "5"));
             run(GAP_MS);
         }
 
@@ -78,7 +78,7 @@
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < steps; i++) {
             for (int j = 0; j < AT_ONCE; j++) {
-                clients.add(harness.open(EngineHarness.TOPUP).send("w" + i + "-" + j, new Write("item", "5")));
+                clients.add(harness.open(EngineHarness.PRIMARY_ROUTE).send("w" + i + "-" + j, new Write("item", "5")));
             }
             run(GAP_MS);
         }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
@@ -30,12 +30,12 @@
     private final EngineHarness harness = new EngineHarness();
 
     @Test
-    void aWriteRunsAtThePrimaryWithItsIdAndIsSigned() {
-        Client client = harness.open(EngineHarness.TOPUP).send("w1", new Write("item", "5"));
+    void aWriteRunsAtThePrimaryUnderItsRequestIdAndReturnsASignature() {
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("w1", new Write("item", "5"));
         harness.run(100);
 
-        assertThat(client.last().signature()).isEqualTo("signed-p");
-        assertThat(client.last().state()).isEqualTo(TransactionState.IDLE);
+        assertThat(client.lastReply().signature()).isEqualTo("signed-p");
+        assertThat(client.lastReply().state()).isEqualTo(TransactionState.IDLE);
         assertThat(FakeDatabase.ids(harness.primary.runs)).containsExactly("w1");
     }
 
@@ -45,72 +45,72 @@
     }
 
     @Test
-    void aReadOfAPrimaryRouteRunsWhereAPlainTransactionIsAccepted() {
-        Client client = harness.open(EngineHarness.TOPUP).send("r1", new Read("item"));
+    void aReadOfAPrimaryRouteRunsInAReadWriteTransactionOnThePrimary() {
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("r1", new Read("item"));
         harness.run(100);
 
-        assertThat(client.last().isSuccess()).isTrue();
+        assertThat(client.lastReply().isSuccess()).isTrue();
         assertThat(harness.primary.runs.get(0).transaction()).containsExactly("r1");
     }
 
     /** The proxy has not heard of a promotion yet: the deposed primary refuses, and nothing runs there. */
     @Test
-    void aReadOfAPrimaryRouteNeverRunsOnADeposedPrimary() {
+    void aReadOfAPrimaryRouteNeverRunsOnADemotedPrimary() {
         harness.primary.primary = false;
-        harness.near.primary = true;
-        Client client = harness.open(EngineHarness.TOPUP).send("r1", new Read("item"));
+        harness.nearReplica.primary = true;
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("r1", new Read("item"));
         harness.run(400);
 
         assertThat(harness.primary.runs).isEmpty();
-        assertThat(client.last().error()).hasValue(SqlError.BUSY);
-        harness.load(2, 28, 1);
+        assertThat(client.lastReply().error()).hasValue(SqlError.BUSY);
+        harness.loadConfiguration(2, 28, 1);
         client.send("r2", new Read("item"));
         harness.run(200);
-        assertThat(client.last().isSuccess()).isTrue();
-        assertThat(harness.near.runs.get(0).onPrimary()).isTrue();
+        assertThat(client.lastReply().isSuccess()).isTrue();
+        assertThat(harness.nearReplica.runs.get(0).onPrimary()).isTrue();
     }
 
     @Test
-    void aBoundedReadRunsOnAReplicaThatHoldsTheSampledPosition() {
+    void aBoundedStalenessReadRunsOnAReplicaThatHoldsTheSampledPosition() {
         harness.primary.entries = 50;
-        harness.near.entries = 49;
-        harness.far.entries = 50;
-        Client client = harness.open(EngineHarness.BALANCE).send("r1", new Read("item"));
+        harness.nearReplica.entries = 49;
+        harness.farReplica.entries = 50;
+        Client client = harness.open(EngineHarness.BOUNDED_STALENESS_ROUTE).send("r1", new Read("item"));
         harness.run(300);
 
-        assertThat(client.last().isSuccess()).isTrue();
-        assertThat(harness.near.runs).isEmpty();
+        assertThat(client.lastReply().isSuccess()).isTrue();
+        assertThat(harness.nearReplica.runs).isEmpty();
     }
 
     @Test
-    void noReplicaIsReadOnceTheClockCantTellTheAgeOfASample() {
-        Client client = harness.open(EngineHarness.BALANCE).send("r1", new Read("item"));
+    void noReplicaIsReadAfterAClockJumpInvalidatesTheSamples() {
+        Client client = harness.open(EngineHarness.BOUNDED_STALENESS_ROUTE).send("r1", new Read("item"));
         harness.run(100);
-        assertThat(client.last().isSuccess()).isTrue();
+        assertThat(client.lastReply().isSuccess()).isTrue();
         harness.primary.reachable = false;
         harness.primary.resetConnections();
         harness.timeOfDay.advance(Duration.ofSeconds(5));
         client.send("r2", new Read("item"));
         harness.run(1_300);
 
-        assertThat(client.last().error()).hasValue(SqlError.BUSY);
+        assertThat(client.lastReply().error()).hasValue(SqlError.BUSY);
     }
 
     @Test
     void aSessionReadsItsOwnWrite() {
-        harness.open(EngineHarness.BALANCE).send("r0", new Read("item"));
+        harness.open(EngineHarness.BOUNDED_STALENESS_ROUTE).send("r0", new Read("item"));
         harness.run(100);
-        Client client = harness.open(EngineHarness.SYNC).send("w1", new Write("item", "5"));
+        Client client = harness.open(EngineHarness.READ_YOUR_WRITES_ROUTE).send("w1", new Write("item", "5"));
         harness.run(100);
         client.send("r1", new Read("item"));
         harness.run(300);
 
-        assertThat(client.last().signature()).isEqualTo("signed-p");
+        assertThat(client.lastReply().signature()).isEqualTo("signed-p");
     }
 
     @Test
     void aTransactionStaysOnOneConnection() {
-        Client client = harness.open(EngineHarness.TOPUP)
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE)
                 .send("b", new Begin(false))
                 .send("s1", new Read("item"))
                 .send("s2", new Write("item", "5"))
@@ -118,20 +118,20 @@
         harness.run(200);
 
         assertThat(client.replies.get(0).signature()).isEqualTo("-");
-        assertThat(client.last().isSuccess()).isTrue();
+        assertThat(client.lastReply().isSuccess()).isTrue();
         assertThat(harness.primary.runs.get(2).transaction())
                 .containsExactly("s1", "s2", "c")
                 .inOrder();
     }
 
     @Test
-    void valuesAndPreparedNamesFollowTheSession() {
-        Client first = harness.open(EngineHarness.TOPUP).send("1", new SetValue("zone", "addis"));
+    void valuesAndPreparedStatementsAreIsolatedBetweenSessions() {
+        Client first = harness.open(EngineHarness.PRIMARY_ROUTE).send("1", new SetValue("zone", "addis"));
         first.send("2", new Prepare("s", new PreparedDefinition(true, "q1")));
         first.send("w1", new Execute("s", "item", Optional.of("5")));
         harness.run(100);
-        Client second =
-                harness.open(EngineHarness.TOPUP).send("3", new Prepare("s", new PreparedDefinition(true, "q2")));
+        Client second = harness.open(EngineHarness.PRIMARY_ROUTE)
+                .send("3", new Prepare("s", new PreparedDefinition(true, "q2")));
         second.send("w2", new Execute("s", "item", Optional.of("6")));
         harness.run(100);
 
@@ -142,57 +142,57 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"s", "other"})
-    void aNameThatIsNotPreparedIsRefused(String name) {
-        Client client =
-                harness.open(EngineHarness.TOPUP).send("1", new Prepare("s", new PreparedDefinition(true, "q")));
+    void executingAnUnknownPreparedStatementIsRefused(String name) {
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE)
+                .send("1", new Prepare("s", new PreparedDefinition(true, "q")));
         client.send("2", new SqlStatement.Deallocate("s"));
         client.send("3", new Execute(name, "item", Optional.of("5")));
 
-        assertThat(client.last().error()).hasValue(SqlError.UNKNOWN_PREPARED);
+        assertThat(client.lastReply().error()).hasValue(SqlError.UNKNOWN_PREPARED);
     }
 
     /** What is known of a write's effect decides the answer. */
     @ParameterizedTest
     @CsvSource({"BUSY, BUSY", "READ_ONLY, BUSY", "FAILED, FAILED", "TIMEOUT, TIMEOUT"})
-    void aWriteThatFailsIsAnsweredWithWhatIsKnown(SqlError met, SqlError told) {
+    void theErrorOfAFailedWriteStatesWhetherItMayHaveRun(SqlError met, SqlError told) {
         harness.primary.fault = request -> request.id().equals("w1") ? Optional.of(met) : Optional.empty();
-        Client client = harness.open(EngineHarness.TOPUP).send("w1", new Write("item", "5"));
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("w1", new Write("item", "5"));
         harness.run(2_000);
 
         assertThat(client.replies).hasSize(1);
-        assertThat(client.last().error()).hasValue(told);
+        assertThat(client.lastReply().error()).hasValue(told);
     }
 
     @Test
-    void aWriteWhoseConnectionBreaksIsInDoubtAndNotRepeated() {
+    void aWriteWhoseConnectionBreaksIsInDoubtAndNotRetried() {
         harness.primary.workMs = 50;
-        Client client = harness.open(EngineHarness.TOPUP).send("w1", new Write("item", "5"));
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("w1", new Write("item", "5"));
         harness.run(20);
         harness.primary.resetConnections();
         harness.run(500);
 
-        assertThat(client.last().error()).hasValue(SqlError.IN_DOUBT);
+        assertThat(client.lastReply().error()).hasValue(SqlError.IN_DOUBT);
         assertThat(harness.primary.runs).isEmpty();
     }
 
     /** A primary goes dark under a read: another question is not answered either, and the read ends before its timeout. */
     @Test
-    void aReadAtAPrimaryThatFellSilentIsNotHeldUntilItsTimeout() {
-        Client client = harness.open(EngineHarness.TOPUP).send("w0", new Write("item", "5"));
+    void aReadAtAnUnresponsivePrimaryEndsBeforeItsTimeout() {
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("w0", new Write("item", "5"));
         harness.run(100);
         harness.primary.silent = true;
         client.send("r1", new Read("item"));
-        harness.open(EngineHarness.BALANCE).send("r2", new Read("item"));
+        harness.open(EngineHarness.BOUNDED_STALENESS_ROUTE).send("r2", new Read("item"));
         harness.run(1_500);
-        harness.open(EngineHarness.BALANCE).send("r3", new Read("item"));
+        harness.open(EngineHarness.BOUNDED_STALENESS_ROUTE).send("r3", new Read("item"));
         harness.run(700);
 
         assertThat(client.replies).hasSize(2);
     }
 
     @Test
-    void aWriteWithoutAnAnswerIsInDoubtAtItsTimeout() {
-        Client client = harness.open(EngineHarness.TOPUP).send("w0", new Write("item", "5"));
+    void aWriteWithoutAResponseIsInDoubtAtItsTimeout() {
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("w0", new Write("item", "5"));
         harness.run(100);
         harness.primary.silent = true;
         client.send("w1", new Write("item", "5"));
@@ -200,124 +200,126 @@
         assertThat(client.replies).hasSize(1);
         harness.run(10);
 
-        assertThat(client.last().error()).hasValue(SqlError.IN_DOUBT);
+        assertThat(client.lastReply().error()).hasValue(SqlError.IN_DOUBT);
     }
 
     @ParameterizedTest
     @EnumSource(
             value = SqlError.class,
             names = {"FAILED", "TIMEOUT", "BUSY"})
-    void aBoundedReadIsTriedElsewhere(SqlError met) {
-        harness.near.fault = request -> request.id().equals("r1") ? Optional.of(met) : Optional.empty();
-        Client client = harness.open(EngineHarness.BALANCE).send("r1", new Read("item"));
+    void aFailedBoundedStalenessReadIsRetriedOnAnotherInstance(SqlError met) {
+        harness.nearReplica.fault = request -> request.id().equals("r1") ? Optional.of(met) : Optional.empty();
+        Client client = harness.open(EngineHarness.BOUNDED_STALENESS_ROUTE).send("r1", new Read("item"));
         harness.run(300);
 
-        assertThat(client.last().isSuccess()).isTrue();
+        assertThat(client.lastReply().isSuccess()).isTrue();
     }
 
     @Test
     void aTransactionWhoseConnectionBreaksBeforeCommitIsAborted() {
-        Client client = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("b", new Begin(false));
         client.send("s1", new Write("item", "5"));
         harness.run(100);
         harness.primary.resetConnections();
         client.send("s2", new Read("item"));
         harness.run(50);
 
-        assertThat(client.last().error()).hasValue(SqlError.ABORTED);
-        assertThat(client.last().state()).isEqualTo(TransactionState.FAILED);
+        assertThat(client.lastReply().error()).hasValue(SqlError.ABORTED);
+        assertThat(client.lastReply().state()).isEqualTo(TransactionState.FAILED);
         client.send("s3", new Read("item"));
-        assertThat(client.last().error()).hasValue(SqlError.MALFORMED);
+        assertThat(client.lastReply().error()).hasValue(SqlError.MALFORMED);
         client.send("e", new Rollback());
-        assertThat(client.last().state()).isEqualTo(TransactionState.IDLE);
+        assertThat(client.lastReply().state()).isEqualTo(TransactionState.IDLE);
     }
 
     @Test
     void aCommitWhoseConnectionBreaksIsInDoubt() {
-        Client client = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("b", new Begin(false));
         client.send("s1", new Write("item", "5"));
         harness.run(100);
         client.send("c", new Commit());
         harness.primary.resetConnections();
         harness.run(50);
 
-        assertThat(client.last().error()).hasValue(SqlError.IN_DOUBT);
-        assertThat(client.last().state()).isEqualTo(TransactionState.IDLE);
+        assertThat(client.lastReply().error()).hasValue(SqlError.IN_DOUBT);
+        assertThat(client.lastReply().state()).isEqualTo(TransactionState.IDLE);
     }
 
     @Test
-    void aStatementThatMeetsNoCapacityInsideATransactionIsSentAgain() {
+    void aStatementRefusedAsBusyInsideATransactionIsRetried() {
         int[] refusals = {3};
         harness.primary.fault = request ->
                 request.id().equals("s2") && refusals[0]-- > 0 ? Optional.of(SqlError.BUSY) : Optional.empty();
-        Client client = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("b", new Begin(false));
         client.send("s1", new Read("item")).send("s2", new Write("item", "5"));
         harness.run(300);
 
-        assertThat(client.last().isSuccess()).isTrue();
-        assertThat(client.last().state()).isEqualTo(TransactionState.OPEN);
+        assertThat(client.lastReply().isSuccess()).isTrue();
+        assertThat(client.lastReply().state()).isEqualTo(TransactionState.OPEN);
     }
 
     @Test
     void anIdleTransactionIsAborted() {
-        Client client = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("b", new Begin(false));
         client.send("s1", new Read("item"));
         harness.run(4_000);
         assertThat(harness.primary.open).hasSize(1);
         client.send("s2", new Read("item"));
 
-        assertThat(client.last().error()).hasValue(SqlError.ABORTED);
+        assertThat(client.lastReply().error()).hasValue(SqlError.ABORTED);
         assertThat(FakeDatabase.ids(harness.primary.runs)).containsExactly("s1");
     }
 
     /** A client that leaves inside a transaction: what it wrote is rolled back before another uses the connection. */
     @Test
-    void aTransactionThatIsAbandonedIsRolledBack() {
-        harness.load(2, 4, 1);
-        Client client = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
+    void aTransactionIsRolledBackWhenItsClientDisconnects() {
+        harness.loadConfiguration(2, 4, 1);
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("b", new Begin(false));
         client.send("s1", new Write("item", "5"));
         harness.run(100);
         client.session.orElseThrow().onClosed();
-        Client other = harness.open(EngineHarness.TOPUP).send("w2", new Write("item", "6"));
+        Client other = harness.open(EngineHarness.PRIMARY_ROUTE).send("w2", new Write("item", "6"));
         harness.run(100);
 
-        assertThat(other.last().isSuccess()).isTrue();
+        assertThat(other.lastReply().isSuccess()).isTrue();
         assertThat(harness.primary.opened).isEqualTo(1);
         assertThat(harness.primary.runs.get(1).transaction()).isEmpty();
     }
 
     /** Found by fleetbench score ujaas-core trouble-1: the statement waited for its turn while its client left. */
     @Test
-    void aStatementThatWaitsForItsTurnIsNotSentOnceItsClientHasLeft() {
-        harness.load(2, 28, 90);
+    void aQueuedStatementIsNotSentAfterItsClientDisconnects() {
+        harness.loadConfiguration(2, 28, 90);
         harness.primary.workMs = 100;
-        Client leaving = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
+        Client leaving = harness.open(EngineHarness.PRIMARY_ROUTE).send("b", new Begin(false));
         leaving.send("s1", new Read("item"));
         harness.run(150);
-        harness.load(3, 280, 6);
+        harness.loadConfiguration(3, 280, 6);
         List<Client> busy = List.of(
-                harness.open(EngineHarness.TOPUP).send("w1", new Write("item", "1")),
-                harness.open(EngineHarness.TOPUP).send("w2", new Write("item", "1")),
-                harness.open(EngineHarness.TOPUP).send("w3", new Write("item", "1")));
+                harness.open(EngineHarness.PRIMARY_ROUTE).send("w1", new Write("item", "1")),
+                harness.open(EngineHarness.PRIMARY_ROUTE).send("w2", new Write("item", "1")),
+                harness.open(EngineHarness.PRIMARY_ROUTE).send("w3", new Write("item", "1")));
         harness.run(10);
         leaving.send("s2", new Read("item"));
         harness.run(10);
         leaving.session.orElseThrow().onClosed();
         harness.run(500);
 
-        busy.forEach(client -> assertThat(client.last().isSuccess()).isTrue());
+        busy.forEach(client -> assertThat(client.lastReply().isSuccess()).isTrue());
         assertThat(FakeDatabase.ids(harness.primary.runs)).containsExactly("s1", "w1", "w2", "w3");
     }
 
     @Test
-    void aChangeOfTheNumberOfProxiesDoesNotOpenMoreThanThePart() {
-        harness.load(2, 15, 3);
+    void changesOfTheProxyCountNeverExceedTheShareOfConnections() {
+        harness.loadConfiguration(2, 15, 3);
         for (int i = 0; i < 20; i++) {
-            harness.open(EngineHarness.TOPUP).send("b" + i, new Begin(false)).send("s" + i, new Read("item"));
+            harness.open(EngineHarness.PRIMARY_ROUTE)
+                    .send("b" + i, new Begin(false))
+                    .send("s" + i, new Read("item"));
         }
         harness.run(50);
         for (int version = 3; version < 20; version++) {
-            harness.load(version, 15, 3 + version % 2);
+            harness.loadConfiguration(version, 15, 3 + version % 2);
             harness.run(5);
         }
 
@@ -327,45 +329,45 @@
     @Test
     void withoutAPrimaryAWriteIsRefusedAsNotRunAfterAShortWait() {
         harness.primary.reachable = false;
-        Client client = harness.open(EngineHarness.TOPUP).send("w1", new Write("item", "5"));
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("w1", new Write("item", "5"));
         harness.run(200);
 
-        assertThat(client.last().error()).hasValue(SqlError.BUSY);
+        assertThat(client.lastReply().error()).hasValue(SqlError.BUSY);
     }
 
     @Test
-    void aDroppedRouteHoldsFromTheNextStatement() {
-        Client client = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
+    void aRemovedRouteIsRefusedFromTheNextStatementAfterATransaction() {
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("b", new Begin(false));
         client.send("s1", new Read("item"));
         harness.run(100);
-        harness.load(2, List.of(), 28, 1);
+        harness.loadConfiguration(2, List.of(), 28, 1);
         client.send("c", new Commit());
         harness.run(100);
-        assertThat(client.last().isSuccess()).isTrue();
+        assertThat(client.lastReply().isSuccess()).isTrue();
         client.send("r", new Read("item"));
 
-        assertThat(client.last().error()).hasValue(SqlError.UNKNOWN_DATABASE);
+        assertThat(client.lastReply().error()).hasValue(SqlError.UNKNOWN_DATABASE);
     }
 
     @Test
-    void aDrainKeepsSessionsUntilTheBalancerHasNoticedAndThenClosesThem() {
-        Client idle = harness.open(EngineHarness.TOPUP);
-        Client inTransaction = harness.open(EngineHarness.TOPUP).send("b", new Begin(false));
+    void aDrainKeepsSessionsUntilTheLoadBalancerDetectsItAndThenClosesThem() {
+        Client idle = harness.open(EngineHarness.PRIMARY_ROUTE);
+        Client inTransaction = harness.open(EngineHarness.PRIMARY_ROUTE).send("b", new Begin(false));
         inTransaction.send("s1", new Read("item"));
         harness.run(100);
         harness.engine.drain(6_000);
         assertThat(harness.engine.isReady()).isFalse();
         harness.run(2_100);
         assertThat(idle.closed).isFalse();
-        Client late = harness.open(EngineHarness.TOPUP);
+        Client late = harness.open(EngineHarness.PRIMARY_ROUTE);
         assertThat(late.accepted).isTrue();
         harness.run(1_000);
 
         assertThat(idle.closed).isTrue();
         assertThat(late.closed).isTrue();
-        assertThat(harness.open(EngineHarness.TOPUP).refusal).hasValue(SqlError.BUSY);
+        assertThat(harness.open(EngineHarness.PRIMARY_ROUTE).refusal).hasValue(SqlError.BUSY);
         inTransaction.send("c", new Commit());
-        assertThat(inTransaction.last().error()).hasValue(SqlError.ABORTED);
+        assertThat(inTransaction.lastReply().error()).hasValue(SqlError.ABORTED);
         assertThat(inTransaction.closed).isTrue();
         assertThat(harness.engine.isDrained()).isTrue();
     }
@@ -376,9 +378,9 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aProxyWithNeitherControlNorAPrimaryIsNotReadyAndSendsItsSessionsAway(boolean reachable) {
-        Client client = harness.open(EngineHarness.TOPUP);
-        harness.engine.onControlHeard(false);
+    void aProxyWithNeitherControlNorAPrimaryIsNotReadyAndClosesItsSessions(boolean reachable) {
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE);
+        harness.engine.onControlReachability(false);
         harness.primary.reachable = reachable;
         harness.primary.primary = !reachable;
         client.send("w0", new Write("item", "5"));
@@ -395,50 +397,50 @@
 
     @Test
     void withoutControlAProxyFindsThePromotedInstanceByItself() {
-        Client client = harness.open(EngineHarness.TOPUP);
-        harness.engine.onControlHeard(false);
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE);
+        harness.engine.onControlReachability(false);
         harness.primary.primary = false;
-        harness.far.primary = true;
+        harness.farReplica.primary = true;
         client.send("w1", new Write("item", "5"));
         harness.run(300);
 
-        assertThat(client.last().isSuccess()).isTrue();
+        assertThat(client.lastReply().isSuccess()).isTrue();
         assertThat(harness.engine.isReady()).isTrue();
     }
 
     /** Incident inc1 of ujaas-core: the primary before a promotion acknowledged commits that its successor did not have. */
     @Test
-    void thePrimaryBeforeAPromotionIsNotUsedWhileItsSuccessorTakesOver() {
-        Client client = harness.open(EngineHarness.TOPUP).send("w1", new Write("item", "5"));
+    void theFormerPrimaryIsNotUsedWhileAPromotionIsInProgress() {
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("w1", new Write("item", "5"));
         harness.run(100);
-        harness.promoted(harness.near);
+        harness.announcePromotion(harness.nearReplica);
         client.send("w2", new Write("item", "6"));
         harness.run(300);
         assertThat(FakeDatabase.ids(harness.primary.runs)).containsExactly("w1");
-        assertThat(client.last().error()).hasValue(SqlError.BUSY);
+        assertThat(client.lastReply().error()).hasValue(SqlError.BUSY);
         harness.primary.primary = false;
-        harness.near.primary = true;
+        harness.nearReplica.primary = true;
         client.send("w3", new Write("item", "7"));
         harness.run(200);
 
-        assertThat(client.last().isSuccess()).isTrue();
-        assertThat(FakeDatabase.ids(harness.near.runs)).containsExactly("w3");
+        assertThat(client.lastReply().isSuccess()).isTrue();
+        assertThat(FakeDatabase.ids(harness.nearReplica.runs)).containsExactly("w3");
     }
 
     @Test
-    void withoutControlAloneAProxyGoesOn() {
-        harness.engine.onControlHeard(false);
+    void aProxyKeepsServingWhileOnlyControlIsUnreachable() {
+        harness.engine.onControlReachability(false);
         harness.run(60_000);
 
         assertThat(harness.engine.isReady()).isTrue();
-        Client client = harness.open(EngineHarness.TOPUP).send("w1", new Write("item", "5"));
+        Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("w1", new Write("item", "5"));
         harness.run(100);
-        assertThat(client.last().isSuccess()).isTrue();
+        assertThat(client.lastReply().isSuccess()).isTrue();
     }
 
     @Test
-    void ownStatementsCarryTheSystemsId() {
-        harness.open(EngineHarness.BALANCE).send("r1", new Read("item"));
+    void internalStatementsCarryTheInternalRequestId() {
+        harness.open(EngineHarness.BOUNDED_STALENESS_ROUTE).send("r1", new Read("item"));
         harness.run(300);
 
         harness.databases.forEach(
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionHistoriesTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionHistoriesTest.java
@@ -33,7 +33,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 6})
-    void statementsOfSessionsNeverMix(int proxies) {
+    void statementsRunOnlyInTheirOwnTransactionAndWithTheirOwnValues(int proxies) {
         for (int seed = 0; seed < 60; seed++) {
             new History(seed, proxies).run();
         }
@@ -45,7 +45,7 @@
         Map<String, String> values = new TreeMap<>();
         boolean inTransaction;
         int transactions;
-        int sent;
+        int sentRequests;
 
         Actor(int number) {
             this.number = number;
@@ -64,7 +64,7 @@
 
         private final Map<String, Map<String, String>> valuesById = new HashMap<>();
         private final Map<String, Actor> actorById = new HashMap<>();
-        private int incarnation;
+        private int clientCount;
 
         History(int seed, int proxies) {
             this.seed = seed;
@@ -73,26 +73,28 @@
         }
 
         void run() {
-            harness.load(2, 12, proxies);
-            harness.databases.forEach(database -> database.fault = request ->
-                    random.nextInt(25) == 0 && !request.id().equals("-") ? Optional.of(anyError()) : Optional.empty());
+            harness.loadConfiguration(2, 12, proxies);
+            harness.databases.forEach(database -> database.fault =
+                    request -> random.nextInt(25) == 0 && !request.id().equals("-")
+                            ? Optional.of(randomError())
+                            : Optional.empty());
             for (int i = 0; i < CLIENTS; i++) {
                 actors.add(new Actor(i));
             }
             for (int step = 0; step < STEPS; step++) {
-                disturb();
-                actors.forEach(this::act);
+                injectFault();
+                actors.forEach(this::step);
                 harness.run(random.nextInt(20));
             }
-            check();
+            checkIsolation();
         }
 
-        private SqlError anyError() {
+        private SqlError randomError() {
             SqlError[] errors = {SqlError.BUSY, SqlError.FAILED, SqlError.TIMEOUT, SqlError.REPLICA_LAGGING};
             return errors[random.nextInt(errors.length)];
         }
 
-        private void disturb() {
+        private void injectFault() {
             FakeDatabase database = harness.databases.get(random.nextInt(3));
             switch (random.nextInt(40)) {
                 case 0 -> database.resetConnections();
@@ -101,23 +103,27 @@
                 case 3 -> {
                     harness.databases.forEach(other -> other.primary = other == database);
                     if (random.nextBoolean()) {
-                        harness.load(3, 12, proxies);
+                        harness.loadConfiguration(3, 12, proxies);
                     }
                 }
                 case 4 -> database.reachable = !database.reachable;
-                case 5 -> harness.load(4, 6 + random.nextInt(12), proxies);
+                case 5 -> harness.loadConfiguration(4, 6 + random.nextInt(12), proxies);
                 default -> {}
             }
         }
 
-        private void act(Actor actor) {
+        private void step(Actor actor) {
             if (actor.client == null || actor.client.closed || actor.client.refusal.isPresent()) {
-                String[] routes = {EngineHarness.TOPUP, EngineHarness.BALANCE, EngineHarness.SYNC};
+                String[] routes = {
+                    EngineHarness.PRIMARY_ROUTE,
+                    EngineHarness.BOUNDED_STALENESS_ROUTE,
+                    EngineHarness.READ_YOUR_WRITES_ROUTE
+                };
                 actor.client = harness.open(routes[random.nextInt(routes.length)]);
                 actor.values = new TreeMap<>();
                 actor.inTransaction = false;
-                actor.sent = 0;
-                incarnation++;
+                actor.sentRequests = 0;
+                clientCount++;
                 return;
             }
             if (random.nextInt(60) == 0) {
@@ -125,38 +131,38 @@
                 actor.client.closed = true;
                 return;
             }
-            if (actor.client.replies.size() < actor.sent || random.nextInt(3) == 0) {
+            if (actor.client.replies.size() < actor.sentRequests || random.nextInt(3) == 0) {
                 return;
             }
-            boolean failed = actor.sent > 0 && actor.client.last().state() != TransactionState.OPEN;
+            boolean failed = actor.sentRequests > 0 && actor.client.lastReply().state() != TransactionState.OPEN;
             actor.inTransaction &= !failed;
             send(actor);
         }
 
         private void send(Actor actor) {
-            String id = "s" + seed + "-" + actor.number + "-" + incarnation + "-" + transactionById.size();
-            SqlStatement statement = next(actor);
+            String id = "s" + seed + "-" + actor.number + "-" + clientCount + "-" + transactionById.size();
+            SqlStatement statement = nextStatement(actor);
             if (statement instanceof Begin) {
                 actor.transactions++;
             }
             transactionById.put(id, actor.inTransaction ? actor.number + "/" + actor.transactions : "");
             valuesById.put(id, Map.copyOf(actor.values));
             actorById.put(id, actor);
-            actor.sent++;
+            actor.sentRequests++;
             actor.client.send(id, statement);
-            if (statement instanceof SetValue set && actor.client.last().isSuccess()) {
+            if (statement instanceof SetValue set && actor.client.lastReply().isSuccess()) {
                 actor.values.put(set.name(), set.value());
             }
             if (statement instanceof Begin) {
-                actor.inTransaction = actor.client.last().state() == TransactionState.OPEN;
+                actor.inTransaction = actor.client.lastReply().state() == TransactionState.OPEN;
             }
             if (statement instanceof Commit || statement instanceof Rollback) {
                 actor.inTransaction = false;
             }
         }
 
-        private SqlStatement next(Actor actor) {
-            boolean stuck = actor.sent > 0 && actor.client.last().state() == TransactionState.FAILED;
+        private SqlStatement nextStatement(Actor actor) {
+            boolean stuck = actor.sentRequests > 0 && actor.client.lastReply().state() == TransactionState.FAILED;
             if (stuck) {
                 return new Rollback();
             }
@@ -182,7 +188,7 @@
             }
         }
 
-        private void check() {
+        private void checkIsolation() {
             for (FakeDatabase database : harness.databases) {
                 for (FakeDatabase.Run run : database.runs) {
                     String transaction = transactionById.get(run.id());
