--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/AutocommitStatement.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/AutocommitStatement.java
@@ -14,9 +14,9 @@
 import org.hornbeamspread.core.sql.TransactionState;
 
 /**
- * A read or write outside of a transaction. A read is tried again elsewhere after any failure; a write only after one that
- * proves that it did not run. The reads of primary routes run inside a plain transaction of the proxy's own, which a database
- * that has lost the lead refuses.
+ * A read or write outside of a transaction. A read is retried on another instance after any failure, a write only after a
+ * failure that proves that the write did not run. Reads of primary routes run inside a read-write transaction that the proxy
+ * begins and rolls back, since a database that is no longer the primary refuses such a transaction.
  */
 final class AutocommitStatement implements SessionOperation, ConnectionRequest.Listener {
     private final SessionContext context;
@@ -124,13 +124,13 @@
                 });
     }
 
-    private void send(ConnectionLease granted, SqlRequest request, List<SqlRequest> behind) {
+    private void send(ConnectionLease granted, SqlRequest request, List<SqlRequest> trailing) {
         StatementSender.send(
                 granted,
                 session,
                 request,
                 statement.preparedDefinition().orElse(null),
-                behind,
+                trailing,
                 route.priority(),
                 () -> beforeSend(granted),
                 (result, error) -> onResult(granted, result, error));
@@ -166,8 +166,8 @@
             onConnectionLost(instanceId, FailureException.of(error));
             return;
         }
-        boolean guarded = !isWrite() && connectionRequest.requiredPosition.isEmpty();
-        if (result.state() == TransactionState.IDLE || (guarded && result.isSuccess())) {
+        boolean inReadWriteTransaction = !isWrite() && connectionRequest.requiredPosition.isEmpty();
+        if (result.state() == TransactionState.IDLE || (inReadWriteTransaction && result.isSuccess())) {
             granted.release();
         } else {
             granted.discard();
@@ -202,8 +202,8 @@
             granted.link().onLagging(Math.max(1, route.maxStalenessMs() / 4));
         }
         connectionRequest.triedInstanceIds.add(instanceId);
-        boolean repeatable = error.isNotRun() || !isWrite();
-        if (repeatable && error != SqlError.MALFORMED && !timedOut && !completed) {
+        boolean retryable = error.isNotRun() || !isWrite();
+        if (retryable && error != SqlError.MALFORMED && !timedOut && !completed) {
             context.placement().retry(connectionRequest, RetryReason.of(error));
         } else {
             complete(result.withState(TransactionState.IDLE), instanceId, result.detail());
@@ -216,9 +216,9 @@
             context.placement().retry(connectionRequest, RetryReason.CONNECTION_LOST);
             return;
         }
-        SqlError lost = isWrite() ? SqlError.IN_DOUBT : SqlError.TIMEOUT;
-        SqlError error = sent ? lost : SqlError.BUSY;
-        String reason = timedOut ? "no answer within " + route.statementTimeoutMs() + " ms" : failure.getMessage();
+        SqlError connectionError = isWrite() ? SqlError.IN_DOUBT : SqlError.TIMEOUT;
+        SqlError error = sent ? connectionError : SqlError.BUSY;
+        String reason = timedOut ? "no response within " + route.statementTimeoutMs() + " ms" : failure.getMessage();
         complete(SqlResult.failure(error, "", TransactionState.IDLE), instanceId, reason);
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientConnection.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientConnection.java
@@ -3,17 +3,17 @@
 import org.hornbeamspread.core.sql.SqlError;
 import org.hornbeamspread.core.sql.SqlResult;
 
-/** The client's end of a session, as the engine sees it. Used on the engine's thread. */
+/** The connection to the client of a session. Confined to the engine's thread. */
 public interface ClientConnection {
-    /** The session is open. */
+    /** Confirms to the client that the session is open. */
     void accept();
 
-    /** The session is refused; the connection is closed behind the answer. */
+    /** Refuses the session and closes the connection after the error has been written. */
     void refuse(SqlError error, String detail);
 
-    /** Answers the oldest request that has none. */
+    /** Sends the response to the oldest request that has none. */
     void reply(SqlResult result);
 
-    /** Closes the connection once what was written is out. */
+    /** Closes the connection after all pending responses have been written. */
     void close();
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientSession.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ClientSession.java
@@ -17,11 +17,11 @@
 import org.hornbeamspread.core.sql.TransactionState;
 
 /**
- * One client's session. Values and prepared names live here and are laid on whichever connection runs the next statement;
- * requests are handled one at a time. Used on the engine's thread.
+ * A client's session. It holds the session values and the prepared statements, which are restored on the connection that runs
+ * the next statement. Requests are handled one at a time. Confined to the engine's thread.
  */
 public final class ClientSession {
-    /** Requests sent ahead of their answers; more close the session. */
+    /** Limit of pipelined requests without a response; a client that exceeds it is disconnected. */
     private static final int MAX_PENDING_REQUESTS = 1_024;
 
     private final SessionContext context;
@@ -29,14 +29,16 @@
     private final ClientConnection client;
     private final Map<String, String> values = new TreeMap<>();
     private final Map<String, PreparedDefinition> prepared = new HashMap<>();
+    /** The position of the session's last commit by service, which read-your-writes reads require. */
     private final Map<String, LogPosition> minPositions = new HashMap<>();
+
     private final Deque<SqlRequest> pendingRequests = new ArrayDeque<>();
     private TransactionState state = TransactionState.IDLE;
 
-    /** Present from BEGIN to the transaction's end, and until then in state FAILED too. */
+    /** Present from BEGIN until the end of the transaction, also while the state is FAILED. */
     private Optional<SessionTransaction> transaction = Optional.empty();
 
-    /** Why the transaction was ended from this side, until the client has been told. */
+    /** Why the proxy aborted the transaction; present until the client has received the error. */
     private Optional<String> abortReason = Optional.empty();
 
     private Optional<SessionOperation> currentOperation = Optional.empty();
@@ -52,13 +54,13 @@
         this.idleSinceMs = context.nowMs();
     }
 
-    /** A request of the client. */
+    /** Handles a request, or queues it behind the requests before it. */
     public void onRequest(SqlRequest request) {
         if (closed) {
             return;
         }
         if (pendingRequests.size() >= MAX_PENDING_REQUESTS) {
-            client.refuse(SqlError.TOO_LARGE, "too many requests without an answer");
+            client.refuse(SqlError.TOO_LARGE, "too many requests without a response");
             onClosed();
             return;
         }
@@ -66,13 +68,13 @@
         handlePendingRequests();
     }
 
-    /** A request that can't be understood. */
+    /** Handles a request that could not be parsed; the error response keeps its place in the order of the requests. */
     public void onMalformed(String detail) {
         onRequest(new SqlRequest("", Optional.empty(), new SqlStatement.Status()));
         context.events().record("request_malformed", "database", database, "detail", detail);
     }
 
-    /** The client's connection has ended. */
+    /** Rolls back an open transaction and releases the session after the client's connection has closed. */
     public void onClosed() {
         if (closed) {
             return;
@@ -85,13 +87,13 @@
         context.removeSession(this);
     }
 
-    /** Ends the session as soon as it stands outside of a transaction and waits for nothing. */
+    /** Closes the session as soon as no transaction is open and no request is pending. */
     void closeWhenIdle() {
         closeWhenIdle = true;
         closeIfIdle();
     }
 
-    /** Rolls an open transaction back; the client is told with its next request. */
+    /** Rolls back an open transaction; the client receives the error as the response to its next request. */
     void abortTransaction(String reason) {
         if (state == TransactionState.OPEN && abortReason.isEmpty()) {
             abortReason = Optional.of(reason);
@@ -104,7 +106,7 @@
         }
     }
 
-    /** How long the session has had an open transaction without a request; 0 when it has none. */
+    /** How long an open transaction has been idle; 0 if no transaction is open or a request is running. */
     long idleInTransactionMs() {
         boolean idle = state == TransactionState.OPEN && currentOperation.isEmpty();
         return idle ? context.nowMs() - idleSinceMs : 0;
@@ -122,7 +124,7 @@
         minPositions.merge(service, position, LogPosition::max);
     }
 
-    /** The operation's answer. */
+    /** Sends the result of an operation to the client; ignored if the operation is no longer the current one. */
     void complete(SessionOperation operation, SqlResult result) {
         if (closed || currentOperation.filter(operation::equals).isEmpty()) {
             return;
@@ -147,13 +149,16 @@
         if (abortReason.isPresent()) {
             String reason = abortReason.get();
             abortReason = Optional.empty();
-            boolean ends = statement instanceof SqlStatement.Commit || statement instanceof SqlStatement.Rollback;
+            boolean endsTransaction =
+                    statement instanceof SqlStatement.Commit || statement instanceof SqlStatement.Rollback;
             endTransaction();
             reply(
                     statement instanceof SqlStatement.Rollback
                             ? SqlResult.success(TransactionState.IDLE)
                             : SqlResult.failure(
-                                    SqlError.ABORTED, reason, ends ? TransactionState.IDLE : TransactionState.FAILED));
+                                    SqlError.ABORTED,
+                                    reason,
+                                    endsTransaction ? TransactionState.IDLE : TransactionState.FAILED));
         } else if (state == TransactionState.FAILED) {
             handleInFailedTransaction(statement);
         } else if (statement instanceof SqlStatement.Begin begin) {
@@ -200,7 +205,7 @@
 
     private void rollBack() {
         if (state == TransactionState.IDLE) {
-            reply(SqlResult.failure(SqlError.MALFORMED, "no transaction", state));
+            reply(SqlResult.failure(SqlError.MALFORMED, "no transaction is open", state));
             return;
         }
         endTransaction();
@@ -215,10 +220,10 @@
 
     private void handleForwarded(SqlRequest request) {
         Optional<ForwardedStatement> forwarded = ForwardedStatement.of(request, prepared);
-        boolean commitOutside = request.statement() instanceof SqlStatement.Commit && transaction.isEmpty();
-        if (forwarded.isEmpty() || commitOutside) {
-            boolean unknownName = request.statement() instanceof SqlStatement.Execute;
-            SqlError error = unknownName ? SqlError.UNKNOWN_PREPARED : SqlError.MALFORMED;
+        boolean commitWithoutTransaction = request.statement() instanceof SqlStatement.Commit && transaction.isEmpty();
+        if (forwarded.isEmpty() || commitWithoutTransaction) {
+            boolean isExecute = request.statement() instanceof SqlStatement.Execute;
+            SqlError error = isExecute ? SqlError.UNKNOWN_PREPARED : SqlError.MALFORMED;
             reply(SqlResult.failure(error, "", stateAfterError()));
             return;
         }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionLease.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionLease.java
@@ -2,7 +2,7 @@
 
 import org.hornbeamspread.core.route.DatabaseInstance;
 
-/** A connection that one statement or one transaction has for itself. */
+/** Exclusive use of a pooled connection by one statement or one transaction. */
 final class ConnectionLease {
     private final InstanceLink link;
     private final long slotRequestId;
@@ -28,21 +28,21 @@
         return connection;
     }
 
-    /** Whether what runs on it may be run again elsewhere. */
-    void setRetryable(boolean mayRunAgain) {
-        retryable = mayRunAgain;
+    /** Sets whether the statement that runs on the connection may be retried on another instance. */
+    void setRetryable(boolean mayBeRetried) {
+        retryable = mayBeRetried;
     }
 
     boolean isRetryable() {
         return retryable;
     }
 
-    /** Gives the connection back; it stands outside of any transaction and waits for no answer. */
+    /** Returns the connection to the pool. No transaction may be open and no response outstanding. */
     void release() {
         returnConnection(true);
     }
 
-    /** Closes the connection, which rolls back what is open there. */
+    /** Closes the connection, which rolls back an open transaction. */
     void discard() {
         returnConnection(false);
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionRequest.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionRequest.java
@@ -8,14 +8,14 @@
 import org.hornbeamspread.core.misc.LogPosition;
 import org.hornbeamspread.core.route.Route;
 
-/** A statement or a transaction that needs a database connection. */
+/** A request of a statement or a transaction for a connection to a database instance. */
 final class ConnectionRequest {
-    /** Who waits for the connection. */
+    /** Receives the outcome of a connection request. */
     interface Listener {
-        /** The connection is there. */
+        /** A connection has been leased. */
         void onLease(ConnectionLease lease);
 
-        /** It will not come; nothing ran. */
+        /** The request was refused; nothing ran on a database. */
         void onRefused(RefusalReason reason);
     }
 
@@ -29,19 +29,19 @@
     final long startDeadlineMs;
     final Listener listener;
 
-    /** Instances that were tried in vain. */
+    /** Instances on which the request has already failed. */
     final Set<String> triedInstanceIds = new HashSet<>();
 
-    /** What the database's log must hold; absent where the primary proves itself instead. */
+    /** Position that the database's log must contain; absent if the request runs on a proven primary instead. */
     Optional<LogPosition> requiredPosition = Optional.empty();
 
-    /** Why the last instance with room for no more refused it; null when none did. */
+    /** Why the last instance with a full queue or too long a wait refused the request; null if none did. */
     RefusalReason lastQueueRefusal;
 
     int attempts;
     boolean ended;
 
-    /** Called when the unit need not wait any longer; null while it waits nowhere. */
+    /** Removes the request from the queue in which it waits; null while it waits in none. */
     Consumer<ConnectionRequest> cancelHandler;
 
     ConnectionRequest(
@@ -76,7 +76,7 @@
         }
     }
 
-    /** The client has gone. */
+    /** Cancels the request, and removes it from its queue. */
     void cancel() {
         ended = true;
         if (cancelHandler != null) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ForwardedStatement.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ForwardedStatement.java
@@ -7,21 +7,24 @@
 import org.hornbeamspread.core.sql.SqlStatement.PreparedDefinition;
 
 /**
- * A statement that a database must run.
+ * A statement to be forwarded to a database.
  *
- * @param request as the database gets it
- * @param kind what it does
- * @param shape what must be prepared first, if it executes a prepared statement
+ * @param request the request in the form in which the database receives it
+ * @param kind the kind of the statement
+ * @param preparedDefinition the definition to prepare first if the statement executes a prepared statement; else empty
  */
 record ForwardedStatement(SqlRequest request, Kind kind, Optional<PreparedDefinition> preparedDefinition) {
-    /** What a forwarded statement does. */
+    /** The kind of a forwarded statement. */
     enum Kind {
         READ,
         WRITE,
         COMMIT
     }
 
-    /** Resolves prepared names; empty for an unknown name, data that does not fit, or what no client may send. */
+    /**
+     * Resolves the names of prepared statements. Empty for an unknown name, for data that does not match the prepared
+     * definition, and for requests that clients must not send.
+     */
     static Optional<ForwardedStatement> of(SqlRequest request, Map<String, PreparedDefinition> prepared) {
         SqlStatement statement = request.statement();
         if (request.requiredPosition().isPresent()) {
@@ -37,16 +40,16 @@
             return Optional.of(new ForwardedStatement(request, Kind.COMMIT, Optional.empty()));
         }
         if (statement instanceof SqlStatement.Execute execute) {
-            PreparedDefinition shape = prepared.get(execute.name());
-            if (shape == null || shape.write() != execute.data().isPresent()) {
+            PreparedDefinition definition = prepared.get(execute.name());
+            if (definition == null || definition.write() != execute.data().isPresent()) {
                 return Optional.empty();
             }
             SqlStatement renamed =
-                    new SqlStatement.Execute(PooledConnection.preparedName(shape), execute.item(), execute.data());
+                    new SqlStatement.Execute(PooledConnection.preparedName(definition), execute.item(), execute.data());
             return Optional.of(new ForwardedStatement(
                     new SqlRequest(request.id(), Optional.empty(), renamed),
-                    shape.write() ? Kind.WRITE : Kind.READ,
-                    Optional.of(shape)));
+                    definition.write() ? Kind.WRITE : Kind.READ,
+                    Optional.of(definition)));
         }
         return Optional.empty();
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/RetryReason.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/RetryReason.java
@@ -2,21 +2,21 @@
 
 import org.hornbeamspread.core.sql.SqlError;
 
-/** Why a statement was tried again, here or at another instance. */
+/** Why a statement was retried, on the same instance or on another one. */
 enum RetryReason {
     /** The database had no capacity. */
     BUSY,
-    /** The replica lacks the position. */
+    /** The replica's log does not contain the required position. */
     LAGGING,
-    /** The instance does not lead. */
+    /** The instance is not the primary. */
     NOT_PRIMARY,
-    /** A read failed at the database. */
+    /** A read failed on the database. */
     FAILED,
-    /** The connection broke. */
+    /** The connection was lost. */
     CONNECTION_LOST,
     /** No connection could be opened. */
     CONNECT_FAILED,
-    /** The wait there is too long, and another instance may have room. */
+    /** The expected wait at the instance is too long, and another instance may have free capacity. */
     WAIT_TOO_LONG;
 
     static RetryReason of(SqlError error) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
@@ -9,9 +9,9 @@
 import org.hornbeamspread.core.route.Route;
 import org.hornbeamspread.core.sql.SqlResult;
 
-/** What the sessions of an engine share. Used on the engine's thread. */
+/** Services and state shared by the sessions of an engine. Confined to the engine's thread. */
 final class SessionContext {
-    /** Of an operation's target: waiting longer for a connection makes an answer in time unlikely. */
+    /** Longest wait for a connection as a fraction of the target time; after a longer wait a response in time is unlikely. */
     private static final double MAX_WAIT_FRACTION_OF_TARGET = 0.5;
 
     private static final long MIN_CONNECTION_WAIT_MS = 50;
@@ -28,18 +28,18 @@
     SessionContext(
             Placement placement,
             Clock clock,
-            ClockJumpDetector guard,
-            ScheduledExecutorService loop,
+            ClockJumpDetector clockJumpDetector,
+            ScheduledExecutorService executor,
             EventLog events,
             SessionMetrics metrics,
-            java.util.function.Consumer<ClientSession> forget) {
+            java.util.function.Consumer<ClientSession> sessionRemover) {
         this.placement = placement;
         this.clock = clock;
-        this.clockJumpDetector = guard;
-        this.executor = loop;
+        this.clockJumpDetector = clockJumpDetector;
+        this.executor = executor;
         this.events = events;
         this.metrics = metrics;
-        this.sessionRemover = forget;
+        this.sessionRemover = sessionRemover;
     }
 
     Placement placement() {
@@ -66,11 +66,11 @@
         return nextConnectionRequestId++;
     }
 
-    /** The latest time to start a statement that arrived now. */
+    /** The latest time at which a statement that arrives now may get a connection. */
     long startDeadlineMs(Route route) {
         long targetMs = route.targetMs() > 0 ? route.targetMs() : route.statementTimeoutMs();
-        long patienceMs = Math.max(MIN_CONNECTION_WAIT_MS, Math.round(MAX_WAIT_FRACTION_OF_TARGET * targetMs));
-        return nowMs() + Math.min(patienceMs, route.statementTimeoutMs());
+        long maxWaitMs = Math.max(MIN_CONNECTION_WAIT_MS, Math.round(MAX_WAIT_FRACTION_OF_TARGET * targetMs));
+        return nowMs() + Math.min(maxWaitMs, route.statementTimeoutMs());
     }
 
     ScheduledFuture<?> schedule(Runnable task, long delayMs) {
@@ -86,12 +86,12 @@
         metrics.onRefused(reason);
     }
 
-    /** Counts a repetition. */
+    /** Counts a retry. */
     void onRetry(RetryReason reason) {
         metrics.onRetry(reason);
     }
 
-    /** One line and one count for what a request came to. */
+    /** Counts the result of a request and logs it; successful requests are sampled for the log. */
     void record(String requestId, Route route, String instanceId, long arrivedMs, SqlResult result, String reason) {
         long elapsedMs = nowMs() - arrivedMs;
         metrics.onAnswer(route, result, elapsedMs);
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
@@ -25,33 +25,33 @@
 import org.hornbeamspread.core.sql.SqlStatement;
 
 /**
- * The sessions of one proxy. Everything runs on the one thread of the executor: a statement touches sessions, queues and pools
- * in turn, and handing it from thread to thread would cost more than it takes. Other threads call through the executor.
+ * The sessions of one proxy. All code runs on the single thread of the executor: a statement uses sessions, queues and pools in
+ * turn, and a handover between threads would cost more than the work itself. Other threads call through the executor.
  */
 public final class SessionEngine {
-    /** Below the two seconds that clients wait for a session to open. */
+    /** Shorter than the two seconds for which clients wait for a session to open. */
     private static final long OPEN_TIMEOUT_MS = 1_500;
 
     private static final long OPEN_RETRY_MS = 50;
 
-    /** Twenty round trips between regions: the question takes no slot. */
+    /** Twenty round trips between regions. No queueing is included, since a probe takes no slot of the database. */
     private static final long PROBE_TIMEOUT_MS = 400;
 
     private static final long SWEEP_INTERVAL_MS = 500;
 
-    /** Two attempts to connect, and a round of all control members. */
+    /** Covers two connection attempts and one round of requests to all control members. */
     private static final long ISOLATION_THRESHOLD_MS = 1_200;
 
-    /** The part of the grace that open transactions have to end. */
+    /** Fraction of the grace period of a drain after which open transactions are aborted. */
     private static final double TRANSACTION_GRACE_FRACTION = 0.5;
 
-    /** The balancer stops sending new connections after two missed answers, a second apart. */
+    /** The load balancer stops routing new connections here after two failed health checks, one second apart. */
     private static final long LOAD_BALANCER_DETECTION_MS = 2_200;
 
-    /** Idle sessions are closed in this many steps, so that they do not return all at once. */
+    /** Idle sessions are closed in this many steps, so that clients do not reconnect all at once. */
     private static final int DRAIN_STEPS = 20;
 
-    /** Stands for never. */
+    /** Upper bound of reported ages; also reported for an event that has never occurred. */
     private static final long MAX_REPORTED_AGE_MS = 3_600_000;
 
     private final Clock clock;
@@ -63,70 +63,74 @@
     private final Set<ClientSession> sessions = new LinkedHashSet<>();
     private boolean draining;
 
-    /** Since when control has not been heard; 0 while it is. */
+    /** When control became unreachable; 0 while control is reachable. */
     private long controlLostSinceMs;
 
-    /** Since when this proxy takes itself for isolated; 0 while it does not. */
+    /** When this proxy was first found to be isolated; 0 while it is not. */
     private long isolatedSinceMs;
 
-    /** Until when sessions that come while this proxy drains are accepted. */
+    /** While draining: the time until which new sessions are still accepted. */
     private long acceptUntilMs;
 
     /**
-     * An engine without sessions.
+     * Creates an engine without sessions.
      *
-     * @param failureDomain of this proxy
+     * @param failureDomain the failure domain of this proxy
      * @param regionByDomain the region of each failure domain
-     * @param clock a steady clock
-     * @param timeOfDay the wall clock, used only to notice that the steady one stood still
-     * @param loop runs everything, on one thread
+     * @param clock a monotonic clock
+     * @param wallClock used only to detect that the monotonic clock stood still
+     * @param executor runs all work of the engine on one thread
      */
     public SessionEngine(
             String failureDomain,
             Map<String, String> regionByDomain,
             SqlConnector connector,
             Clock clock,
-            Clock timeOfDay,
-            ScheduledExecutorService loop,
+            Clock wallClock,
+            ScheduledExecutorService executor,
             EventLog events,
             PrometheusRegistry registry) {
         this.clock = clock;
-        this.clockJumpDetector = new ClockJumpDetector(clock, timeOfDay);
-        this.executor = loop;
+        this.clockJumpDetector = new ClockJumpDetector(clock, wallClock);
+        this.executor = executor;
         this.events = events;
         SessionMetrics metrics = new SessionMetrics(registry);
         this.placement = new Placement(
-                failureDomain, regionByDomain, connector, clock, clockJumpDetector, loop, events, metrics);
-        this.context = new SessionContext(placement, clock, clockJumpDetector, loop, events, metrics, sessions::remove);
+                failureDomain, regionByDomain, connector, clock, clockJumpDetector, executor, events, metrics);
+        this.context =
+                new SessionContext(placement, clock, clockJumpDetector, executor, events, metrics, sessions::remove);
         GaugeWithCallback.builder()
                 .name("hornbeamspread_sessions")
                 .help("Open sessions")
                 .callback(gauge -> gauge.call(sessions.size()))
                 .register(registry);
         placement.setProbe(this::probePrimaryPosition);
-        loop.schedule(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        executor.schedule(this::sweep, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** What opening a session came to; called once, on the engine's thread. */
+    /** Receives an opened session; called at most once for each request to open one, on the engine's thread. */
     public interface OpenListener {
         /** The session is open. */
         void onOpen(ClientSession session);
     }
 
-    /** Opens a session on a database name, and waits a little for a configuration if there is none yet. */
-    public void open(String database, ClientConnection port, OpenListener listener) {
-        open(database, port, listener, clock.millis() + OPEN_TIMEOUT_MS);
+    /**
+     * Opens a session on a database name. Without a configuration, waits for the first one until {@link #OPEN_TIMEOUT_MS} and
+     * then refuses the session.
+     */
+    public void open(String database, ClientConnection client, OpenListener listener) {
+        open(database, client, listener, clock.millis() + OPEN_TIMEOUT_MS);
     }
 
-    /** Whether this proxy can serve. */
+    /** Whether this proxy can serve sessions. */
     public boolean isReady() {
         return placement.view().isLoaded() && !draining && !isIsolated();
     }
 
-    /** Control is heard, or has not been heard since a time. */
-    public void onControlReachability(boolean heard) {
-        placement.onControlHeard(heard);
-        if (heard) {
+    /** Updates whether control is reachable. */
+    public void onControlReachability(boolean reachable) {
+        placement.onControlHeard(reachable);
+        if (reachable) {
             controlLostSinceMs = 0;
         } else if (controlLostSinceMs == 0) {
             controlLostSinceMs = clock.millis();
@@ -134,28 +138,29 @@
     }
 
     /**
-     * Whether neither control nor some primary is in reach: the fault is likely on this side, and others can serve. Without
-     * control alone a proxy goes on with what it knows.
+     * Whether control has been unreachable, and the primary of some service unreachable or unknown, for longer than {@link
+     * #ISOLATION_THRESHOLD_MS}. The fault is then likely on the side of this proxy, and other proxies can serve. While only
+     * control is unreachable, the proxy continues to serve with its last view.
      */
     private boolean isIsolated() {
-        boolean unheard = controlLostSinceMs > 0 && clock.millis() - controlLostSinceMs > ISOLATION_THRESHOLD_MS;
-        return unheard && placement.lacksPrimary(ISOLATION_THRESHOLD_MS);
+        boolean controlLost = controlLostSinceMs > 0 && clock.millis() - controlLostSinceMs > ISOLATION_THRESHOLD_MS;
+        return controlLost && placement.lacksPrimary(ISOLATION_THRESHOLD_MS);
     }
 
-    /** Takes a newer view over. */
+    /** Applies a newer view of the system. */
     public void onView(SystemView view) {
         placement.onView(view);
     }
 
-    /** The view in force. */
+    /** The current view of the system. */
     public SystemView view() {
         return placement.view();
     }
 
-    /** What this proxy has seen of each service's primary: the instance, since its last proof, the oldest write. */
+    /** The health of each service's primary as observed by this proxy. */
     public List<PrimaryHealth> primaryHealth() {
         long nowMs = clock.millis();
-        List<PrimaryHealth> sightings = new ArrayList<>();
+        List<PrimaryHealth> primaries = new ArrayList<>();
         for (String service : services()) {
             ServiceState state = placement.service(service);
             Optional<String> primaryId = placement.view().primary(service).map(DatabaseInstance::instanceId);
@@ -166,46 +171,51 @@
                         .mapToLong(sentMs -> nowMs - sentMs)
                         .max()
                         .orElse(0);
-                sightings.add(new PrimaryHealth(
+                primaries.add(new PrimaryHealth(
                         primaryId.get(),
                         Math.min(MAX_REPORTED_AGE_MS, nowMs - provenMs),
                         oldestMs,
                         state.unreachableSinceMs() == 0 ? 0 : nowMs - state.unreachableSinceMs()));
             }
         }
-        return sightings;
+        return primaries;
     }
 
     /**
-     * What this proxy has seen of a primary.
+     * The health of a primary as observed by this proxy.
      *
-     * @param instanceId the instance that the view names as primary
-     * @param sinceProofMs since it last proved to lead
-     * @param oldestWriteMs age of the oldest write that waits for its answer; 0 for none
-     * @param unreachableMs for how long attempts to reach it have failed; 0 when the last one succeeded
+     * @param instanceId the instance that is the primary according to the view
+     * @param sinceProofMs time since the instance last proved to be the primary
+     * @param oldestWriteMs age of the oldest write without a response; 0 if there is none
+     * @param unreachableMs how long attempts to reach the instance have failed; 0 if the last one succeeded
      */
     public record PrimaryHealth(
             String instanceId, long sinceLastProofMs, long oldestPendingWriteMs, long unreachableMs) {}
 
-    /** Whether reads wait for positions that this proxy can't ask for itself. */
+    /** Whether reads wait for positions that this proxy cannot request from the primary itself. */
     public boolean needsSharedPositions() {
         return placement.wantsPositions();
     }
 
-    /** The epoch of the steady clock. */
+    /** The epoch of the monotonic clock; ages are valid only within one epoch. */
     public long clockEpoch() {
         return clockJumpDetector.epoch();
     }
 
-    /** A position that control was told by a proven primary which it asked no earlier than the time given. */
-    public void onSharedPosition(String service, long askedMs, long askedEpoch, LogPosition position) {
-        placement.onSharedPosition(service, askedMs, askedEpoch, position);
+    /**
+     * Adds a position that control received from a proven primary.
+     *
+     * @param requestedAtMs lower bound of the time at which control sent its request
+     * @param requestEpoch the clock's epoch at that time
+     */
+    public void onSharedPosition(String service, long requestedAtMs, long requestEpoch, LogPosition position) {
+        placement.onSharedPosition(service, requestedAtMs, requestEpoch, position);
     }
 
     /**
-     * Ends all sessions. Until the balancer has noticed, everything goes on, since a client that is sent away would be sent
-     * back here. Then idle sessions are closed in steps, others as soon as they are idle, and open transactions by force after
-     * half of the grace.
+     * Closes all sessions. Until the load balancer has detected the drain, service continues unchanged, since a client whose
+     * session is closed would be routed back to this proxy. Then idle sessions are closed in steps, and the others as soon as
+     * they are idle. Open transactions are aborted after half of the grace period.
      */
     public void drain(long graceMs) {
         if (draining) {
@@ -215,9 +225,9 @@
         acceptUntilMs = clock.millis() + Math.min(LOAD_BALANCER_DETECTION_MS, graceMs / 2);
         events.record("drain_started", "sessions", sessions.size(), "grace_ms", graceMs);
         long transactionMs = Math.round(graceMs * TRANSACTION_GRACE_FRACTION);
-        long noticedMs = Math.min(LOAD_BALANCER_DETECTION_MS, transactionMs);
-        long intervalMs = Math.max(1, (transactionMs - noticedMs) / DRAIN_STEPS);
-        executor.schedule(() -> drainStep(1, intervalMs), noticedMs, TimeUnit.MILLISECONDS);
+        long firstStepMs = Math.min(LOAD_BALANCER_DETECTION_MS, transactionMs);
+        long intervalMs = Math.max(1, (transactionMs - firstStepMs) / DRAIN_STEPS);
+        executor.schedule(() -> drainStep(1, intervalMs), firstStepMs, TimeUnit.MILLISECONDS);
         executor.schedule(
                 () -> List.copyOf(sessions).forEach(session -> {
                     session.abortTransaction("the proxy is shutting down");
@@ -227,45 +237,45 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Whether no session is left, and none may come. */
+    /** Whether no session is open and no new session is accepted any more. */
     public boolean isDrained() {
         return draining && sessions.isEmpty() && clock.millis() > acceptUntilMs;
     }
 
     private void drainStep(int step, long intervalMs) {
         List<ClientSession> open = List.copyOf(sessions);
-        int part = open.size() / (DRAIN_STEPS - Math.min(step, DRAIN_STEPS) + 1) + 1;
-        open.stream().limit(part).forEach(ClientSession::closeWhenIdle);
+        int count = open.size() / (DRAIN_STEPS - Math.min(step, DRAIN_STEPS) + 1) + 1;
+        open.stream().limit(count).forEach(ClientSession::closeWhenIdle);
         if (step < DRAIN_STEPS) {
             executor.schedule(() -> drainStep(step + 1, intervalMs), intervalMs, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void open(String database, ClientConnection port, OpenListener listener, long untilMs) {
+    private void open(String database, ClientConnection client, OpenListener listener, long deadlineMs) {
         if (draining && clock.millis() > acceptUntilMs) {
-            refuse(database, port, SqlError.BUSY, RefusalReason.SHUTTING_DOWN);
+            refuse(database, client, SqlError.BUSY, RefusalReason.SHUTTING_DOWN);
         } else if (placement.view().route(database).isPresent()) {
-            ClientSession session = new ClientSession(context, database, port);
+            ClientSession session = new ClientSession(context, database, client);
             sessions.add(session);
             listener.onOpen(session);
-            port.accept();
+            client.accept();
         } else if (placement.view().isLoaded()) {
-            refuse(database, port, SqlError.UNKNOWN_DATABASE, RefusalReason.NO_ROUTE);
-        } else if (clock.millis() < untilMs) {
-            executor.schedule(() -> open(database, port, listener, untilMs), OPEN_RETRY_MS, TimeUnit.MILLISECONDS);
+            refuse(database, client, SqlError.UNKNOWN_DATABASE, RefusalReason.NO_ROUTE);
+        } else if (clock.millis() < deadlineMs) {
+            executor.schedule(() -> open(database, client, listener, deadlineMs), OPEN_RETRY_MS, TimeUnit.MILLISECONDS);
         } else {
-            refuse(database, port, SqlError.BUSY, RefusalReason.NO_CONFIGURATION);
+            refuse(database, client, SqlError.BUSY, RefusalReason.NO_CONFIGURATION);
         }
     }
 
-    private void refuse(String database, ClientConnection port, SqlError error, RefusalReason reason) {
+    private void refuse(String database, ClientConnection client, SqlError error, RefusalReason reason) {
         context.onRefused(reason);
         long version = placement.view().configuration().version();
         events.record("session_refused", "database", database, "reason", reason, "configuration", version);
-        port.refuse(error, reason.name());
+        client.refuse(error, reason.name());
     }
 
-    /** Sends sessions away while this proxy is isolated, once the balancer sends them elsewhere. */
+    /** Closes idle sessions of an isolated proxy, once the load balancer routes new connections to other proxies. */
     private void checkIsolation() {
         if (!isIsolated()) {
             isolatedSinceMs = 0;
@@ -278,6 +288,7 @@
         }
     }
 
+    /** Checks for isolation, and aborts transactions that have been idle for too long. */
     private void sweep() {
         checkIsolation();
         long limitMs = placement.view().configuration().idleTransactionMs();
@@ -298,7 +309,7 @@
                 .toList();
     }
 
-    /** Asks a service's primary for its position, unless such a question is under way. */
+    /** Requests the position of a service's primary, unless such a probe is in flight. */
     private void probePrimaryPosition(String service) {
         ServiceState state = placement.service(service);
         if (state.probing) {
@@ -306,7 +317,7 @@
         }
         state.probing = true;
         Route route = new Route("position probe", "", service, RouteKind.PRIMARY, 0, OPEN_TIMEOUT_MS, 0, 0);
-        ConnectionRequest unit = new ConnectionRequest(
+        ConnectionRequest connectionRequest = new ConnectionRequest(
                 context.nextConnectionRequestId(),
                 SqlRequest.INTERNAL_ID,
                 route,
@@ -316,10 +327,10 @@
                 clock.millis(),
                 clock.millis() + OPEN_TIMEOUT_MS,
                 new PositionProbe(state));
-        placement.place(unit);
+        placement.place(connectionRequest);
     }
 
-    /** Opens and ends a plain transaction at the primary, which tells its position. */
+    /** Begins and rolls back a read-write transaction on the primary, whose response to BEGIN contains its position. */
     private final class PositionProbe implements ConnectionRequest.Listener {
         private final ServiceState state;
 
@@ -335,8 +346,8 @@
 
         @Override
         public void onLease(ConnectionLease lease) {
-            long askedMs = clock.millis();
-            long askedEpoch = clockJumpDetector.epoch();
+            long requestedAtMs = clock.millis();
+            long requestEpoch = clockJumpDetector.epoch();
             List<CompletableFuture<SqlResult>> results = lease.connection()
                     .send(List.of(
                             SqlRequest.internal(new SqlStatement.Begin(false)),
@@ -362,8 +373,8 @@
                     lease.release();
                     placement.onProof(
                             lease.instance(),
-                            askedMs,
-                            askedEpoch,
+                            requestedAtMs,
+                            requestEpoch,
                             begun.position().orElse(LogPosition.NONE));
                 } else {
                     lease.discard();
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionMetrics.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionMetrics.java
@@ -6,12 +6,12 @@
 import org.hornbeamspread.core.route.Route;
 import org.hornbeamspread.core.sql.SqlResult;
 
-/** Counters of statements by outcome, and their times by rank. */
+/** Counters of statements by rank and outcome, and their durations by rank. */
 final class SessionMetrics {
     private static final double[] BUCKET_BOUNDS_SECONDS = {0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 5};
     private static final double MILLIS_PER_SECOND = 1000;
 
-    /** One served statement of this many has a line in the log. */
+    /** One of this many successful statements is logged. */
     private static final long SAMPLING_INTERVAL = 64;
 
     private final Counter answers;
@@ -33,12 +33,12 @@
                 .register(registry);
         retries = Counter.builder()
                 .name("hornbeamspread_session_retries_total")
-                .help("Statements tried again, by reason")
+                .help("Statements retried, by reason")
                 .labelNames("reason")
                 .register(registry);
         durations = Histogram.builder()
                 .name("hornbeamspread_session_statement_seconds")
-                .help("Time from a statement's arrival to its answer, by rank")
+                .help("Time from the arrival of a statement to its response, by rank")
                 .labelNames("rank")
                 .classicOnly()
                 .classicUpperBounds(BUCKET_BOUNDS_SECONDS)
@@ -59,6 +59,7 @@
         retries.labelValues(reason.name()).inc();
     }
 
+    /** Whether the next successful statement is to be logged; advances the sampling counter. */
     boolean sampleNext() {
         return served++ % SAMPLING_INTERVAL == 0;
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionOperation.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionOperation.java
@@ -1,13 +1,13 @@
 package org.hornbeamspread.proxy.session;
 
-/** A request of a session that waits for a database. */
+/** A request of a session that is run by a database. */
 interface SessionOperation {
-    /** Begins; ends with {@link ClientSession#complete}. */
+    /** Starts the operation, whose result goes to {@link ClientSession#complete}. */
     void start();
 
-    /** The route's time for a statement is over. */
+    /** Ends the operation after the route's statement timeout. */
     void onTimeout();
 
-    /** The client has gone. */
+    /** Cancels the operation after the client has disconnected. */
     void onClientDisconnected();
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionTransaction.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionTransaction.java
@@ -14,8 +14,8 @@
 import org.hornbeamspread.core.sql.TransactionState;
 
 /**
- * A client's transaction. It gets a connection with its first statement and keeps it to its end. Until COMMIT has been sent
- * nothing of it can be kept, so every failure before that is reported as aborted.
+ * A client's transaction. The first statement leases a connection, which the transaction holds until its end. Before COMMIT has
+ * been sent, no change of the transaction can be committed, so every earlier failure is reported as ABORTED.
  */
 final class SessionTransaction {
     private final SessionContext context;
@@ -24,7 +24,7 @@
     private final boolean readOnly;
     private Optional<ConnectionLease> lease = Optional.empty();
 
-    /** Whether the connection's transaction is open. */
+    /** Whether BEGIN has succeeded on the leased connection. */
     private boolean begun;
 
     private boolean hasWrites;
@@ -45,31 +45,32 @@
         return new TransactionStatement(statement);
     }
 
-    /** Ends it without keeping anything; to be called while no statement runs, or when the client has gone. */
+    /** Rolls back the transaction. Call only while no statement runs, or after the client has disconnected. */
     void rollBack() {
         ended = true;
         if (lease.isEmpty()) {
             return;
         }
-        ConnectionLease held = lease.get();
+        ConnectionLease heldLease = lease.get();
         lease = Optional.empty();
         if (!begun) {
-            held.discard();
+            heldLease.discard();
             return;
         }
-        held.connection()
+        heldLease
+                .connection()
                 .send(List.of(SqlRequest.internal(new SqlStatement.Rollback())))
                 .get(0)
                 .whenComplete((result, error) -> {
                     if (error == null && result.isSuccess() && result.state() == TransactionState.IDLE) {
-                        held.release();
+                        heldLease.release();
                     } else {
-                        held.discard();
+                        heldLease.discard();
                     }
                 });
     }
 
-    /** Ends it by closing its connection, under a statement that runs. */
+    /** Ends the transaction while a statement runs, by closing its connection. */
     void discard() {
         lease.ifPresent(ConnectionLease::discard);
     }
@@ -78,9 +79,9 @@
         return !readOnly || route.kind() == RouteKind.PRIMARY;
     }
 
-    /** One statement of the transaction. */
+    /** A statement of the transaction. */
     private final class TransactionStatement implements SessionOperation, ConnectionRequest.Listener {
-        /** Before a statement that the database had no capacity for is sent again on its connection. */
+        /** Delay before a statement that the database refused as BUSY is retried on the same connection. */
         private static final long BUSY_RETRY_MS = 20;
 
         private final ForwardedStatement statement;
@@ -134,7 +135,7 @@
         public void onClientDisconnected() {
             completed = true;
             connectionRequest.cancel();
-            // A commit that was sent runs to its end; anything else is rolled back behind the statement that runs.
+            // A COMMIT that was sent still completes. After any other running statement the transaction is rolled back.
         }
 
         @Override
@@ -153,19 +154,20 @@
             sentMs = context.nowMs();
             sentEpoch = context.clockEpoch();
             granted.setRetryable(true);
-            boolean plain = connectionRequest.requiredPosition.isEmpty();
-            SqlRequest begin = SqlRequest.internal(new SqlStatement.Begin(!plain));
+            boolean readWrite = connectionRequest.requiredPosition.isEmpty();
+            SqlRequest begin = SqlRequest.internal(new SqlStatement.Begin(!readWrite));
             granted.connection()
-                    .send(List.of(plain ? begin : begin.requiringPosition(connectionRequest.requiredPosition.get())))
+                    .send(List.of(
+                            readWrite ? begin : begin.requiringPosition(connectionRequest.requiredPosition.get())))
                     .get(0)
-                    .whenComplete((result, error) -> onBeginResult(granted, plain, result, error));
+                    .whenComplete((result, error) -> onBeginResult(granted, readWrite, result, error));
         }
 
-        private void onBeginResult(ConnectionLease granted, boolean plain, SqlResult result, Throwable error) {
+        private void onBeginResult(ConnectionLease granted, boolean readWrite, SqlResult result, Throwable error) {
             if (error == null && result.isSuccess()) {
                 begun = true;
                 granted.setRetryable(false);
-                if (plain) {
+                if (readWrite) {
                     onProof(granted, result);
                 }
                 if (completed || ended) {
@@ -188,7 +190,7 @@
                 granted.link().onLagging(Math.max(1, route.maxStalenessMs() / 4));
             }
             if (timedOut) {
-                fail(SqlError.ABORTED, granted.instance().instanceId(), "no answer to BEGIN in time");
+                fail(SqlError.ABORTED, granted.instance().instanceId(), "no response to BEGIN in time");
             } else if (!completed && !ended) {
                 context.placement()
                         .retry(
@@ -199,23 +201,23 @@
             }
         }
 
-        private void send(ConnectionLease held) {
+        private void send(ConnectionLease heldLease) {
             StatementSender.send(
-                    held,
+                    heldLease,
                     session,
                     statement.request(),
                     statement.preparedDefinition().orElse(null),
                     List.of(),
                     route.priority(),
-                    () -> beforeSend(held),
-                    (result, error) -> onResult(held, result, error));
+                    () -> beforeSend(heldLease),
+                    (result, error) -> onResult(heldLease, result, error));
         }
 
-        private boolean beforeSend(ConnectionLease held) {
-            if (completed || ended || lease.filter(held::equals).isEmpty()) {
+        private boolean beforeSend(ConnectionLease heldLease) {
+            if (completed || ended || lease.filter(heldLease::equals).isEmpty()) {
                 return false;
             }
-            sent = held.connection().isOpen();
+            sent = heldLease.connection().isOpen();
             sentMs = context.nowMs();
             sentEpoch = context.clockEpoch();
             if (statement.kind() != ForwardedStatement.Kind.READ) {
@@ -224,28 +226,28 @@
             return true;
         }
 
-        private void onResult(ConnectionLease held, SqlResult result, Throwable error) {
+        private void onResult(ConnectionLease heldLease, SqlResult result, Throwable error) {
             context.placement().service(route.service()).writesSentMs.remove(connectionRequest.id);
-            String instanceId = held.instance().instanceId();
+            String instanceId = heldLease.instance().instanceId();
             boolean commit = statement.kind() == ForwardedStatement.Kind.COMMIT;
             if (error != null) {
-                held.discard();
+                heldLease.discard();
                 lease = Optional.empty();
                 if (completed) {
                     return;
                 }
                 String reason = timedOut
-                        ? "no answer within " + route.statementTimeoutMs() + " ms"
+                        ? "no response within " + route.statementTimeoutMs() + " ms"
                         : FailureException.of(error).getMessage();
                 fail(commit && sent ? SqlError.IN_DOUBT : SqlError.ABORTED, instanceId, reason);
                 return;
             }
-            held.link().onServed(context.nowMs() - sentMs);
+            heldLease.link().onServed(context.nowMs() - sentMs);
             if (completed && !commit) {
                 return;
             }
             if (!result.isSuccess()) {
-                onError(held, result, commit);
+                onError(heldLease, result, commit);
                 return;
             }
             if (statement.kind() == ForwardedStatement.Kind.WRITE) {
@@ -253,57 +255,64 @@
             }
             if (!commit) {
                 if (needsPrimary()) {
-                    onProof(held, result);
+                    onProof(heldLease, result);
                 }
                 complete(result.withState(TransactionState.OPEN), instanceId, "");
                 return;
             }
             lease = Optional.empty();
             if (result.state() == TransactionState.IDLE) {
-                held.release();
+                heldLease.release();
             } else {
-                held.discard();
+                heldLease.discard();
             }
             if (hasWrites) {
-                onProof(held, result);
+                onProof(heldLease, result);
                 result.position().ifPresent(position -> session.raiseMinPosition(route.service(), position));
             }
             complete(result.withState(TransactionState.IDLE), instanceId, "");
         }
 
-        private void onError(ConnectionLease held, SqlResult result, boolean commit) {
+        private void onError(ConnectionLease heldLease, SqlResult result, boolean commit) {
             if (result.hasError(SqlError.BUSY) && result.state() == TransactionState.OPEN && !timedOut && !ended) {
                 context.onRetry(RetryReason.BUSY);
-                context.schedule(() -> resend(held), BUSY_RETRY_MS);
+                context.schedule(() -> resend(heldLease), BUSY_RETRY_MS);
                 return;
             }
             lease = Optional.empty();
-            held.discard();
+            heldLease.discard();
             SqlError error = result.error().orElseThrow();
             if (error == SqlError.READ_ONLY) {
-                context.placement().onNotPrimary(held.instance().instanceId());
+                context.placement().onNotPrimary(heldLease.instance().instanceId());
             }
-            boolean certain = error.isNotRun() || !commit;
-            fail(certain ? SqlError.ABORTED : error, held.instance().instanceId(), error + " " + result.detail());
+            boolean knownNotCommitted = error.isNotRun() || !commit;
+            fail(
+                    knownNotCommitted ? SqlError.ABORTED : error,
+                    heldLease.instance().instanceId(),
+                    error + " " + result.detail());
         }
 
-        private void resend(ConnectionLease held) {
-            if (held.connection().isOpen() && !completed && !ended) {
-                send(held);
+        private void resend(ConnectionLease heldLease) {
+            if (heldLease.connection().isOpen() && !completed && !ended) {
+                send(heldLease);
             } else {
-                onResult(held, null, new FailureException(FailureType.CONNECTION_LOST, "closed before a repetition"));
+                onResult(
+                        heldLease,
+                        null,
+                        new FailureException(
+                                FailureType.CONNECTION_LOST, "connection closed before the statement was retried"));
             }
         }
 
-        private void onProof(ConnectionLease held, SqlResult result) {
+        private void onProof(ConnectionLease heldLease, SqlResult result) {
             LogPosition position = result.position().orElse(LogPosition.NONE);
-            context.placement().onProof(held.instance(), sentMs, sentEpoch, position);
+            context.placement().onProof(heldLease.instance(), sentMs, sentEpoch, position);
         }
 
         private void fail(SqlError error, String instanceId, String reason) {
             boolean commit = statement.kind() == ForwardedStatement.Kind.COMMIT;
-            TransactionState next = commit ? TransactionState.IDLE : TransactionState.FAILED;
-            complete(SqlResult.failure(error, "", next), instanceId, reason);
+            TransactionState nextState = commit ? TransactionState.IDLE : TransactionState.FAILED;
+            complete(SqlResult.failure(error, "", nextState), instanceId, reason);
         }
 
         private void complete(SqlResult result, String instanceId, String reason) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementSender.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementSender.java
@@ -10,37 +10,37 @@
 import org.hornbeamspread.core.sql.SqlResult;
 import org.hornbeamspread.core.sql.SqlStatement.PreparedDefinition;
 
-/** Sends a statement on a leased connection, behind what the connection must hold for its session. */
+/** Sends a statement on a leased connection, after the statements that restore the session's state there. */
 final class StatementSender {
     private StatementSender() {}
 
     /**
-     * Runs one statement, as soon as the database's gate lets it through.
+     * Runs one statement as soon as the database's concurrency limit admits it.
      *
-     * @param onSend called before it is sent; false when it is not wanted any more, and must not be sent: its connection may be
-     *     another's by now
-     * @param shape to be prepared first; null for none
-     * @param behind sent behind the statement, without waiting for it
-     * @param end told the statement's result, or why there is none
+     * @param beforeSend called before the statement is sent; returns false if the statement was cancelled in the meantime and
+     *     must not be sent, since its connection may already be in use by another session
+     * @param definition the statement to prepare first; null for none
+     * @param trailing requests pipelined after the statement; the result is delivered after their responses
+     * @param callback receives the statement's result, or the error if there is none
      */
     static void send(
             ConnectionLease lease,
             ClientSession session,
             SqlRequest request,
-            PreparedDefinition shape,
-            List<SqlRequest> behind,
+            PreparedDefinition definition,
+            List<SqlRequest> trailing,
             int priority,
-            BooleanSupplier onSend,
-            BiConsumer<SqlResult, Throwable> end) {
+            BooleanSupplier beforeSend,
+            BiConsumer<SqlResult, Throwable> callback) {
         StatementGate gate = lease.link().gate();
         gate.enter(priority, () -> {
-            if (!onSend.getAsBoolean()) {
+            if (!beforeSend.getAsBoolean()) {
                 gate.leave(false);
                 return;
             }
-            sendNow(lease, session, request, shape, behind, (result, error) -> {
+            sendNow(lease, session, request, definition, trailing, (result, error) -> {
                 gate.leave(error == null && result.hasError(SqlError.BUSY));
-                end.accept(result, error);
+                callback.accept(result, error);
             });
         });
     }
@@ -49,25 +49,25 @@
             ConnectionLease lease,
             ClientSession session,
             SqlRequest request,
-            PreparedDefinition shape,
-            List<SqlRequest> behind,
-            BiConsumer<SqlResult, Throwable> end) {
-        List<SqlRequest> all = new ArrayList<>(lease.connection().setUp(session.values(), shape));
-        int setUps = all.size();
+            PreparedDefinition definition,
+            List<SqlRequest> trailing,
+            BiConsumer<SqlResult, Throwable> callback) {
+        List<SqlRequest> all = new ArrayList<>(lease.connection().setUp(session.values(), definition));
+        int setUpCount = all.size();
         all.add(request);
-        all.addAll(behind);
+        all.addAll(trailing);
         List<CompletableFuture<SqlResult>> results = lease.connection().send(all);
         CompletableFuture<SqlResult> last = results.get(results.size() - 1);
-        CompletableFuture<SqlResult> statement = results.get(setUps);
+        CompletableFuture<SqlResult> statement = results.get(setUpCount);
         last.whenComplete((ignored, error) -> {
-            boolean setUpFailed = results.subList(0, setUps).stream()
+            boolean setUpFailed = results.subList(0, setUpCount).stream()
                     .anyMatch(result -> result.isDone()
                             && !result.isCompletedExceptionally()
                             && !result.join().isSuccess());
             if (setUpFailed) {
                 lease.connection().close();
             }
-            statement.whenComplete(end);
+            statement.whenComplete(callback);
         });
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/package-info.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/package-info.java
@@ -1,2 +1,2 @@
-/** Interactive sessions: one connection of a client is one session, whose statements run on pooled database connections. */
+/** Interactive sessions: each client connection is one session, whose statements run on pooled database connections. */
 package org.hornbeamspread.proxy.session;
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/EngineHarness.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/EngineHarness.java
@@ -21,7 +21,7 @@
 import org.hornbeamspread.core.sql.SqlResult;
 import org.hornbeamspread.core.sql.SqlStatement;
 
-/** An engine before one primary and two replicas, on a paused clock. */
+/** A session engine with one primary and two replicas, on a manually advanced clock. */
 final class EngineHarness {
     static final String PRIMARY_ROUTE = "topup";
     static final String BOUNDED_STALENESS_ROUTE = "balance";
@@ -57,7 +57,7 @@
         loadConfiguration(1, 28, 1);
     }
 
-    /** Loads a configuration with the three routes. */
+    /** Loads a configuration with one route of each kind. */
     void loadConfiguration(long version, int maxConnections, int proxies) {
         loadConfiguration(
                 version,
@@ -94,7 +94,7 @@
         engine.onView(view);
     }
 
-    /** Control tells that it has promoted a database. */
+    /** Delivers a view in which control has promoted a database. */
     void announcePromotion(FakeDatabase database) {
         engine.onView(SystemView.of(
                 view.configuration(), view.instances(), Map.of(FakeDatabase.SERVICE, database.id), view.proxies()));
@@ -118,7 +118,7 @@
         return client;
     }
 
-    /** A client that keeps what it is told. */
+    /** A client that stores the replies. */
     static final class Client implements ClientConnection {
         private final ManualClock clock;
         private long sentMs;
@@ -133,7 +133,7 @@
             this.clock = clock;
         }
 
-        /** From the last request to the last reply; without end while that is missing. */
+        /** Time from the last request to its reply; {@link Long#MAX_VALUE} while the reply is outstanding. */
         long replyTimeMs() {
             return repliedMs < sentMs ? Long.MAX_VALUE : repliedMs - sentMs;
         }
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
@@ -53,7 +53,7 @@
         assertThat(harness.primary.runs.get(0).transaction()).containsExactly("r1");
     }
 
-    /** The proxy has not heard of a promotion yet: the deposed primary refuses, and nothing runs there. */
+    /** The proxy has not received the view with the promotion yet: the demoted primary refuses the read, and nothing runs there. */
     @Test
     void aReadOfAPrimaryRouteNeverRunsOnADemotedPrimary() {
         harness.primary.primary = false;
@@ -151,16 +151,16 @@
         assertThat(client.lastReply().error()).hasValue(SqlError.UNKNOWN_PREPARED);
     }
 
-    /** What is known of a write's effect decides the answer. */
+    /** The error is BUSY if the write certainly did not run, and the database's own error otherwise. */
     @ParameterizedTest
     @CsvSource({"BUSY, BUSY", "READ_ONLY, BUSY", "FAILED, FAILED", "TIMEOUT, TIMEOUT"})
-    void theErrorOfAFailedWriteStatesWhetherItMayHaveRun(SqlError met, SqlError told) {
-        harness.primary.fault = request -> request.id().equals("w1") ? Optional.of(met) : Optional.empty();
+    void theErrorOfAFailedWriteStatesWhetherItMayHaveRun(SqlError databaseError, SqlError reportedError) {
+        harness.primary.fault = request -> request.id().equals("w1") ? Optional.of(databaseError) : Optional.empty();
         Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("w1", new Write("item", "5"));
         harness.run(2_000);
 
         assertThat(client.replies).hasSize(1);
-        assertThat(client.lastReply().error()).hasValue(told);
+        assertThat(client.lastReply().error()).hasValue(reportedError);
     }
 
     @Test
@@ -175,7 +175,7 @@
         assertThat(harness.primary.runs).isEmpty();
     }
 
-    /** A primary goes dark under a read: another question is not answered either, and the read ends before its timeout. */
+    /** A primary stops responding during a read: a probe gets no response either, and the read ends before its timeout. */
     @Test
     void aReadAtAnUnresponsivePrimaryEndsBeforeItsTimeout() {
         Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("w0", new Write("item", "5"));
@@ -207,8 +207,9 @@
     @EnumSource(
             value = SqlError.class,
             names = {"FAILED", "TIMEOUT", "BUSY"})
-    void aFailedBoundedStalenessReadIsRetriedOnAnotherInstance(SqlError met) {
-        harness.nearReplica.fault = request -> request.id().equals("r1") ? Optional.of(met) : Optional.empty();
+    void aFailedBoundedStalenessReadIsRetriedOnAnotherInstance(SqlError databaseError) {
+        harness.nearReplica.fault =
+                request -> request.id().equals("r1") ? Optional.of(databaseError) : Optional.empty();
         Client client = harness.open(EngineHarness.BOUNDED_STALENESS_ROUTE).send("r1", new Read("item"));
         harness.run(300);
 
@@ -247,9 +248,9 @@
 
     @Test
     void aStatementRefusedAsBusyInsideATransactionIsRetried() {
-        int[] refusals = {3};
+        int[] remainingRefusals = {3};
         harness.primary.fault = request ->
-                request.id().equals("s2") && refusals[0]-- > 0 ? Optional.of(SqlError.BUSY) : Optional.empty();
+                request.id().equals("s2") && remainingRefusals[0]-- > 0 ? Optional.of(SqlError.BUSY) : Optional.empty();
         Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("b", new Begin(false));
         client.send("s1", new Read("item")).send("s2", new Write("item", "5"));
         harness.run(300);
@@ -270,7 +271,7 @@
         assertThat(FakeDatabase.ids(harness.primary.runs)).containsExactly("s1");
     }
 
-    /** A client that leaves inside a transaction: what it wrote is rolled back before another uses the connection. */
+    /** A client disconnects inside a transaction: its writes are rolled back before another session uses the connection. */
     @Test
     void aTransactionIsRolledBackWhenItsClientDisconnects() {
         harness.loadConfiguration(2, 4, 1);
@@ -286,7 +287,7 @@
         assertThat(harness.primary.runs.get(1).transaction()).isEmpty();
     }
 
-    /** Found by fleetbench score ujaas-core trouble-1: the statement waited for its turn while its client left. */
+    /** Regression (fleetbench score ujaas-core trouble-1): the client disconnected while its statement was queued. */
     @Test
     void aQueuedStatementIsNotSentAfterItsClientDisconnects() {
         harness.loadConfiguration(2, 28, 90);
@@ -373,8 +374,8 @@
     }
 
     /**
-     * The primary is out of reach, or lost the lead. The latter was found by fleetbench score ujaas-core, trouble-1: four of six proxies
-     * refused for six seconds, and stayed in rotation.
+     * The primary is unreachable, or is no longer the primary. Regression of the second case (fleetbench score ujaas-core,
+     * trouble-1): four of six proxies refused statements for six seconds, and the load balancer kept routing to them.
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -408,7 +409,7 @@
         assertThat(harness.engine.isReady()).isTrue();
     }
 
-    /** Incident inc1 of ujaas-core: the primary before a promotion acknowledged commits that its successor did not have. */
+    /** Incident inc1 of ujaas-core: the former primary acknowledged commits that the promoted instance did not have. */
     @Test
     void theFormerPrimaryIsNotUsedWhileAPromotionIsInProgress() {
         Client client = harness.open(EngineHarness.PRIMARY_ROUTE).send("w1", new Write("item", "5"));
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionHistoriesTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionHistoriesTest.java
@@ -23,9 +23,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Random clients on few connections, which leave at any moment, under resets, refusals, silence and changes of the primary. Each
- * statement must run inside its own client's transaction and with its own client's values, and none after a promise that
- * nothing of it was kept.
+ * Guards against statements of different sessions mixing on pooled connections. Random clients share few connections and
+ * disconnect at any time, while connections are reset, statements fail, databases stop responding and the primary changes. Each
+ * statement must run inside its own client's transaction and with its own client's values, and no statement may run after its
+ * transaction was reported as not committed.
  */
 final class SessionHistoriesTest {
     private static final int STEPS = 400;
@@ -59,7 +60,7 @@
         private final int proxies;
         private final List<Actor> actors = new ArrayList<>();
 
-        /** The transaction that each statement was sent in; 0 outside of one. */
+        /** The transaction in which each statement was sent; empty outside of one. */
         private final Map<String, String> transactionById = new HashMap<>();
 
         private final Map<String, Map<String, String>> valuesById = new HashMap<>();
@@ -90,8 +91,8 @@
         }
 
         private SqlError randomError() {
-            SqlError[] errors = {SqlError.BUSY, SqlError.FAILED, SqlError.TIMEOUT, SqlError.REPLICA_LAGGING};
-            return errors[random.nextInt(errors.length)];
+            SqlError[] candidates = {SqlError.BUSY, SqlError.FAILED, SqlError.TIMEOUT, SqlError.REPLICA_LAGGING};
+            return candidates[random.nextInt(candidates.length)];
         }
 
         private void injectFault() {
@@ -162,8 +163,9 @@
         }
 
         private SqlStatement nextStatement(Actor actor) {
-            boolean stuck = actor.sentRequests > 0 && actor.client.lastReply().state() == TransactionState.FAILED;
-            if (stuck) {
+            boolean transactionFailed =
+                    actor.sentRequests > 0 && actor.client.lastReply().state() == TransactionState.FAILED;
+            if (transactionFailed) {
                 return new Rollback();
             }
             switch (random.nextInt(actor.inTransaction ? 6 : 5)) {
@@ -192,13 +194,13 @@
             for (FakeDatabase database : harness.databases) {
                 for (FakeDatabase.Run run : database.runs) {
                     String transaction = transactionById.get(run.id());
-                    boolean own = transaction.isEmpty()
+                    boolean inOwnTransaction = transaction.isEmpty()
                             ? run.transaction().size() <= 1
                             : run.transaction().stream()
                                     .allMatch(
                                             other -> transactionById.get(other).equals(transaction));
                     assertWithMessage("seed %s: %s of %s ran in %s", seed, run.id(), transaction, run.transaction())
-                            .that(own
+                            .that(inOwnTransaction
                                     && (transaction.isEmpty()
                                             || !run.transaction().isEmpty()))
                             .isTrue();
