--- a/proxy/src/main/java/org/hornbeamspread/proxy/ClusterMonitor.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ClusterMonitor.java
@@ -22,7 +22,7 @@
 
 /**
  * Monitors every database of the view over one administrative connection each, and keeps the replication state of their
- * groups. Owned by the dispatcher's thread.
+ * groups. Confined to the dispatcher's thread.
  */
 final class ClusterMonitor {
     private static final Duration POLL_INTERVAL = Duration.ofMillis(100);
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ConnectionPool.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ConnectionPool.java
@@ -23,7 +23,7 @@
  *
  * <p>A connection has one user at a time. The user returns the connection by {@link #release} only if every response
  * on it has been read and no transaction is open. Otherwise {@link #discard} closes the connection, because a late
- * response or an open transaction would interfere with the work of the next user. Owned by the dispatcher's thread.
+ * response or an open transaction would interfere with the work of the next user. Confined to the dispatcher's thread.
  */
 final class ConnectionPool {
     private static final Duration OPEN_TIMEOUT = Duration.ofSeconds(1);
--- a/proxy/src/main/java/org/hornbeamspread/proxy/DatabaseExecutor.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/DatabaseExecutor.java
@@ -13,5 +13,5 @@
      * with TIMEOUT_AFTER_SEND or CONNECTION_LOST_AFTER_SEND (outcome unknown).
      */
     CompletableFuture<StatementsExecuted> execute(
-            ViewSnapshot view, DatabaseEntry database, RequestContext order, ExecuteStatements statements);
+            ViewSnapshot view, DatabaseEntry database, RequestContext context, ExecuteStatements statements);
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/DatabaseMonitor.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/DatabaseMonitor.java
@@ -20,7 +20,7 @@
 
 /**
  * Monitors one database over an administrative connection: receives the database's position reports and requests its
- * position. The connection doesn't count against the connection limit of the database. Owned by the dispatcher's
+ * position. The connection doesn't count against the connection limit of the database. Confined to the dispatcher's
  * thread.
  */
 final class DatabaseMonitor {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/Dispatcher.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/Dispatcher.java
@@ -9,7 +9,7 @@
  * thread accesses needs no locks.
  */
 interface Dispatcher extends Executor {
-    /** A timer that can be canceled. */
+    /** A timer that can be cancelled. */
     interface Timer {
         /** Cancels the timer. No effect after the timer has run. */
         void cancel();
--- a/proxy/src/main/java/org/hornbeamspread/proxy/GroupReplicationState.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/GroupReplicationState.java
@@ -22,7 +22,7 @@
 
 /**
  * The replication state of one group as observed by this proxy: the log positions of the databases, the quorum
- * position, and the staleness of the replicas. Owned by one thread.
+ * position, and the staleness of the replicas. Confined to the dispatcher's thread.
  */
 final class GroupReplicationState {
     private static final int MAX_STALENESS_SAMPLES = 128;
--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabase.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabase.java
@@ -18,7 +18,7 @@
 /**
  * A database that this proxy holds, with its slots, queue and connections. A statement takes a slot first and a
  * connection second, so that the number of running statements never exceeds the number of slots, whichever proxy the
- * statements came from. Owned by the dispatcher's thread.
+ * statements came from. Confined to the dispatcher's thread.
  */
 final class HeldDatabase {
     private final Dispatcher dispatcher;
@@ -66,10 +66,10 @@
     }
 
     /** Runs statements as a separate transaction. */
-    CompletableFuture<StatementsExecuted> execute(RequestContext order, ExecuteStatements statements) {
+    CompletableFuture<StatementsExecuted> execute(RequestContext context, ExecuteStatements statements) {
         Envelope request =
                 Envelope.newBuilder().setExecuteStatements(statements).build();
-        return queue.run(order, () -> withConnection(order, connection -> send(connection, request, order)))
+        return queue.run(context, () -> withConnection(context, connection -> send(connection, request, context)))
                 .thenApply(Envelope::getStatementsExecuted);
     }
 
@@ -77,8 +77,8 @@
      * Sends a request on a connection that was acquired from the pool, and converts a transport failure after the
      * send to the failure type with the right effect. Fails with DEADLINE_BEFORE_START, not sent, if no time is left.
      */
-    CompletableFuture<Envelope> send(PeerConnection connection, Envelope request, RequestContext order) {
-        Duration remaining = Duration.between(dispatcher.clock().instant(), order.deadline());
+    CompletableFuture<Envelope> send(PeerConnection connection, Envelope request, RequestContext context) {
+        Duration remaining = Duration.between(dispatcher.clock().instant(), context.deadline());
         if (remaining.isNegative() || remaining.isZero()) {
             return CompletableFuture.failedFuture(
                     new FailureException(FailureType.DEADLINE_BEFORE_START, entry.getDatabaseId()));
@@ -123,11 +123,11 @@
     }
 
     private CompletableFuture<Envelope> withConnection(
-            RequestContext order, Function<PeerConnection, CompletableFuture<Envelope>> use) {
+            RequestContext context, Function<PeerConnection, CompletableFuture<Envelope>> use) {
         CompletableFuture<Envelope> result = new CompletableFuture<>();
         Instant now = dispatcher.clock().instant();
         Dispatcher.Timer timer = dispatcher.schedule(
-                Duration.between(now, order.deadline()),
+                Duration.between(now, context.deadline()),
                 () -> result.completeExceptionally(
                         new FailureException(FailureType.DEADLINE_BEFORE_START, entry.getDatabaseId())));
         pool.acquire().whenComplete((connection, error) -> {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
@@ -23,7 +23,7 @@
  * <p>{@link HolderAdmissionRule} decides when work may start. When this proxy no longer holds a database, idle
  * connections are closed at once, and connections in use when their work has ended.
  *
- * <p>Owned by the dispatcher's thread.
+ * <p>Confined to the dispatcher's thread.
  */
 final class HeldDatabases {
     /** The report age of a database without an administrative connection; longer than any accepted age. */
@@ -92,12 +92,12 @@
 
     /** Runs statements on a database that this proxy holds at an epoch. Otherwise fails with WRONG_HOLDER, not run. */
     CompletableFuture<StatementsExecuted> execute(
-            String databaseId, long holderEpoch, RequestContext order, ExecuteStatements statements) {
+            String databaseId, long holderEpoch, RequestContext context, ExecuteStatements statements) {
         Optional<HeldDatabase> database = findUsable(databaseId, holderEpoch, statements.getReadOnly());
         if (database.isEmpty()) {
             return CompletableFuture.failedFuture(new FailureException(FailureType.WRONG_HOLDER, databaseId));
         }
-        return database.get().execute(order, statements);
+        return database.get().execute(context, statements);
     }
 
     /** The database, if this proxy holds it at the epoch and may start work on it now. */
--- a/proxy/src/main/java/org/hornbeamspread/proxy/InFlightAttempts.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/InFlightAttempts.java
@@ -14,7 +14,7 @@
 /**
  * Attempts that wait for a response of a database. After a newer view has replaced the primary or the holder that an
  * attempt was sent to, the response may never arrive. The attempt is failed with an unknown outcome, so that a
- * statement that may be retried is sent to the new primary or holder at once instead of at the deadline. Owned by the
+ * statement that may be retried is sent to the new primary or holder at once instead of at the deadline. Confined to the
  * dispatcher's thread.
  */
 final class InFlightAttempts {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/OpenTransaction.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/OpenTransaction.java
@@ -4,7 +4,7 @@
 import org.hornbeamspread.protocol.schema.GroupView;
 import org.hornbeamspread.transport.PeerConnection;
 
-/** An interactive transaction and its pinned connection. Owned by the dispatcher's thread. */
+/** An interactive transaction and its pinned connection. Confined to the dispatcher's thread. */
 final class OpenTransaction {
     private final TransactionId id;
     private final GroupView group;
@@ -26,7 +26,7 @@
             HeldDatabase database,
             PeerConnection connection,
             boolean readOnly,
-            RequestContext order,
+            RequestContext context,
             int timeoutMs,
             Instant now) {
         this.id = id;
@@ -34,8 +34,8 @@
         this.database = database;
         this.connection = connection;
         this.readOnly = readOnly;
-        this.rank = order.rank();
-        this.callerId = order.callerId();
+        this.rank = context.rank();
+        this.callerId = context.callerId();
         this.timeoutMs = timeoutMs;
         this.lastUsedAt = now;
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/PeerService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/PeerService.java
@@ -34,10 +34,10 @@
 
     private final AtomicInteger inProgress = new AtomicInteger();
 
-    PeerService(Dispatcher dispatcher, HeldDatabases held, ClusterMonitor databases) {
+    PeerService(Dispatcher dispatcher, HeldDatabases heldDatabases, ClusterMonitor clusterMonitor) {
         this.dispatcher = dispatcher;
-        this.heldDatabases = held;
-        this.clusterMonitor = databases;
+        this.heldDatabases = heldDatabases;
+        this.clusterMonitor = clusterMonitor;
     }
 
     @Override
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ProxyServer.java
@@ -83,7 +83,7 @@
                 new HolderExecutor(settings.proxyId(), settings.region(), heldDatabases, relayClient);
         this.inFlight = new InFlightAttempts();
         this.writePath = new WritePath(requestDispatcher, publisher, clusterMonitor, executor, inFlight);
-        ReadPath reads = new ReadPath(
+        ReadPath readPath = new ReadPath(
                 requestDispatcher, publisher, clusterMonitor, heldDatabases, executor, inFlight, metrics, settings);
         this.transactionManager =
                 new TransactionManager(requestDispatcher, publisher, heldDatabases, writePath, settings, incarnation);
@@ -91,7 +91,7 @@
                 requestDispatcher,
                 publisher,
                 writePath,
-                reads,
+                readPath,
                 new TransactionRouter(requestDispatcher, publisher, transactionManager, settings, incarnation),
                 new RetryLoop(requestDispatcher, metrics, publisher::isIsolatedFromControl),
                 metrics,
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ReadPath.java
@@ -47,16 +47,16 @@
     ReadPath(
             Dispatcher dispatcher,
             ViewPublisher publisher,
-            ClusterMonitor databases,
-            HeldDatabases held,
+            ClusterMonitor clusterMonitor,
+            HeldDatabases heldDatabases,
             DatabaseExecutor executor,
             InFlightAttempts inFlight,
             ProxyMetrics metrics,
             ProxySettings settings) {
         this.dispatcher = dispatcher;
         this.publisher = publisher;
-        this.clusterMonitor = databases;
-        this.heldDatabases = held;
+        this.clusterMonitor = clusterMonitor;
+        this.heldDatabases = heldDatabases;
         this.executor = executor;
         this.inFlight = inFlight;
         this.metrics = metrics;
--- a/proxy/src/main/java/org/hornbeamspread/proxy/RetryLoop.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/RetryLoop.java
@@ -30,8 +30,8 @@
     private final BooleanSupplier isolatedFromControl;
     private final RetryBudget budget = new RetryBudget();
 
-    RetryLoop(Dispatcher dispatcher, ProxyMetrics metrics, BooleanSupplier cutOff) {
-        this.isolatedFromControl = cutOff;
+    RetryLoop(Dispatcher dispatcher, ProxyMetrics metrics, BooleanSupplier isolatedFromControl) {
+        this.isolatedFromControl = isolatedFromControl;
         this.dispatcher = dispatcher;
         this.metrics = metrics;
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
@@ -40,18 +40,18 @@
     StatementsService(
             Dispatcher dispatcher,
             ViewPublisher publisher,
-            WritePath writes,
-            ReadPath reads,
-            TransactionRouter transactions,
-            RetryLoop retries,
+            WritePath writePath,
+            ReadPath readPath,
+            TransactionRouter transactionRouter,
+            RetryLoop retryLoop,
             ProxyMetrics metrics,
             ProxySettings settings) {
         this.dispatcher = dispatcher;
         this.publisher = publisher;
-        this.writePath = writes;
-        this.readPath = reads;
-        this.transactionRouter = transactions;
-        this.retryLoop = retries;
+        this.writePath = writePath;
+        this.readPath = readPath;
+        this.transactionRouter = transactionRouter;
+        this.retryLoop = retryLoop;
         this.metrics = metrics;
         this.settings = settings;
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/TimerQueue.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TimerQueue.java
@@ -35,7 +35,7 @@
         private final Instant dueAt;
         private final long sequence;
 
-        /** Replaced by a no-op when the timer is canceled; the entry stays in the queue until it is due. */
+        /** Replaced by a no-op when the timer is cancelled; the entry stays in the queue until it is due. */
         private Runnable work;
 
         Entry(Instant dueAt, long sequence, Runnable work) {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/TransactionManager.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TransactionManager.java
@@ -35,7 +35,7 @@
  * <p>A transaction runs on the primary, on one connection that is pinned to the transaction from begin to end; no
  * other work uses the connection meanwhile. The connection returns to the pool only after a commit or rollback with a
  * complete response. A transaction is closed together with its connection if it is idle for too long, if a response
- * is missing, or if the outcome of its end is unknown; the database then rolls back uncommitted work. Owned by the
+ * is missing, or if the outcome of its end is unknown; the database then rolls back uncommitted work. Confined to the
  * dispatcher's thread.
  */
 final class TransactionManager {
@@ -53,14 +53,14 @@
     TransactionManager(
             Dispatcher dispatcher,
             ViewPublisher publisher,
-            HeldDatabases held,
-            WritePath writes,
+            HeldDatabases heldDatabases,
+            WritePath writePath,
             ProxySettings settings,
             long incarnation) {
         this.dispatcher = dispatcher;
         this.publisher = publisher;
-        this.heldDatabases = held;
-        this.writePath = writes;
+        this.heldDatabases = heldDatabases;
+        this.writePath = writePath;
         this.proxyId = settings.proxyId();
         this.incarnation = incarnation;
         this.idleTimeout = Duration.ofMillis(settings.idleTransactionMs());
@@ -98,17 +98,17 @@
             throw new FailureException(FailureType.CONNECTION_LIMIT, "too many open transactions");
         }
         int timeoutMs = StatementRequest.timeoutMs(request.getTimeoutMs(), service);
-        RequestContext order =
+        RequestContext context =
                 new RequestContext(request.getRank(), request.getCallerId(), arrivedAt.plusMillis(timeoutMs));
         return database.pool()
                 .acquire()
-                .thenCompose(connection -> beginOn(connection, request, group, database, order, timeoutMs));
+                .thenCompose(connection -> beginOn(connection, request, group, database, context, timeoutMs));
     }
 
     /** Runs statements inside a transaction. */
     CompletableFuture<ExecuteResponse> execute(TransactionId id, ExecuteRequest request) {
         OpenTransaction transaction = findIdle(id, FailureType.UNKNOWN_TRANSACTION);
-        RequestContext order = transaction.beginRequest(dispatcher.clock().instant(), request.getTimeoutMs());
+        RequestContext context = transaction.beginRequest(dispatcher.clock().instant(), request.getTimeoutMs());
         Envelope statements = Envelope.newBuilder()
                 .setExecuteStatements(ExecuteStatements.newBuilder()
                         .setTerm(
@@ -118,7 +118,7 @@
                 .build();
         HeldDatabase database = transaction.database();
         return database.queue()
-                .run(order, () -> database.send(transaction.connection(), statements, order))
+                .run(context, () -> database.send(transaction.connection(), statements, context))
                 .handle((response, error) -> {
                     transaction.endRequest(dispatcher.clock().instant());
                     if (error != null) {
@@ -134,22 +134,22 @@
         if (!transaction.readOnly()) {
             writePath.writableGroup(publisher.current(), transaction.group().getGroup());
         }
-        RequestContext order = transaction.beginRequest(dispatcher.clock().instant(), 0);
+        RequestContext context = transaction.beginRequest(dispatcher.clock().instant(), 0);
         Envelope commit = Envelope.newBuilder()
                 .setCommitTransaction(CommitTransaction.newBuilder().setIdempotencyKey(request.getIdempotencyKey()))
                 .build();
-        return endTransaction(transaction, commit, order)
-                .thenCompose(ended -> acknowledge(transaction, ended, order, request));
+        return endTransaction(transaction, commit, context)
+                .thenCompose(ended -> acknowledge(transaction, ended, context, request));
     }
 
     /** Rolls a transaction back. */
     CompletableFuture<ExecuteResponse> rollback(TransactionId id, EndRequest request) {
         OpenTransaction transaction = findIdle(id, FailureType.UNKNOWN_TRANSACTION);
-        RequestContext order = transaction.beginRequest(dispatcher.clock().instant(), 0);
+        RequestContext context = transaction.beginRequest(dispatcher.clock().instant(), 0);
         Envelope rollback = Envelope.newBuilder()
                 .setRollbackTransaction(RollbackTransaction.getDefaultInstance())
                 .build();
-        return endTransaction(transaction, rollback, order)
+        return endTransaction(transaction, rollback, context)
                 .handle((ended, error) -> ExecuteResponse.newBuilder()
                         .setEffect(Effect.DONE)
                         .setSessionToken(request.getSessionToken())
@@ -168,14 +168,14 @@
             BeginRequest request,
             GroupView group,
             HeldDatabase database,
-            RequestContext order,
+            RequestContext context,
             int timeoutMs) {
         Envelope begin = Envelope.newBuilder()
                 .setBeginTransaction(BeginTransaction.newBuilder()
                         .setTerm(request.getReadOnly() ? 0 : group.getTerm())
                         .setReadOnly(request.getReadOnly()))
                 .build();
-        return database.send(connection, begin, order)
+        return database.send(connection, begin, context)
                 .handleAsync(
                         (response, error) -> {
                             if (error != null) {
@@ -192,7 +192,7 @@
                                             database,
                                             connection,
                                             request.getReadOnly(),
-                                            order,
+                                            context,
                                             timeoutMs,
                                             now));
                             return id;
@@ -237,10 +237,10 @@
 
     /** Sends the commit or rollback to the database. The transaction is closed whatever the outcome is. */
     private CompletableFuture<TransactionEnded> endTransaction(
-            OpenTransaction transaction, Envelope request, RequestContext order) {
+            OpenTransaction transaction, Envelope request, RequestContext context) {
         return transaction
                 .database()
-                .send(transaction.connection(), request, order)
+                .send(transaction.connection(), request, context)
                 .handleAsync(
                         (response, error) -> {
                             if (error != null) {
@@ -255,7 +255,7 @@
     }
 
     private CompletableFuture<ExecuteResponse> acknowledge(
-            OpenTransaction transaction, TransactionEnded ended, RequestContext order, EndRequest request) {
+            OpenTransaction transaction, TransactionEnded ended, RequestContext context, EndRequest request) {
         SessionToken token = SessionToken.decode(request.getSessionToken());
         String group = transaction.group().getGroup();
         ExecuteResponse.Builder response = ExecuteResponse.newBuilder()
@@ -274,7 +274,7 @@
                 .setTerm(ended.getTerm())
                 .build();
         return writePath
-                .acknowledge(transaction.group(), executed, order)
+                .acknowledge(transaction.group(), executed, context)
                 .thenApply(acknowledged -> response.setSessionToken(
                                 token.withWrite(group, acknowledged).encode())
                         .build());
--- a/proxy/src/main/java/org/hornbeamspread/proxy/TransactionRouter.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TransactionRouter.java
@@ -22,7 +22,7 @@
 /**
  * Routes a transaction's requests to the proxy that has the transaction's connection: a Begin to the holder of the
  * primary, every later request to the proxy named in the transaction id. Requests are forwarded as whole RPCs, so
- * that the queue, the connection and the acknowledgement stay in one process. Owned by the dispatcher's thread.
+ * that the queue, the connection and the acknowledgement stay in one process. Confined to the dispatcher's thread.
  */
 final class TransactionRouter {
     private static final String METHOD_PREFIX = "hornbeamspread.Statements/";
@@ -38,12 +38,12 @@
     TransactionRouter(
             Dispatcher dispatcher,
             ViewPublisher publisher,
-            TransactionManager transactions,
+            TransactionManager transactionManager,
             ProxySettings settings,
             long incarnation) {
         this.dispatcher = dispatcher;
         this.publisher = publisher;
-        this.transactionManager = transactions;
+        this.transactionManager = transactionManager;
         this.settings = settings;
         this.incarnation = incarnation;
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/ViewLeaseRenewer.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/ViewLeaseRenewer.java
@@ -22,9 +22,9 @@
  * Keeps the lease on this proxy's view: finds the control leader, renews every {@link #RENEWAL_INTERVAL} and
  * immediately after a ViewChanged push from control, and publishes the received views.
  *
- * <p>A renewal confirms the view version that the thread of the requests has applied, not the latest version
+ * <p>A renewal confirms the view version that the "requests" thread has applied, not the latest version
  * received: control may open a new term for writes after that confirmation, and by then every acknowledgement under
- * the older view must have been decided. Owned by the control dispatcher's thread.
+ * the older view must have been decided. Confined to the control dispatcher's thread.
  */
 final class ViewLeaseRenewer {
     private static final Logger LOG = System.getLogger(ViewLeaseRenewer.class.getName());
--- a/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
@@ -45,12 +45,12 @@
     WritePath(
             Dispatcher dispatcher,
             ViewPublisher publisher,
-            ClusterMonitor databases,
+            ClusterMonitor clusterMonitor,
             DatabaseExecutor executor,
             InFlightAttempts inFlight) {
         this.dispatcher = dispatcher;
         this.publisher = publisher;
-        this.clusterMonitor = databases;
+        this.clusterMonitor = clusterMonitor;
         this.executor = executor;
         this.inFlight = inFlight;
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionLease.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ConnectionLease.java
@@ -10,8 +10,8 @@
     private boolean released;
     private boolean retryable;
 
-    ConnectionLease(InstanceConnectionPool link, long slotRequestId, PooledConnection connection) {
-        this.pool = link;
+    ConnectionLease(InstanceConnectionPool pool, long slotRequestId, PooledConnection connection) {
+        this.pool = pool;
         this.slotRequestId = slotRequestId;
         this.connection = connection;
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnectionPool.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnectionPool.java
@@ -19,9 +19,9 @@
 import org.hornbeamspread.core.sql.SqlConnector;
 
 /**
- * The pool of this proxy's connections to one instance, with the queue of units that wait for a connection. A unit, which is
- * a statement or a transaction, holds a connection from its first statement to its last. {@link RankScheduler} decides which
- * unit gets the next connection. Confined to the engine's thread.
+ * The pool of this proxy's connections to one instance, with the queue of requests that wait for a connection. A single
+ * statement or a transaction requests one connection, and holds the connection from its first statement to its last.
+ * {@link RankScheduler} decides which request gets the next connection. Confined to the engine's thread.
  */
 final class InstanceConnectionPool {
     /** Weight of a new measurement in the moving average of service times. */
@@ -34,10 +34,10 @@
     private final BiConsumer<ConnectionRequest, RetryReason> reroute;
     private final InstanceConnections connections;
 
-    /** Queued units by ticket. A unit gets a new ticket each time it joins the queue of this pool. */
+    /** Queued requests by slot request id. A request gets a new id each time that it joins the queue of this pool. */
     private final Map<Long, ConnectionRequest> waitingRequests = new LinkedHashMap<>();
 
-    /** Units for which a connection is being opened, by ticket. */
+    /** Requests for which a connection is being opened, by slot request id. */
     private final Map<Long, ConnectionRequest> connectingRequests = new LinkedHashMap<>();
 
     private final Map<Long, SlotRequest> runningSlotRequests = new HashMap<>();
@@ -53,7 +53,7 @@
      *
      * @param limit maximum number of connections that this proxy may hold to the instance
      * @param proxies number of proxies that share the database
-     * @param reroute receives each unit that must be routed again
+     * @param reroute receives each request that must be routed again
      */
     InstanceConnectionPool(
             DatabaseInstance instance,
@@ -80,7 +80,7 @@
         return limiter;
     }
 
-    /** Number of statements that wait or are in flight, plus the queued units that have no connection yet. */
+    /** Number of statements that wait or are in flight, plus the queued requests that have no connection yet. */
     int outstanding() {
         return waitingRequests.size() + limiter.outstanding();
     }
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Applies the silence timeout, probes an instance that may be reachable again, and removes units that can no longer start
-     * in time.
+     * Applies the silence timeout, probes an instance that may be reachable again, and removes requests that can no longer
+     * start in time.
      *
      * @param localPause whether this proxy itself was paused since the previous check
      */
@@ -139,8 +139,8 @@
     }
 
     /**
-     * Handles a request on an open connection that got no response in time: idle connections are closed, waiting units are
-     * rerouted, and connections in use by repeatable statements are discarded, so that these are retried elsewhere.
+     * Handles a request on an open connection that got no response in time: idle connections are closed, waiting requests
+     * are rerouted, and connections in use by repeatable statements are discarded, so that these are retried elsewhere.
      */
     void onSilenceTimeout() {
         connections.onSilenceTimeout();
@@ -150,7 +150,7 @@
                 .forEach(ConnectionLease::discard);
     }
 
-    /** Applies new limits. Running units keep their connections. */
+    /** Applies new limits. Connections in use are kept. */
     void resize(int newLimit, int proxies) {
         limiter.resize(instance.slots(), proxies);
         connections.resize(newLimit);
@@ -162,15 +162,15 @@
         startNext();
     }
 
-    /** Queues a unit. A unit that cannot start in time is refused or rerouted at once. */
-    void acquire(ConnectionRequest unit) {
-        enqueue(unit);
+    /** Queues a request. A request that cannot start in time is refused or rerouted at once. */
+    void acquire(ConnectionRequest request) {
+        enqueue(request);
         startNext();
     }
 
-    void release(long ticket, PooledConnection connection, boolean reusable) {
-        leases.remove(ticket);
-        freeSlot(ticket, reusable);
+    void release(long slotRequestId, PooledConnection connection, boolean reusable) {
+        leases.remove(slotRequestId);
+        freeSlot(slotRequestId, reusable);
         if (reusable) {
             connections.putIdle(connection);
         } else {
@@ -179,61 +179,61 @@
         startNext();
     }
 
-    /** Closes idle connections and reroutes every waiting unit. Running units continue. */
+    /** Closes idle connections and reroutes every waiting request. Connections in use stay open. */
     void close() {
         connections.close();
         rerouteWaiting();
     }
 
-    private void freeSlot(long ticket, boolean completed) {
-        SlotRequest request = runningSlotRequests.remove(ticket);
-        if (request == null) {
+    private void freeSlot(long slotRequestId, boolean completed) {
+        SlotRequest slotRequest = runningSlotRequests.remove(slotRequestId);
+        if (slotRequest == null) {
             return;
         }
         if (completed) {
-            scheduler.complete(request, clock.instant());
+            scheduler.complete(slotRequest, clock.instant());
         } else {
-            scheduler.abandon(request, clock.instant());
+            scheduler.abandon(slotRequest, clock.instant());
         }
     }
 
-    private void enqueue(ConnectionRequest unit) {
-        long ticket = nextSlotRequestId++;
-        SlotRequest request = new SlotRequest(
-                ticket,
-                unit.rank(),
+    private void enqueue(ConnectionRequest request) {
+        long slotRequestId = nextSlotRequestId++;
+        SlotRequest slotRequest = new SlotRequest(
+                slotRequestId,
+                request.rank(),
                 clock.instant(),
-                Instant.ofEpochMilli(Math.max(unit.startDeadlineMs, clock.millis() + 1)));
-        Optional<FailureException> refusal = scheduler.offer(request);
+                Instant.ofEpochMilli(Math.max(request.startDeadlineMs, clock.millis() + 1)));
+        Optional<FailureException> refusal = scheduler.offer(slotRequest);
         if (refusal.isPresent()) {
             boolean full = refusal.get().type() == FailureType.QUEUE_FULL;
-            refuseOrReroute(unit, full ? RefusalReason.QUEUE_FULL : RefusalReason.WAIT_TOO_LONG);
+            refuseOrReroute(request, full ? RefusalReason.QUEUE_FULL : RefusalReason.WAIT_TOO_LONG);
             return;
         }
-        waitingRequests.put(ticket, unit);
-        unit.cancelHandler = cancelled -> {
-            waitingRequests.remove(ticket);
-            scheduler.cancel(request);
+        waitingRequests.put(slotRequestId, request);
+        request.cancelHandler = cancelled -> {
+            waitingRequests.remove(slotRequestId);
+            scheduler.cancel(slotRequest);
         };
     }
 
-    /** Reroutes a read, since another instance may have capacity; refuses a unit that only the primary can run. */
-    private void refuseOrReroute(ConnectionRequest unit, RefusalReason reason) {
-        if (unit.needsPrimary) {
-            unit.refuse(reason);
+    /** Reroutes a read, since another instance may have capacity; refuses a request that only the primary can run. */
+    private void refuseOrReroute(ConnectionRequest request, RefusalReason reason) {
+        if (request.needsPrimary) {
+            request.refuse(reason);
             return;
         }
-        unit.triedInstanceIds.add(instance.instanceId());
-        unit.lastQueueRefusal = reason;
-        reroute.accept(unit, RetryReason.WAIT_TOO_LONG);
+        request.triedInstanceIds.add(instance.instanceId());
+        request.lastQueueRefusal = reason;
+        reroute.accept(request, RetryReason.WAIT_TOO_LONG);
     }
 
     private void removeExpired() {
         for (SlotRequest expired : scheduler.removeExpired(clock.instant())) {
-            ConnectionRequest unit = waitingRequests.remove(expired.requestId());
-            if (unit != null) {
-                unit.cancelHandler = null;
-                refuseOrReroute(unit, RefusalReason.WAIT_TOO_LONG);
+            ConnectionRequest request = waitingRequests.remove(expired.requestId());
+            if (request != null) {
+                request.cancelHandler = null;
+                refuseOrReroute(request, RefusalReason.WAIT_TOO_LONG);
             }
         }
     }
@@ -244,54 +244,54 @@
             if (next.isEmpty()) {
                 return;
             }
-            ConnectionRequest unit = waitingRequests.remove(next.get().requestId());
-            if (unit == null || unit.ended) {
+            ConnectionRequest request = waitingRequests.remove(next.get().requestId());
+            if (request == null || request.ended) {
                 scheduler.complete(next.get(), clock.instant());
                 continue;
             }
-            unit.cancelHandler = null;
+            request.cancelHandler = null;
             runningSlotRequests.put(next.get().requestId(), next.get());
-            startRequest(next.get().requestId(), unit);
+            startRequest(next.get().requestId(), request);
         }
     }
 
-    private void startRequest(long ticket, ConnectionRequest unit) {
-        PooledConnection connection = connections.takeIdle(unit.values);
+    private void startRequest(long slotRequestId, ConnectionRequest request) {
+        PooledConnection connection = connections.takeIdle(request.values);
         if (connection != null) {
-            grant(ticket, unit, connection);
+            grant(slotRequestId, request, connection);
             return;
         }
-        connectingRequests.put(ticket, unit);
-        connections.open((opened, error) -> onConnected(ticket, opened, error));
+        connectingRequests.put(slotRequestId, request);
+        connections.open((opened, error) -> onConnected(slotRequestId, opened, error));
     }
 
-    private void grant(long ticket, ConnectionRequest unit, PooledConnection connection) {
-        ConnectionLease lease = new ConnectionLease(this, ticket, connection);
-        leases.put(ticket, lease);
-        if (unit.ended) {
+    private void grant(long slotRequestId, ConnectionRequest request, PooledConnection connection) {
+        ConnectionLease lease = new ConnectionLease(this, slotRequestId, connection);
+        leases.put(slotRequestId, lease);
+        if (request.ended) {
             lease.release();
         } else {
-            unit.listener.onLease(lease);
+            request.listener.onLease(lease);
         }
     }
 
-    private void onConnected(long ticket, PooledConnection opened, Throwable error) {
-        ConnectionRequest unit = connectingRequests.remove(ticket);
-        if (error == null && unit != null) {
+    private void onConnected(long slotRequestId, PooledConnection opened, Throwable error) {
+        ConnectionRequest request = connectingRequests.remove(slotRequestId);
+        if (error == null && request != null) {
             scheduler.resize(connections.usableConnections());
-            grant(ticket, unit, opened);
+            grant(slotRequestId, request, opened);
             return;
         }
-        freeSlot(ticket, false);
+        freeSlot(slotRequestId, false);
         if (error == null) {
             connections.putIdle(opened);
         }
         scheduler.resize(connections.usableConnections());
-        if (error != null && unit != null) {
+        if (error != null && request != null) {
             if (!isReachable()) {
-                unit.triedInstanceIds.add(instance.instanceId());
+                request.triedInstanceIds.add(instance.instanceId());
             }
-            reroute.accept(unit, RetryReason.CONNECT_FAILED);
+            reroute.accept(request, RetryReason.CONNECT_FAILED);
         }
         if (isReachable()) {
             startNext();
@@ -300,19 +300,19 @@
         }
     }
 
-    /** Reroutes all units that are queued or for which a connection is being opened. */
+    /** Reroutes all requests that are queued or for which a connection is being opened. */
     private void rerouteWaiting() {
         List<ConnectionRequest> rerouted = new ArrayList<>(connectingRequests.values());
         connectingRequests.clear();
         List<ConnectionRequest> queued = List.copyOf(waitingRequests.values());
-        queued.forEach(unit -> {
-            unit.cancelHandler.accept(unit);
-            unit.cancelHandler = null;
+        queued.forEach(request -> {
+            request.cancelHandler.accept(request);
+            request.cancelHandler = null;
         });
         rerouted.addAll(queued);
-        rerouted.forEach(unit -> {
-            unit.triedInstanceIds.add(instance.instanceId());
-            reroute.accept(unit, RetryReason.CONNECT_FAILED);
+        rerouted.forEach(request -> {
+            request.triedInstanceIds.add(instance.instanceId());
+            reroute.accept(request, RetryReason.CONNECT_FAILED);
         });
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnections.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/InstanceConnections.java
@@ -53,7 +53,7 @@
     /**
      * Creates an instance without open connections.
      *
-     * @param onConnectionsAvailable called after a probe has opened a connection that no unit requested
+     * @param onConnectionsAvailable called after a probe has opened a connection that no statement requested
      */
     InstanceConnections(
             DatabaseInstance instance,
@@ -75,7 +75,7 @@
         return connectFailed;
     }
 
-    /** Whether units may be sent to the instance. */
+    /** Whether connections to the instance may be leased. */
     boolean isUsable() {
         return reachability.isReachable() && adaptiveLimit.effectiveLimit() > 0;
     }
@@ -85,7 +85,7 @@
         return reachability.silentMs(clock.millis());
     }
 
-    /** Number of connections that units may use at once; at least one. */
+    /** Number of connections that may be in use at once; at least one. */
     int usableConnections() {
         return Math.max(1, adaptiveLimit.effectiveLimit());
     }
@@ -122,11 +122,11 @@
 
     /**
      * Closes connections past the idle timeout, except for one, and probes the instance when a probe is due: a connection attempt
-     * that no unit waits for.
+     * that no request waits for.
      *
-     * @param unitsWaiting whether units wait for a connection
+     * @param requestsWaiting whether requests wait for a connection
      */
-    void check(boolean unitsWaiting) {
+    void check(boolean requestsWaiting) {
         long nowMs = clock.millis();
         while (idle.size() > 1 && nowMs - idle.peekLast().idleSinceMs() > IDLE_TIMEOUT_MS) {
             discard(idle.removeLast());
@@ -136,7 +136,7 @@
         }
         boolean reachabilityProbeDue = reachability.isProbeDue(nowMs);
         boolean limitProbeDue = reachability.isReachable()
-                && (unitsWaiting || adaptiveLimit.effectiveLimit() == 0)
+                && (requestsWaiting || adaptiveLimit.effectiveLimit() == 0)
                 && adaptiveLimit.isProbeDue(nowMs);
         if (reachabilityProbeDue || limitProbeDue) {
             probe();
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ServiceState.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ServiceState.java
@@ -10,7 +10,7 @@
 final class ServiceState {
     final PositionSamples positionSamples = new PositionSamples();
 
-    /** Send time of each write without a response, by unit id. */
+    /** Send time of each write without a response, by id of the connection request. */
     final Map<Long, Long> pendingWriteSentAtMs = new HashMap<>();
 
     /** Whether a position probe at the primary is in flight. */
@@ -22,7 +22,7 @@
     private long unreachableSinceMs;
 
     /**
-     * When an instance that was taken for the primary first answered that it is not, with no proof from a primary since; 0 for
+     * When an instance that was treated as the primary first answered that it is not, with no proof from a primary since; 0 for
      * none.
      */
     private long notPrimarySinceMs;
@@ -63,14 +63,14 @@
         }
     }
 
-    /** Records that an instance that was taken for the primary is not the primary. */
+    /** Records that an instance that was treated as the primary is not the primary. */
     void onNotPrimary(long nowMs) {
         if (notPrimarySinceMs == 0) {
             notPrimarySinceMs = nowMs;
         }
     }
 
-    /** Clears the state of {@link #onNotPrimary}, once control is reachable again and names the primary. */
+    /** Clears the state of {@link #onNotPrimary}, once control is reachable again and reports the primary. */
     void clearNotPrimary() {
         notPrimarySinceMs = 0;
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
@@ -26,14 +26,14 @@
     private long nextConnectionRequestId = 1;
 
     SessionContext(
-            StatementRouter placement,
+            StatementRouter router,
             Clock clock,
             ClockJumpDetector clockJumpDetector,
             ScheduledExecutorService executor,
             EventLog events,
             SessionMetrics metrics,
             java.util.function.Consumer<ClientSession> sessionRemover) {
-        this.router = placement;
+        this.router = router;
         this.clock = clock;
         this.clockJumpDetector = clockJumpDetector;
         this.executor = executor;
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionEngine.java
@@ -165,17 +165,17 @@
             ServiceState state = router.serviceState(service);
             Optional<String> primaryId = router.view().primary(service).map(DatabaseInstance::instanceId);
             if (primaryId.isPresent()) {
-                long provenMs = state.provenPrimaryId().equals(primaryId.get())
+                long lastProofAtMs = state.provenPrimaryId().equals(primaryId.get())
                         ? state.lastProofAtMs()
                         : nowMs - MAX_REPORTED_AGE_MS;
-                long oldestMs = state.pendingWriteSentAtMs.values().stream()
+                long oldestWriteAgeMs = state.pendingWriteSentAtMs.values().stream()
                         .mapToLong(sentMs -> nowMs - sentMs)
                         .max()
                         .orElse(0);
                 primaries.add(new PrimaryHealth(
                         primaryId.get(),
-                        Math.min(MAX_REPORTED_AGE_MS, nowMs - provenMs),
-                        oldestMs,
+                        Math.min(MAX_REPORTED_AGE_MS, nowMs - lastProofAtMs),
+                        oldestWriteAgeMs,
                         state.unreachableSinceMs() == 0 ? 0 : nowMs - state.unreachableSinceMs()));
             }
         }
@@ -225,16 +225,16 @@
         draining = true;
         acceptUntilMs = clock.millis() + Math.min(LOAD_BALANCER_DETECTION_MS, graceMs / 2);
         events.record("drain_started", "sessions", sessions.size(), "grace_ms", graceMs);
-        long transactionMs = Math.round(graceMs * TRANSACTION_GRACE_FRACTION);
-        long firstStepMs = Math.min(LOAD_BALANCER_DETECTION_MS, transactionMs);
-        long intervalMs = Math.max(1, (transactionMs - firstStepMs) / DRAIN_STEPS);
+        long transactionGraceMs = Math.round(graceMs * TRANSACTION_GRACE_FRACTION);
+        long firstStepMs = Math.min(LOAD_BALANCER_DETECTION_MS, transactionGraceMs);
+        long intervalMs = Math.max(1, (transactionGraceMs - firstStepMs) / DRAIN_STEPS);
         executor.schedule(() -> drainStep(1, intervalMs), firstStepMs, TimeUnit.MILLISECONDS);
         executor.schedule(
                 () -> List.copyOf(sessions).forEach(session -> {
                     session.abortTransaction("the proxy is shutting down");
                     session.closeWhenIdle();
                 }),
-                transactionMs,
+                transactionGraceMs,
                 TimeUnit.MILLISECONDS);
     }
 
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRouter.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementRouter.java
@@ -22,13 +22,13 @@
 import org.hornbeamspread.core.sql.SqlConnector;
 
 /**
- * Routes each unit, which is a statement or a transaction, to an instance.
+ * Routes each connection request, made by a single statement or a transaction, to an instance.
  *
  * <p>Writes, read-write transactions and the reads of primary routes go to the primary, which proves its role by accepting a
  * read-write transaction. Other reads go to the instance with the earliest expected completion. The position that the log of
  * that instance must contain comes from {@link org.hornbeamspread.core.placement.PositionSamples} and from the session's own
- * commits; the instance validates that its log contains the position. A unit without a usable instance waits for a short time,
- * since a promotion may be in progress, and is then refused as not run. Confined to the engine's thread.
+ * commits; the instance validates that its log contains the position. A request without a usable instance waits for a short
+ * time, since a promotion may be in progress, and is then refused as not run. Confined to the engine's thread.
  */
 final class StatementRouter {
     /** Connections of each database that are reserved for control. */
@@ -45,7 +45,7 @@
     /** A promoted instance becomes the primary about a hundred ms after the promotion request. */
     private static final long NOT_PRIMARY_BACKOFF_MS = 60;
 
-    /** Interval of the checks for silent instances and for units that can no longer start in time. */
+    /** Interval of the checks for silent instances and for requests that can no longer start in time. */
     private static final long CHECK_INTERVAL_MS = 50;
 
     /** A check that runs later than scheduled by more than this time shows that this proxy itself was paused. */
@@ -146,7 +146,7 @@
         retryParked();
     }
 
-    /** Records the answer of an instance that it is not the primary. */
+    /** Records the response of an instance that it is not the primary. */
     void onNotPrimary(String instanceId) {
         Long previousUntilMs = notPrimaryUntilMs.put(instanceId, clock.millis() + NOT_PRIMARY_BACKOFF_MS);
         if (previousUntilMs == null) {
@@ -177,32 +177,32 @@
         }
     }
 
-    /** Routes a unit again that the previous instance could not run. */
-    void retry(ConnectionRequest unit, RetryReason reason) {
+    /** Routes a request again after the previous instance could not serve it. */
+    void retry(ConnectionRequest request, RetryReason reason) {
         metrics.onRetry(reason);
-        route(unit);
+        route(request);
     }
 
-    /** Routes a unit. */
-    void route(ConnectionRequest unit) {
-        if (unit.ended) {
+    /** Routes a request to the pool of an instance, or parks the request while no instance is usable. */
+    void route(ConnectionRequest request) {
+        if (request.ended) {
             return;
         }
-        if (unit.attempts++ >= MAX_ATTEMPTS) {
-            unit.refuse(RefusalReason.ATTEMPTS_SPENT);
+        if (request.attempts++ >= MAX_ATTEMPTS) {
+            request.refuse(RefusalReason.ATTEMPTS_SPENT);
             return;
         }
-        Optional<InstanceConnectionPool> pool = unit.needsPrimary ? primaryPool(unit) : readPool(unit);
+        Optional<InstanceConnectionPool> pool = request.needsPrimary ? primaryPool(request) : readPool(request);
         if (pool.isPresent()) {
-            pool.get().acquire(unit);
+            pool.get().acquire(request);
             scheduleCheck();
-        } else if (!unit.ended) {
-            park(unit);
+        } else if (!request.ended) {
+            park(request);
         }
     }
 
-    private Optional<InstanceConnectionPool> primaryPool(ConnectionRequest unit) {
-        String service = unit.route.service();
+    private Optional<InstanceConnectionPool> primaryPool(ConnectionRequest request) {
+        String service = request.route.service();
         String provenId = serviceState(service).provenPrimaryId();
         Optional<DatabaseInstance> announced = view.primary(service).filter(this::mayBePrimary);
         // The previous primary stays the primary until the promotion takes effect, but writes that it
@@ -223,7 +223,7 @@
 
     /**
      * While control is unreachable, any reachable instance that has not recently answered that it is not the primary: the proxy
-     * receives no promotions then. The instance proves to be the primary, or refuses the unit, which then did not run.
+     * receives no promotions then. The instance proves to be the primary, or refuses the statement, which then did not run.
      */
     private Optional<DatabaseInstance> possiblePrimary(String service) {
         if (controlReachable) {
@@ -263,12 +263,12 @@
         return !drainingTooLong && !notPrimary;
     }
 
-    private Optional<InstanceConnectionPool> readPool(ConnectionRequest unit) {
-        String service = unit.route.service();
+    private Optional<InstanceConnectionPool> readPool(ConnectionRequest request) {
+        String service = request.route.service();
         ServiceState state = serviceState(service);
         state.updateClockEpoch(clockJumpDetector.epoch());
-        long allowanceMs = Math.max(0, unit.route.maxStalenessMs() - STALENESS_MARGIN_MS);
-        Optional<Sample> sample = state.positionSamples.oldestWithin(unit.arrivedMs, allowanceMs);
+        long allowanceMs = Math.max(0, request.route.maxStalenessMs() - STALENESS_MARGIN_MS);
+        Optional<Sample> sample = state.positionSamples.oldestWithin(request.arrivedMs, allowanceMs);
         Optional<Sample> latest = state.positionSamples.latest();
         boolean refreshDue = latest.isEmpty()
                 || clock.millis() - latest.get().requestedAtMs() > SAMPLE_REFRESH_FRACTION * allowanceMs;
@@ -277,25 +277,25 @@
             state.needsSharedPosition |= state.unreachableSinceMs() > 0;
         }
         if (sample.isEmpty()) {
-            unit.requiredPosition = Optional.empty();
+            request.requiredPosition = Optional.empty();
             return Optional.empty();
         }
         LogPosition position = sample.get().position();
-        unit.requiredPosition = Optional.of(
-                unit.route.kind() == RouteKind.READ_YOUR_WRITES
-                        ? LogPosition.max(position, unit.minPosition)
+        request.requiredPosition = Optional.of(
+                request.route.kind() == RouteKind.READ_YOUR_WRITES
+                        ? LogPosition.max(position, request.minPosition)
                         : position);
         List<Candidate> candidates = new ArrayList<>();
         for (DatabaseInstance instance : view.instances(service)) {
-            if (!instance.draining() && !unit.triedInstanceIds.contains(instance.instanceId())) {
+            if (!instance.draining() && !request.triedInstanceIds.contains(instance.instanceId())) {
                 InstanceConnectionPool pool = pool(instance);
                 if (pool.isReachable()) {
                     candidates.add(candidate(pool));
                 }
             }
         }
-        if (candidates.isEmpty() && unit.lastQueueRefusal != null) {
-            unit.refuse(unit.lastQueueRefusal);
+        if (candidates.isEmpty() && request.lastQueueRefusal != null) {
+            request.refuse(request.lastQueueRefusal);
         }
         return InstanceSelector.select(candidates).map(best -> pools.get(best.instanceId()));
     }
@@ -353,16 +353,16 @@
         }
     }
 
-    private void park(ConnectionRequest unit) {
-        unit.triedInstanceIds.clear();
-        unit.lastQueueRefusal = null;
-        if (clock.millis() >= unit.startDeadlineMs) {
-            unit.refuse(unit.needsPrimary ? RefusalReason.NO_PRIMARY : RefusalReason.NO_RECENT_POSITION);
+    private void park(ConnectionRequest request) {
+        request.triedInstanceIds.clear();
+        request.lastQueueRefusal = null;
+        if (clock.millis() >= request.startDeadlineMs) {
+            request.refuse(request.needsPrimary ? RefusalReason.NO_PRIMARY : RefusalReason.NO_RECENT_POSITION);
             return;
         }
-        unit.attempts = 0;
-        parked.add(unit);
-        unit.cancelHandler = parked::remove;
+        request.attempts = 0;
+        parked.add(request);
+        request.cancelHandler = parked::remove;
         if (!retryScheduled) {
             retryScheduled = true;
             executor.schedule(this::onRetryTimer, PARKED_RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -377,7 +377,7 @@
     private void retryParked() {
         List<ConnectionRequest> waiting = List.copyOf(parked);
         parked.clear();
-        waiting.forEach(unit -> unit.cancelHandler = null);
+        waiting.forEach(request -> request.cancelHandler = null);
         waiting.forEach(this::route);
     }
 }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementSender.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/StatementSender.java
@@ -32,14 +32,14 @@
             int priority,
             BooleanSupplier beforeSend,
             BiConsumer<SqlResult, Throwable> callback) {
-        StatementLimiter gate = lease.pool().limiter();
-        gate.submit(priority, () -> {
+        StatementLimiter limiter = lease.pool().limiter();
+        limiter.submit(priority, () -> {
             if (!beforeSend.getAsBoolean()) {
-                gate.release(false);
+                limiter.release(false);
                 return;
             }
             sendNow(lease, session, request, definition, trailing, (result, error) -> {
-                gate.release(error == null && result.hasError(SqlError.BUSY));
+                limiter.release(error == null && result.hasError(SqlError.BUSY));
                 callback.accept(result, error);
             });
         });
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemWatch.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SystemWatch.java
@@ -44,10 +44,10 @@
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(400);
     private static final long INITIAL_BACKOFF_MS = 40;
 
-    /** The assumed number of proxies until control reports it; operators run six to eight today. */
+    /** The assumed number of proxies until control reports it; a cluster usually has six to eight. */
     private static final int INITIAL_PROXY_COUNT = 8;
 
-    /** Poll interval while positions are wanted; control requests positions from the primaries about as often. */
+    /** Poll interval while reads need positions from control, which requests them from the primaries about as often. */
     private static final long POSITIONS_POLL_INTERVAL_MS = 200;
 
     private static final long MAX_BACKOFF_MS = 400;
@@ -150,11 +150,11 @@
                 .setPositionsWanted(engine.needsSharedPositions())
                 .setDraining(!engine.isReady() && engine.view().isLoaded());
         engine.primaryHealth()
-                .forEach(sighting -> request.addObservations(PrimaryObservation.newBuilder()
-                        .setInstanceId(sighting.instanceId())
-                        .setSinceSuccessMs((int) sighting.sinceLastProofMs())
-                        .setOldestWriteMs((int) sighting.oldestPendingWriteMs())
-                        .setUnreachableMs((int) sighting.unreachableMs())));
+                .forEach(health -> request.addObservations(PrimaryObservation.newBuilder()
+                        .setInstanceId(health.instanceId())
+                        .setSinceSuccessMs((int) health.sinceLastProofMs())
+                        .setOldestWriteMs((int) health.oldestPendingWriteMs())
+                        .setUnreachableMs((int) health.unreachableMs())));
         requestedAtMs = clock.millis();
         requestEpoch = engine.clockEpoch();
         return Envelope.newBuilder().setWatchSystem(request).build();
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/ManualExecutor.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/ManualExecutor.java
@@ -99,9 +99,9 @@
         private final long dueAtMs;
         private final long order;
 
-        Task(Runnable command, long atMs, long order) {
+        Task(Runnable command, long dueAtMs, long order) {
             super(command, null);
-            this.dueAtMs = atMs;
+            this.dueAtMs = dueAtMs;
             this.order = order;
         }
 
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/SessionEngineTest.java
@@ -26,6 +26,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * Guards against statements that run on the wrong instance or with another session's state, and against reported outcomes that
+ * do not hold, through a session engine with one primary and two replicas.
+ */
 final class SessionEngineTest {
     private final EngineHarness harness = new EngineHarness();
 
@@ -289,7 +293,7 @@
         assertThat(harness.primary.executedStatements.get(1).transactionIds()).isEmpty();
     }
 
-    /** Regression (fleetbench score ujaas-core trouble-1): the client disconnected while its statement was queued. */
+    /** Regression (fleetbench run ujaas-core trouble-1): the client disconnected while its statement was queued. */
     @Test
     void aQueuedStatementIsNotSentAfterItsClientDisconnects() {
         harness.loadConfiguration(2, 28, 90);
@@ -376,7 +380,7 @@
     }
 
     /**
-     * The primary is unreachable, or is no longer the primary. Regression of the second case (fleetbench score ujaas-core,
+     * The primary is unreachable, or is no longer the primary. Regression of the second case (fleetbench run ujaas-core,
      * trouble-1): four of six proxies refused statements for six seconds, and the load balancer kept routing to them.
      */
     @ParameterizedTest
--- a/proxy/src/test/java/org/hornbeamspread/proxy/session/UnresponsiveInstanceTest.java
+++ b/proxy/src/test/java/org/hornbeamspread/proxy/session/UnresponsiveInstanceTest.java
@@ -107,7 +107,7 @@
         clients.forEach(client -> assertThat(client.lastReply().isSuccess()).isTrue());
     }
 
-    /** A unit that expires in the queue must be refused, not dropped silently and left to its timeout. */
+    /** A request that expires in the queue must be refused, not dropped without a response until the statement's timeout. */
     @Test
     void queuedWriteIsRefusedOnceItCannotStartInTime() {
         harness.loadConfiguration(2, 4, 1);
