--- a/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/HeldDatabases.java
@@ -23,7 +23,7 @@
  * <p>{@link HolderAdmissionRule} decides when work may start. When this proxy no longer holds a database, idle
  * connections are closed at once, and connections in use when their work has ended.
  *
- * <p>Owned by the dispatcher's thread.
+ * <p>Confined to the dispatcher's thread.
  */
 final class HeldDatabases {
     /** The report age of a database without an administrative connection; longer than any accepted age. */
@@ -35,7 +35,7 @@
     private final PeerTransport transport;
     private final ViewPublisher publisher;
     private final ClusterMonitor clusterMonitor;
-    private final SchedulerFactory schedulers;
+    private final SchedulerFactory schedulerFactory;
     private final String proxyId;
     private final Map<String, HeldDatabase> held = new HashMap<>();
 
@@ -47,13 +47,13 @@
             PeerTransport transport,
             ViewPublisher publisher,
             ClusterMonitor clusterMonitor,
-            SchedulerFactory schedulers,
+            SchedulerFactory schedulerFactory,
             String proxyId) {
         this.dispatcher = dispatcher;
         this.transport = transport;
         this.publisher = publisher;
         this.clusterMonitor = clusterMonitor;
-        this.schedulers = schedulers;
+        this.schedulerFactory = schedulerFactory;
         this.proxyId = proxyId;
     }
 
@@ -92,12 +92,12 @@
 
     /** Runs statements on a database that this proxy holds at an epoch. Otherwise fails with WRONG_HOLDER, not run. */
     CompletableFuture<StatementsExecuted> execute(
-            String databaseId, long holderEpoch, RequestContext order, ExecuteStatements statements) {
+            String databaseId, long holderEpoch, RequestContext context, ExecuteStatements statements) {
         Optional<HeldDatabase> database = findUsable(databaseId, holderEpoch, statements.getReadOnly());
         if (database.isEmpty()) {
             return CompletableFuture.failedFuture(new FailureException(FailureType.WRONG_HOLDER, databaseId));
         }
-        return database.get().execute(order, statements);
+        return database.get().execute(context, statements);
     }
 
     /** The database, if this proxy holds it at the epoch and may start work on it now. */
@@ -139,7 +139,7 @@
     }
 
     private HeldDatabase createHeldDatabase(ViewSnapshot view, DatabaseEntry database) {
-        SlotScheduler scheduler = schedulers.create(view.configuration(), database);
+        SlotScheduler scheduler = schedulerFactory.create(view.configuration(), database);
         QueueLimits limits = QueueLimits.of(view.configuration());
         return new HeldDatabase(dispatcher, transport, database, scheduler, limits, proxyId);
     }
@@ -148,7 +148,7 @@
         Optional<DatabaseMonitor> monitor = clusterMonitor.monitor(databaseId).filter(DatabaseMonitor::isConnected);
         Optional<PositionReport> report = monitor.flatMap(DatabaseMonitor::lastReport);
         return HolderAdmissionRule.mayStart(
-                publisher.isFresh(),
+                publisher.isLeaseValid(),
                 readOnly,
                 monitor.map(DatabaseMonitor::timeSinceLastReport).orElse(NO_REPORT_AGE),
                 report.map(PositionReport::getConnections).orElse(Integer.MAX_VALUE),
--- a/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/StatementsService.java
@@ -28,10 +28,10 @@
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
-    private final WritePath writes;
-    private final ReadPath reads;
-    private final TransactionRouter transactions;
-    private final RetryLoop retries;
+    private final WritePath writePath;
+    private final ReadPath readPath;
+    private final TransactionRouter transactionRouter;
+    private final RetryLoop retryLoop;
     private final ProxyMetrics metrics;
     private final ProxySettings settings;
     private final AtomicInteger inProgress = new AtomicInteger();
@@ -40,18 +40,18 @@
     StatementsService(
             Dispatcher dispatcher,
             ViewPublisher publisher,
-            WritePath writes,
-            ReadPath reads,
-            TransactionRouter transactions,
-            RetryLoop retries,
+            WritePath writePath,
+            ReadPath readPath,
+            TransactionRouter transactionRouter,
+            RetryLoop retryLoop,
             ProxyMetrics metrics,
             ProxySettings settings) {
         this.dispatcher = dispatcher;
         this.publisher = publisher;
-        this.writes = writes;
-        this.reads = reads;
-        this.transactions = transactions;
-        this.retries = retries;
+        this.writePath = writePath;
+        this.readPath = readPath;
+        this.transactionRouter = transactionRouter;
+        this.retryLoop = retryLoop;
         this.metrics = metrics;
         this.settings = settings;
     }
@@ -87,13 +87,13 @@
         String rank = rankLabel(request.getRank());
         String kind = request.getReadOnly() ? "read" : "write";
         return admit(() -> run(request, arrivedAt), request.getTransactionId().isEmpty())
-                .handle((answer, error) -> {
+                .handle((value, error) -> {
                     ExecuteResponse response = error == null
-                            ? answer
+                            ? value
                             : failure(request.getSessionToken(), rank, FailureException.of(error));
                     Duration elapsed =
                             Duration.between(arrivedAt, dispatcher.clock().instant());
-                    metrics.answered(kind, rank, response.getEffect().name(), elapsed);
+                    metrics.countResponse(kind, rank, response.getEffect().name(), elapsed);
                     return withProxyId(response);
                 });
     }
@@ -101,43 +101,43 @@
     /** Begins a transaction. Safe for any thread. */
     CompletableFuture<BeginResponse> begin(BeginRequest request) {
         Instant arrivedAt = dispatcher.clock().instant();
-        return admit(() -> transactions.begin(request, arrivedAt), true).handle((answer, error) -> {
+        return admit(() -> transactionRouter.begin(request, arrivedAt), true).handle((value, error) -> {
             if (error == null) {
-                return answer;
+                return value;
             }
             FailureException failure = FailureException.of(error);
-            metrics.refused(failure.type(), rankLabel(request.getRank()));
+            metrics.countRefusal(failure.type(), rankLabel(request.getRank()));
             return TransactionRouter.failureResponse(failure);
         });
     }
 
     private CompletableFuture<ExecuteResponse> commit(EndRequest request) {
-        return end(request, transactions::commit);
+        return end(request, transactionRouter::commit);
     }
 
     private CompletableFuture<ExecuteResponse> rollback(EndRequest request) {
-        return end(request, transactions::rollback);
+        return end(request, transactionRouter::rollback);
     }
 
     private CompletableFuture<ExecuteResponse> end(
             EndRequest request, Function<EndRequest, CompletableFuture<ExecuteResponse>> method) {
         return admit(() -> method.apply(request), false)
-                .handle((answer, error) -> withProxyId(
+                .handle((value, error) -> withProxyId(
                         error == null
-                                ? answer
+                                ? value
                                 : failure(request.getSessionToken(), UNKNOWN_RANK_LABEL, FailureException.of(error))));
     }
 
     private CompletableFuture<ExecuteResponse> run(ExecuteRequest request, Instant arrivedAt) {
         if (!request.getTransactionId().isEmpty()) {
-            return transactions.execute(request);
+            return transactionRouter.execute(request);
         }
         StatementRequest validated =
                 StatementRequest.of(request, publisher.current().view(), arrivedAt);
         if (validated.kind() == StatementKind.READ) {
-            return retries.run(validated, reads.read(validated)::attempt);
+            return retryLoop.run(validated, readPath.read(validated)::attempt);
         }
-        return retries.run(validated, () -> writes.attempt(validated));
+        return retryLoop.run(validated, () -> writePath.attempt(validated));
     }
 
     /**
@@ -152,14 +152,14 @@
         } else if (inProgress.get() > settings.maxRequests()) {
             result.completeExceptionally(new FailureException(FailureType.RING_FULL, "too many requests in progress"));
         } else if (!dispatcher.tryExecute(
-                () -> Futures.start(work).whenComplete((answer, error) -> Futures.complete(result, answer, error)))) {
+                () -> Futures.start(work).whenComplete((value, error) -> Futures.complete(result, value, error)))) {
             result.completeExceptionally(new FailureException(FailureType.RING_FULL, "requests"));
         }
-        return result.whenComplete((answer, error) -> metrics.setRequestsInProgress(inProgress.decrementAndGet()));
+        return result.whenComplete((value, error) -> metrics.setRequestsInProgress(inProgress.decrementAndGet()));
     }
 
     private ExecuteResponse failure(String token, String rank, FailureException failure) {
-        metrics.refused(failure.type(), rank);
+        metrics.countRefusal(failure.type(), rank);
         return ExecuteResponse.newBuilder()
                 .setEffect(Envelopes.effect(failure.type().effect()))
                 .setFailure(Envelopes.failure(failure))
--- a/proxy/src/main/java/org/hornbeamspread/proxy/TransactionRouter.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/TransactionRouter.java
@@ -22,7 +22,7 @@
 /**
  * Routes a transaction's requests to the proxy that has the transaction's connection: a Begin to the holder of the
  * primary, every later request to the proxy named in the transaction id. Requests are forwarded as whole RPCs, so
- * that the queue, the connection and the acknowledgement stay in one process. Owned by the dispatcher's thread.
+ * that the queue, the connection and the acknowledgement stay in one process. Confined to the dispatcher's thread.
  */
 final class TransactionRouter {
     private static final String METHOD_PREFIX = "hornbeamspread.Statements/";
@@ -30,7 +30,7 @@
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
-    private final TransactionManager transactions;
+    private final TransactionManager transactionManager;
     private final ProxySettings settings;
     private final long incarnation;
     private final RpcClient client = new RpcClient();
@@ -38,22 +38,22 @@
     TransactionRouter(
             Dispatcher dispatcher,
             ViewPublisher publisher,
-            TransactionManager transactions,
+            TransactionManager transactionManager,
             ProxySettings settings,
             long incarnation) {
         this.dispatcher = dispatcher;
         this.publisher = publisher;
-        this.transactions = transactions;
+        this.transactionManager = transactionManager;
         this.settings = settings;
         this.incarnation = incarnation;
     }
 
     /** Begins a transaction on this proxy or on the holder of the primary. */
     CompletableFuture<BeginResponse> begin(BeginRequest request, Instant arrivedAt) {
-        DatabaseEntry primary = transactions.primary(request);
+        DatabaseEntry primary = transactionManager.primary(request);
         String holder = primary.getHolderProxyId();
         if (holder.equals(settings.proxyId())) {
-            return transactions
+            return transactionManager
                     .begin(request, arrivedAt)
                     .thenApply(id -> BeginResponse.newBuilder()
                             .setTransactionId(id.encode())
@@ -85,7 +85,7 @@
                 FailureType.UNKNOWN_TRANSACTION,
                 "Execute",
                 request,
-                id -> transactions.execute(id, request));
+                id -> transactionManager.execute(id, request));
     }
 
     /** Commits a transaction. */
@@ -95,7 +95,7 @@
                 FailureType.TRANSACTION_LOST,
                 "Commit",
                 request,
-                id -> transactions.commit(id, request));
+                id -> transactionManager.commit(id, request));
     }
 
     /** Rolls a transaction back. */
@@ -105,7 +105,7 @@
                 FailureType.UNKNOWN_TRANSACTION,
                 "Rollback",
                 request,
-                id -> transactions.rollback(id, request));
+                id -> transactionManager.rollback(id, request));
     }
 
     private <Q extends Message> CompletableFuture<ExecuteResponse> runAtOwner(
--- a/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/WritePath.java
@@ -35,7 +35,7 @@
 
     private final Dispatcher dispatcher;
     private final ViewPublisher publisher;
-    private final ClusterMonitor databases;
+    private final ClusterMonitor clusterMonitor;
     private final DatabaseExecutor executor;
     private final InFlightAttempts inFlight;
 
@@ -45,18 +45,18 @@
     WritePath(
             Dispatcher dispatcher,
             ViewPublisher publisher,
-            ClusterMonitor databases,
+            ClusterMonitor clusterMonitor,
             DatabaseExecutor executor,
             InFlightAttempts inFlight) {
         this.dispatcher = dispatcher;
         this.publisher = publisher;
-        this.databases = databases;
+        this.clusterMonitor = clusterMonitor;
         this.executor = executor;
         this.inFlight = inFlight;
     }
 
     /** Updates the departure times from a new view. */
-    void applyView(ViewSnapshot view) {
+    void updateView(ViewSnapshot view) {
         for (DatabaseEntry database : view.databases()) {
             if (database.getDeparting()) {
                 departingSince.putIfAbsent(
@@ -78,11 +78,11 @@
         } catch (FailureException e) {
             return CompletableFuture.failedFuture(e);
         }
-        CompletableFuture<StatementsExecuted> answer =
+        CompletableFuture<StatementsExecuted> response =
                 executor.execute(leased.view(), primary, request.context(), request.statements(group.getTerm()));
         CompletableFuture<StatementsExecuted> executed = request.kind() == StatementKind.KEYED_WRITE
-                ? inFlight.track(group.getGroup(), group.getTerm(), primary, answer)
-                : answer;
+                ? inFlight.track(group.getGroup(), group.getTerm(), primary, response)
+                : response;
         return executed.thenCompose(result -> acknowledge(group, result, request.context())
                 .thenApply(position -> response(request, group, result, position)));
     }
@@ -121,7 +121,7 @@
                     FailureType.TERM_CHANGED_AFTER_SEND, "executed at term " + executed.getTerm()));
             return result;
         }
-        GroupReplicationState state = databases.groupState(group.getGroup());
+        GroupReplicationState state = clusterMonitor.groupState(group.getGroup());
         CompletableFuture<Void> quorumReached =
                 state.quorum().awaitQuorum(group.getTerm(), position, group.getPrimaryId());
         Dispatcher.Timer timer = dispatcher.schedule(remaining(context), () -> {
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/ServiceState.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/ServiceState.java
@@ -10,19 +10,19 @@
 final class ServiceState {
     final PositionSamples positionSamples = new PositionSamples();
 
-    /** Send time of each write without a response, by unit id. */
+    /** Send time of each write without a response, by id of the connection request. */
     final Map<Long, Long> pendingWriteSentAtMs = new HashMap<>();
 
     /** Whether a position probe at the primary is in flight. */
     boolean probing;
 
     /** Whether reads wait for a position that this proxy cannot request itself. */
-    boolean positionsWanted;
+    boolean needsSharedPosition;
 
     private long unreachableSinceMs;
 
     /**
-     * When an instance that was taken for the primary first answered that it is not, with no proof from a primary since; 0 for
+     * When an instance that was treated as the primary first responded that it is not, with no proof from a primary since; 0 for
      * none.
      */
     private long notPrimarySinceMs;
@@ -52,7 +52,7 @@
     void addSample(long requestedAtMs, long requestEpoch, LogPosition position) {
         if (requestEpoch == clockEpoch) {
             positionSamples.add(new Sample(requestedAtMs, position));
-            positionsWanted = false;
+            needsSharedPosition = false;
         }
     }
 
@@ -63,14 +63,14 @@
         }
     }
 
-    /** Records that an instance that was taken for the primary is not the primary. */
+    /** Records that an instance that was treated as the primary is not the primary. */
     void onNotPrimary(long nowMs) {
         if (notPrimarySinceMs == 0) {
             notPrimarySinceMs = nowMs;
         }
     }
 
-    /** Clears the state of {@link #onNotPrimary}, once control is reachable again and names the primary. */
+    /** Clears the state of {@link #onNotPrimary}, once control is reachable again and reports the primary. */
     void clearNotPrimary() {
         notPrimarySinceMs = 0;
     }
--- a/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
+++ b/proxy/src/main/java/org/hornbeamspread/proxy/session/SessionContext.java
@@ -16,7 +16,7 @@
 
     private static final long MIN_CONNECTION_WAIT_MS = 50;
 
-    private final StatementRouter placement;
+    private final StatementRouter router;
     private final Clock clock;
     private final ClockJumpDetector clockJumpDetector;
     private final ScheduledExecutorService executor;
@@ -26,14 +26,14 @@
     private long nextConnectionRequestId = 1;
 
     SessionContext(
-            StatementRouter placement,
+            StatementRouter router,
             Clock clock,
             ClockJumpDetector clockJumpDetector,
             ScheduledExecutorService executor,
             EventLog events,
             SessionMetrics metrics,
             java.util.function.Consumer<ClientSession> sessionRemover) {
-        this.placement = placement;
+        this.router = router;
         this.clock = clock;
         this.clockJumpDetector = clockJumpDetector;
         this.executor = executor;
@@ -42,12 +42,12 @@
         this.sessionRemover = sessionRemover;
     }
 
-    StatementRouter placement() {
-        return placement;
+    StatementRouter router() {
+        return router;
     }
 
     SystemView view() {
-        return placement.view();
+        return router.view();
     }
 
     EventLog events() {
@@ -94,7 +94,7 @@
     /** Counts the result of a request and logs it; successful requests are sampled for the log. */
     void record(String requestId, Route route, String instanceId, long arrivedMs, SqlResult result, String reason) {
         long elapsedMs = nowMs() - arrivedMs;
-        metrics.onAnswer(route, result, elapsedMs);
+        metrics.onResponse(route, result, elapsedMs);
         if (result.isSuccess() && !metrics.sampleNext()) {
             return;
         }
